--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/departures.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/departures.py
@@ -1,4 +1,4 @@
-"""Which backend servers have left, whatever a restored store lists."""
+"""Record of departed backend servers, for checking the data of a restored store."""
 
 from dataclasses import dataclass
 
@@ -6,23 +6,23 @@
 from sassafraswinch_sidecar.revisions import Revision
 
 MAX_DEPARTURES = 4_096
-"""Lifetimes that are remembered. Several days of replacements at 560 hosts."""
+"""Lifetimes that are kept: several days of server replacements at 560 hosts."""
 
 EXPIRED_BY_MS = 8_000.0
-"""Time after which a restored store no longer lists servers that don't write: their
-entries live for several heartbeats."""
+"""Time after which a restored store no longer lists servers that have exited: their
+registrations live for several heartbeats without renewal."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Departure:
-    """The end of one lifetime.
+    """End of one lifetime of a server.
 
     Attributes:
-        revision: change by which it was told.
-        is_final: whether the server itself said that it leaves.
-        listed: the instance as a store of a later era listed it, if one did.
-        listed_revision: change by which it was listed.
-        listed_ms: when that was.
+        revision: revision that recorded the departure.
+        is_final: whether the server itself gave leave notice.
+        listed: the instance as listed by a store of a later era, if any.
+        listed_revision: revision that listed it.
+        listed_ms: time at which it was listed.
     """
 
     revision: Revision
@@ -33,37 +33,37 @@
 
 
 class Departures:
-    """Tells entries of an older copy of the store from a server's own word.
+    """Distinguishes stale registrations of a restored store from current ones.
 
-    A store that came back from an older copy lists servers as ready that have left
-    since. One that said that it leaves never comes back in the same lifetime. One
-    whose entry was only removed may live: it does if it has written since, or is
-    listed for longer than the entry of a dead one would be.
+    A store that was restored from an older copy lists servers as ready that have left
+    since. A server that gave leave notice never comes back in the same lifetime. A
+    server whose registration was only removed may be running: it is if it has written
+    its registration since, or is listed for longer than an exited server's would be.
     """
 
     def __init__(self):
-        self._known: dict[InstanceIdentity, _Departure] = {}
+        self._departures: dict[InstanceIdentity, _Departure] = {}
 
     def note(self, instance: Instance, revision: Revision) -> None:
-        """Note that an instance leaves, or that its entry was removed."""
-        known = self._known.get(instance.identity)
+        """Record that an instance leaves, or that its registration was removed."""
+        known = self._departures.get(instance.identity)
         if known is not None and known.is_final:
             return
-        # While it is doubted it counts as leaving, which it didn't say.
+        # An instance under doubt is treated as leaving without having given notice.
         is_final = instance.leaving and known is None
-        self._known[instance.identity] = _Departure(
+        self._departures[instance.identity] = _Departure(
             revision=revision, is_final=is_final
         )
-        if len(self._known) > MAX_DEPARTURES:
-            del self._known[next(iter(self._known))]
+        if len(self._departures) > MAX_DEPARTURES:
+            del self._departures[next(iter(self._departures))]
 
     def forget(self, instance: Instance) -> None:
-        """Take an instance for one that hasn't left."""
-        self._known.pop(instance.identity, None)
+        """Discard the departure of an instance that turned out to be running."""
+        self._departures.pop(instance.identity, None)
 
     def accept(self, instance: Instance, revision: Revision, now_ms: float) -> bool:
-        """Decide whether an entry is to be believed; forget the departure if it is."""
-        departure = self._known.get(instance.identity)
+        """Return whether a registration is current; if so, discard the departure."""
+        departure = self._departures.get(instance.identity)
         if departure is None:
             return True
         if revision.era > departure.revision.era:
@@ -78,10 +78,10 @@
         return True
 
     def pop_returned(self, now_ms: float) -> list[Instance]:
-        """Return instances that are listed for longer than dead ones would be."""
+        """Remove and return instances listed for longer than exited ones would be."""
         returned = [
             departure.listed
-            for departure in self._known.values()
+            for departure in self._departures.values()
             if departure.listed is not None
             and now_ms - departure.listed_ms >= EXPIRED_BY_MS
         ]
@@ -91,7 +91,7 @@
 
 
 def _is_written_since(departure: _Departure, revision: Revision) -> bool:
-    """Return whether an entry can't come from a copy that is older than a departure."""
+    """Return whether a registration was certainly written after a departure."""
     if departure.listed_revision is not None:
         return revision > departure.listed_revision
     return revision.number > departure.revision.number
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers and routes in force, as a replica tells them."""
+"""Registry of the backend servers and routes in force, built from the replica."""
 
 import itertools
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -13,21 +13,21 @@
 from sassafraswinch_sidecar.routes import RouteTable
 
 RETURN_MS = 2_200.0
-"""Time after an outage of the platform in which entries that expired meanwhile come
+"""Time after a platform outage in which registrations that expired during it come
 back; the platform promises about 2 s."""
 
 LAPSED_MEMORY_MS = 60_000.0
-"""Time in which a removed instance is remembered in case that its host says that it
-can't reach the platform. It finds that out within two seconds; the rest is for links
+"""Time for which a removed instance is kept in case its host reports that it can't
+reach the platform. The host detects that within two seconds; the rest allows for links
 that come up later."""
 
 EXPIRY_MS = 2_500.0
-"""Shortest outage in which entries expire: they live for several heartbeats."""
+"""Shortest outage in which registrations expire: they live for several heartbeats."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Lapsed:
-    """An instance whose entry was removed though it didn't say that it leaves."""
+class _ExpiredRegistration:
+    """Instance whose registration was removed without a leave notice."""
 
     instance: Instance
     first_revision: Revision
@@ -37,12 +37,12 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Held:
-    """A removal that may only be a loss of the platform's.
+class _HeldRemoval:
+    """Removal that may only be a loss of data at the platform.
 
     Attributes:
-        revision: change that told it.
-        until_ms: when it counts, if the entry isn't back by then.
+        revision: revision of the removal.
+        until_ms: time at which it takes effect unless the registration is back.
     """
 
     revision: Revision
@@ -50,42 +50,43 @@
 
 
 class Decoder(Protocol):
-    """Reads the platform's items; the adapter of a platform brings it."""
+    """Decodes the platform's items; each platform adapter implements it."""
 
     def instance_id(self, key: str) -> str | None:
-        """Return the instance that a key describes, if it describes one."""
+        """Return the ID of the instance that a key describes, if it describes one."""
 
     def is_route_table(self, key: str) -> bool:
-        """Return whether a key holds the routes."""
+        """Return whether a key holds the route table."""
 
     def parse_instance(self, instance_id: str, value: bytes) -> Instance:
-        """Read an instance.
+        """Parse an instance.
 
         Raises:
-            InvalidFieldsError: names each wrong field.
+            InvalidFieldsError: names each invalid field.
         """
 
     def parse_route_table(self, value: bytes) -> RouteTable:
-        """Read the routes.
+        """Parse the route table.
 
         Raises:
-            InvalidFieldsError: names each wrong field.
+            InvalidFieldsError: names each invalid field.
         """
 
 
 class Fleet:
-    """What the platform's data means: instances by service, and the route table.
+    """Instances by service and the route table, as decoded from the platform's data.
 
-    Routes that can't be read change nothing: what was in force stays. An instance that
-    can't be read gets no new work until it can: another writer may have replaced its
-    entry. Both faults are reported. The table's version never falls in the lifetime of
-    a process.
+    An invalid route table is ignored: the one in force stays. An instance whose entry
+    is invalid gets no new work until the entry is valid again, since another writer may
+    have replaced it. Both faults are reported. The version of the route table never
+    decreases in the lifetime of a process.
 
     Args:
-        decoder: reads the platform's items.
-        report: is told of each that can't be read.
-        is_isolated: tells whether the host at an address says that it can't reach the
-            platform, so that the missing entry of its server says nothing.
+        decoder: decodes the platform's items.
+        report: called with the error of each invalid item.
+        is_isolated: returns whether the host at an address reports that it can't reach
+            the platform, in which case the missing registration of its server proves
+            nothing.
     """
 
     def __init__(
@@ -100,16 +101,16 @@
         self._decoder = decoder
         self._report = report
         self._is_isolated = is_isolated
-        self._lapsed: dict[str, _Lapsed] = {}
+        self._expired: dict[str, _ExpiredRegistration] = {}
         self._by_service: dict[str, list[Instance]] = {}
         self._by_zone: dict[str, list[str]] = {}
         self._known_at_ms: dict[str, float] = {}
-        self._held: dict[str, _Held] = {}
+        self._held_removals: dict[str, _HeldRemoval] = {}
         self._departures = Departures()
-        self._removed: dict[str, None] = {}
+        self._removed_ids: dict[str, None] = {}
         self._first_revisions: dict[str, Revision] = {}
-        self._read_table: tuple[bytes, RouteTable] | None = None
-        self._away_since_ms: float | None = None
+        self._parsed_table: tuple[bytes, RouteTable] | None = None
+        self._outage_since_ms: float | None = None
         self._hold_until_ms = 0.0
 
     def of_service(self, service: str) -> list[Instance]:
@@ -121,11 +122,11 @@
         return itertools.chain.from_iterable(self._by_service.values())
 
     def zones(self) -> Mapping[str, list[str]]:
-        """Return the addresses of the hosts of each availability zone, in order."""
+        """Return the sorted host addresses of each availability zone."""
         return self._by_zone
 
     def hosts_of(self, availability_zone: str) -> list[str]:
-        """Return the addresses of the hosts of a zone, in order."""
+        """Return the sorted host addresses of an availability zone."""
         return self._by_zone.get(availability_zone, [])
 
     def at(self, ip: str) -> list[Instance]:
@@ -135,112 +136,122 @@
     def is_leaving(self, instance_id: str) -> bool:
         """Return whether an instance must get no new work.
 
-        One that is unknown here may: the sender's copy can be the newer one, and the
-        backend server checks the id itself.
+        An unknown instance may get work: the sender's replica can be newer than this
+        one, and the backend server checks the ID itself.
         """
         instance = self.instances.get(instance_id)
         if instance is not None:
             return instance.leaving
-        lapsed = self._lapsed.get(instance_id)
-        return instance_id in self._removed and not (lapsed and lapsed.in_use)
+        expired = self._expired.get(instance_id)
+        return instance_id in self._removed_ids and not (expired and expired.in_use)
 
     def lapsed_at(self, ip: str) -> Instance | None:
-        """Return the latest instance at an address whose entry lapsed, if it has none.
+        """Return the latest instance at an address whose registration expired.
 
-        One that is listed there, or that said that it leaves, is no such instance.
+        Returns None if an instance is registered at the address. An instance that gave
+        leave notice doesn't count as expired.
         """
         if self.at(ip):
             return None
-        found = [each for each in self._lapsed.values() if each.instance.ip == ip]
+        found = [each for each in self._expired.values() if each.instance.ip == ip]
         latest = max(found, key=lambda each: each.first_revision, default=None)
         return latest.instance if latest else None
 
     def cold_left_ms(self, instance: Instance, now_ms: float) -> float:
-        """Return how much longer an instance is slow after its start."""
+        """Return the remaining time in which an instance is slow after its start."""
         known_ms = now_ms - self._known_at_ms.get(instance.id, now_ms)
         return max(0.0, instance.cold_ms - known_ms)
 
     def platform_away(self, now_ms: float) -> None:
-        """Note that the platform can't be read."""
-        if self._away_since_ms is None:
-            self._away_since_ms = now_ms
+        """Record that the platform can't be read."""
+        if self._outage_since_ms is None:
+            self._outage_since_ms = now_ms
 
     def platform_back(self, now_ms: float) -> None:
-        """Note that the platform can be read."""
-        if self._was_away_long(now_ms):
+        """Record that the platform can be read."""
+        if self._is_outage_long(now_ms):
             self._hold_until_ms = now_ms + RETURN_MS
-        self._away_since_ms = None
+        self._outage_since_ms = None
 
     def store_restored(self, now_ms: float) -> None:
-        """Note that the platform's store came back from an older copy.
+        """Record that the platform's store was restored from an older copy.
 
-        Failure: servers that registered after the copy was taken have no entry, and
-        every request that needs them is refused until they have written again.
+        Failure: servers that registered after the copy was taken have no registration,
+        and every request that needs them is refused until they have registered again.
         """
         self._hold_until_ms = now_ms + RETURN_MS
 
     def apply(self, entries: Iterable[Entry], now_ms: float) -> None:
-        """Take in changed entries."""
+        """Apply changed entries of the replica."""
         for entry in entries:
             instance_id = self._decoder.instance_id(entry.key)
             if instance_id is not None:
                 self._apply_instance(instance_id, entry, now_ms)
             elif self._decoder.is_route_table(entry.key) and entry.value is not None:
                 self._apply_table(entry.value)
-        self._index()
+        self._rebuild_indexes()
 
     def is_route_table(self, key: str) -> bool:
-        """Return whether a key holds the routes (RoutesReader)."""
+        """Return whether a key holds the route table (RoutesReader)."""
         return self._decoder.is_route_table(key)
 
     def routes_version(self, value: bytes) -> int | None:
-        """Return the version of routes (RoutesReader)."""
+        """Return the version of a route table; None if it is invalid (RoutesReader)."""
         table = self._parse_table(value)
         return None if table is None else table.version
 
     def tick(self, replica: Replica, now_ms: float) -> None:
-        """Drop held instances whose entries didn't come back, use isolated ones."""
-        self._heed_isolation(now_ms)
+        """Apply the changes that are due by time.
+
+        Removes held instances whose registrations didn't come back, accepts instances
+        that a restored store keeps listing, and updates the use of isolated ones.
+        """
+        self._update_isolated(now_ms)
         listed = self._departures.pop_returned(now_ms)
         returned = [each for each in listed if each.id in self.instances]
         for instance in returned:
-            self._take_instance(instance)
-        over = [found for found, held in self._held.items() if now_ms >= held.until_ms]
-        if over:
+            self._add_instance(instance)
+        due = [
+            found
+            for found, held in self._held_removals.items()
+            if now_ms >= held.until_ms
+        ]
+        if due:
             live = {self._decoder.instance_id(entry.key) for entry in replica.live()}
-            for instance_id in over:
-                held = self._held.pop(instance_id)
+            for instance_id in due:
+                held = self._held_removals.pop(instance_id)
                 if instance_id not in live:
                     self._remove(instance_id, held.revision, now_ms)
-        if over or returned:
-            self._index()
+        if due or returned:
+            self._rebuild_indexes()
 
-    def _heed_isolation(self, now_ms: float) -> None:
-        """Use instances whose entries lapsed while their hosts are cut off.
+    def _update_isolated(self, now_ms: float) -> None:
+        """Use instances whose registrations expired while their hosts are isolated.
 
         Failure: a third of the hosts is cut off from the platform for some seconds,
-        their entries expire, and a service whose other server leaves has none left,
-        though two can be reached. All requests that need it were refused for 8 s. The
-        host itself refuses them once it hears of the platform that its server is gone.
+        their registrations expire, and a service whose other server leaves has none
+        left, though two can be reached. All requests that needed it were refused for
+        8 s. The host itself refuses such requests once the platform reports to it that
+        its server is no longer registered.
         """
         changed = False
-        for instance_id, lapsed in list(self._lapsed.items()):
-            if self._is_isolated(lapsed.instance.ip):
-                lapsed.used_until_ms = now_ms + RETURN_MS
-            in_use = now_ms < lapsed.used_until_ms
-            changed = changed or in_use != lapsed.in_use
-            lapsed.in_use = in_use
-            if not in_use and now_ms - lapsed.since_ms >= LAPSED_MEMORY_MS:
-                del self._lapsed[instance_id]
+        for instance_id, expired in list(self._expired.items()):
+            if self._is_isolated(expired.instance.ip):
+                expired.used_until_ms = now_ms + RETURN_MS
+            in_use = now_ms < expired.used_until_ms
+            changed = changed or in_use != expired.in_use
+            expired.in_use = in_use
+            if not in_use and now_ms - expired.since_ms >= LAPSED_MEMORY_MS:
+                del self._expired[instance_id]
         if changed:
-            self._index()
+            self._rebuild_indexes()
 
     def _apply_instance(self, instance_id: str, entry: Entry, now_ms: float) -> None:
         if entry.value is None:
             if self._may_return(instance_id, now_ms):
                 until_ms = self._returns_until_ms(now_ms)
-                held = _Held(revision=entry.revision, until_ms=until_ms)
-                self._held.setdefault(instance_id, held)
+                held = _HeldRemoval(revision=entry.revision, until_ms=until_ms)
+                self._held_removals.setdefault(instance_id, held)
             else:
                 self._remove(instance_id, entry.revision, now_ms)
             return
@@ -249,30 +260,30 @@
         except InvalidFieldsError as error:
             self._report(error)
             self.instances.pop(instance_id, None)
-            self._held.pop(instance_id, None)
+            self._held_removals.pop(instance_id, None)
             return
-        self._held.pop(instance_id, None)
+        self._held_removals.pop(instance_id, None)
         known = self.instances.get(instance_id)
         if known != instance:
             self._known_at_ms[instance_id] = now_ms
         if known is not None and known.incarnation != instance.incarnation:
-            # It started anew: at its address it is the later one from now on.
+            # A restarted server counts as the latest one at its address.
             self._first_revisions.pop(instance_id, None)
-        self._note_first_revision(instance_id, entry.revision)
-        self._take_instance(self._unless_departed(instance, entry.revision, now_ms))
+        self._record_first_revision(instance_id, entry.revision)
+        self._add_instance(self._unless_departed(instance, entry.revision, now_ms))
 
-    def _take_instance(self, instance: Instance) -> None:
-        self._removed.pop(instance.id, None)
-        self._lapsed.pop(instance.id, None)
+    def _add_instance(self, instance: Instance) -> None:
+        self._removed_ids.pop(instance.id, None)
+        self._expired.pop(instance.id, None)
         self.instances[instance.id] = instance
 
     def _unless_departed(
         self, instance: Instance, revision: Revision, now_ms: float
     ) -> Instance:
-        """Return an instance as leaving if a restored store lists one that has left."""
-        lapsed = self._lapsed.get(instance.id)
-        if lapsed is not None and lapsed.in_use:
-            # Its host says itself that the server lives.
+        """Return an instance, as leaving if a restored store lists it after it left."""
+        expired = self._expired.get(instance.id)
+        if expired is not None and expired.in_use:
+            # Its own host reports that the server is running.
             self._departures.forget(instance)
         if not self._departures.accept(instance, revision, now_ms):
             return replace(instance, leaving=True)
@@ -280,27 +291,29 @@
             self._departures.note(instance, revision)
         return instance
 
-    def _note_first_revision(self, instance_id: str, revision: Revision) -> None:
-        """Note when an instance came to its address.
+    def _record_first_revision(self, instance_id: str, revision: Revision) -> None:
+        """Record the revision at which an instance first appeared at its address.
 
-        What is listed in a new era was written before the copy was taken, at the number
-        that it had, or anew.
+        An entry in a new era was either written before the copy was taken, and keeps
+        the number that it had then, or was written again later. The lower number
+        counts.
         """
         first = self._first_revisions.setdefault(instance_id, revision)
         if first.era < revision.era:
             number = min(first.number, revision.number)
             self._first_revisions[instance_id] = Revision(revision.era, number)
 
-    def _was_away_long(self, now_ms: float) -> bool:
-        since_ms = self._away_since_ms
+    def _is_outage_long(self, now_ms: float) -> bool:
+        since_ms = self._outage_since_ms
         return since_ms is not None and now_ms - since_ms >= EXPIRY_MS
 
     def _may_return(self, instance_id: str, now_ms: float) -> bool:
         """Return whether a removal may only be an expiry during an outage.
 
-        Failure: entries that expired while the platform was away are removed at its
-        return, and every request is refused until their servers have written again.
-        Held entries of servers that live come back under the same id.
+        Failure: registrations that expired during a platform outage are removed at its
+        end, and every request is refused until their servers have registered again.
+        Registrations of running servers come back under the same ID, so the instances
+        are held for that long.
         """
         known = self.instances.get(instance_id)
         if known is None or known.leaving:
@@ -308,12 +321,12 @@
         return now_ms < self._returns_until_ms(now_ms)
 
     def _returns_until_ms(self, now_ms: float) -> float:
-        """Return until when entries that expired in an outage come back.
+        """Return the time until which registrations that expired in an outage return.
 
-        The time counts from the platform's return, not from each removal: one that
-        comes late in it may be of a server that leaves without saying so.
+        The time counts from the end of the outage, not from each removal: a late
+        removal may be that of a server that leaves without notice.
         """
-        if self._was_away_long(now_ms):
+        if self._is_outage_long(now_ms):
             return now_ms + RETURN_MS
         return self._hold_until_ms
 
@@ -324,12 +337,12 @@
         self._known_at_ms.pop(instance_id, None)
         first_revision = self._first_revisions.pop(instance_id, UNKNOWN)
         if instance is not None and not instance.leaving:
-            self._lapsed[instance_id] = _Lapsed(
+            self._expired[instance_id] = _ExpiredRegistration(
                 instance=instance, first_revision=first_revision, since_ms=now_ms
             )
-        self._removed[instance_id] = None
-        if len(self._removed) > MAX_REMOVED:
-            del self._removed[next(iter(self._removed))]
+        self._removed_ids[instance_id] = None
+        if len(self._removed_ids) > MAX_REMOVED:
+            del self._removed_ids[next(iter(self._removed_ids))]
 
     def _apply_table(self, value: bytes) -> None:
         table = self._parse_table(value)
@@ -339,28 +352,31 @@
             self.table = table
 
     def _parse_table(self, value: bytes) -> RouteTable | None:
-        """Read routes once, though both their version and they themselves are asked."""
-        if self._read_table is None or self._read_table[0] is not value:
+        """Parse a route table, with the latest result cached.
+
+        The replica needs its version and then the fleet the table itself.
+        """
+        if self._parsed_table is None or self._parsed_table[0] is not value:
             try:
-                self._read_table = value, self._decoder.parse_route_table(value)
+                self._parsed_table = value, self._decoder.parse_route_table(value)
             except InvalidFieldsError as error:
                 self._report(error)
                 return None
-        return self._read_table[1]
+        return self._parsed_table[1]
 
-    def _index(self) -> None:
-        """Sort the instances by service, without those that another one replaced.
+    def _rebuild_indexes(self) -> None:
+        """Index the instances by service and zone, without superseded ones.
 
-        Failure: after a loss of power the entries of the old lifetimes live on for
-        seconds beside the new ones, and half of the requests go to instances that are
-        gone. An address has one server at a time, the one that was written last.
+        Failure: after a power loss the registrations of the old lifetimes stay for
+        seconds beside the new ones, and half of the requests go to instances that no
+        longer exist. An address has one server at a time, the one registered last.
         """
         at_address: dict[tuple[str, int], tuple[int, Instance]] = {}
         for first_revision, instance in self._usable():
             address = (instance.ip, instance.port)
             known = at_address.get(address)
-            # An entry that a restored store has lost is held for a while, and came
-            # after those that it lists: the numbers tell, whatever the era.
+            # A registration that a restored store has lost is held for a while. It came
+            # after those that the store lists, so numbers are compared without the era.
             if known is None or first_revision.number > known[0]:
                 at_address[address] = (first_revision.number, instance)
         self._by_zone = _hosts_by_zone(instance for _, instance in at_address.values())
@@ -372,16 +388,16 @@
     def _usable(self) -> Iterator[tuple[Revision, Instance]]:
         """Yield instances of configured services, each with its first revision.
 
-        Failure: an entry of another writer names a service that doesn't exist, and the
-        address of a server that does; that server gets no more work.
+        Failure: an entry of another writer names a service that doesn't exist and the
+        address of a server that does. That server would get no more work.
         """
         services = self.table.server_services if self.table else frozenset()
         for instance_id, instance in self.instances.items():
             if not services or instance.service in services:
                 yield self._first_revisions[instance_id], instance
-        for lapsed in self._lapsed.values():
-            if lapsed.in_use:
-                yield lapsed.first_revision, lapsed.instance
+        for expired in self._expired.values():
+            if expired.in_use:
+                yield expired.first_revision, expired.instance
 
 
 def _hosts_by_zone(instances: Iterable[Instance]) -> dict[str, list[str]]:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -1,4 +1,4 @@
-"""Gathers for the zone when on duty, and takes part in the rounds of those that do."""
+"""Exchange of host reports, zone summaries and fleet digests between sidecars."""
 
 import asyncio
 import itertools
@@ -37,34 +37,36 @@
 )
 
 MIN_PAUSE_S = 0.05
-"""Shortest pause between two rounds, when there is news: of the platform, which comes
-in bursts, or of hosts and zones that weren't heard before.
+"""Shortest pause between two rounds, used when there are changes: of the platform's
+data, which come in bursts, or of hosts and zones that were unknown before.
 
-Failure: all hosts lose power and are back at once, with their callers. A round makes
-the hosts of a zone known to the gatherer, a second one makes them known to each other,
-and a third one those of the other zones; at the usual pause callers of a zone wait for
-most of a second for servers that are up."""
+Failure: all hosts lose power and come back at once, with their callers. One round makes
+the hosts of a zone known to the aggregator, a second one makes them known to each
+other, and a third one adds those of the other zones. With the usual pause, callers of a
+zone wait for most of a second for servers that are up."""
 
 ExchangeMessage = FleetDigest | HostReport | SummaryReply | SummaryRequest
 
 
 class FleetExchange:
-    """One sidecar's part in what sidecars tell each other.
+    """One sidecar's part in the exchange of fleet data.
 
-    A gatherer sends each host of its zone a digest, and gets its report in answer. It
-    asks a gatherer of each other zone for that zone's sum. So the messages of a host
-    stay the same in a fleet of any size, and those of a gatherer grow with its zone.
+    An aggregator sends a digest to each host of its zone and receives its host report
+    in reply. It requests the zone summary of each other zone from an aggregator there.
+    So the number of messages of a host doesn't depend on the size of the fleet, and
+    that of an aggregator grows with its zone.
 
     Args:
         own_ip: address of this host.
-        availability_zone: where it is.
-        fleet: tells the hosts of each zone.
-        links: lead to the other sidecars.
-        view: takes what is told here.
-        reports: tells of this sidecar.
-        data: the platform's data, which is handed on by the way.
-        suspects: requests that ended servers, which are handed on as well.
-        is_near_limit: returns whether hosts must be told of an organisation's use.
+        availability_zone: availability zone of this host.
+        fleet: provides the hosts of each zone.
+        links: links to the other sidecars.
+        view: updated with the digests.
+        reports: builds the report of this host.
+        data: the platform's data, which peers also receive from each other.
+        suspects: suspect requests, which are forwarded to peers as well.
+        is_near_limit: returns whether the usage of an organisation must be published
+            to the hosts.
         now_ms: monotonic clock.
     """
 
@@ -91,82 +93,82 @@
         self._data = data
         self._suspects = suspects
         self._now_ms = now_ms
-        self._duty = ZoneDuty(own_ip=own_ip, holders=GATHERERS, step_ms=GATHER_STEP_MS)
-        self._gatherer = ZoneGatherer(
+        self._role = ZoneDuty(own_ip=own_ip, holders=GATHERERS, step_ms=GATHER_STEP_MS)
+        self._aggregator = ZoneGatherer(
             availability_zone=availability_zone, is_near_limit=is_near_limit
         )
         self._contacts = ZoneContacts()
         self._summary: ZoneSummary | None = None
-        self._gathers = False
-        self._news = asyncio.Event()
+        self._is_aggregating = False
+        self._changed = asyncio.Event()
 
     @property
     def gathers(self) -> bool:
-        """Whether this sidecar gathers for its zone."""
-        return self._gathers
+        """Whether this sidecar is an active aggregator of its zone."""
+        return self._is_aggregating
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Take part in the exchange until cancelled."""
         while True:
-            round_ms = self._step()
+            round_ms = self._run_round()
             await asyncio.sleep(MIN_PAUSE_S)
             try:
                 async with asyncio.timeout(round_ms / 1000 - MIN_PAUSE_S):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
                 pass
-            self._news.clear()
+            self._changed.clear()
 
     def has_news(self) -> None:
-        """Tell of a change of the platform's data, or of this sidecar, at once."""
-        if self._gathers:
-            self._news.set()
+        """Publish a change of the platform's data, or of this sidecar, at once."""
+        if self._is_aggregating:
+            self._changed.set()
             return
-        gatherers = self._view.gatherers(self._now_ms())
+        aggregators = self._view.gatherers(self._now_ms())
         for link in self._links.accepted:
-            if link.peer_ip in gatherers:
+            if link.peer_ip in aggregators:
                 self._suspects.tell(link)
                 link.send(self._report_for(link.peer_ip))
 
     def has_suspects(self) -> None:
-        """Hand on, when on duty, what a peer told of requests that ended servers."""
-        if self._gathers:
-            self._news.set()
+        """Forward suspects received from a peer, if this sidecar is an aggregator."""
+        if self._is_aggregating:
+            self._changed.set()
 
     def greet(self) -> None:
-        """Let those that gather, if all is well, hear that this host is up."""
-        self._news.set()
+        """Announce this host to the sidecars that are aggregators by default."""
+        self._changed.set()
         for ip in self._fleet.hosts_of(self._zone)[:GATHERERS]:
             self._links.greet(ip)
 
     def dialled_message(self, ip: str, message: Message) -> None:
-        """Take an answer from a sidecar that this one asked."""
+        """Handle a reply of a sidecar that this one polled."""
         now_ms = self._now_ms()
         link = self._links.peers[ip].link
         link.replied()
         self._data.ask_if_behind(parse_position(message), link)
         if isinstance(message, HostReport):
-            if self._gatherer.heard(ip, message, now_ms):
-                self._news.set()
+            if self._aggregator.heard(ip, message, now_ms):
+                self._changed.set()
             return
         zone = self._contacts.zone_of(ip)
         if zone is not None:
             self._contacts.answered(zone, ip, message.gatherers, now_ms)
-        if message.summary is not None and self._gatherer.heard_zone(
+        if message.summary is not None and self._aggregator.heard_zone(
             message.summary, now_ms
         ):
-            self._news.set()
+            self._changed.set()
 
     def accepted_message(self, link: PeerLink, message: Message) -> None:
-        """Answer a gatherer of this zone or of another one."""
+        """Reply to an aggregator of this zone or of another one."""
         self._suspects.tell(link)
         if isinstance(message, FleetDigest):
-            self._told(link, message)
+            self._handle_digest(link, message)
         else:
             link.send(self._summary_reply())
         self._data.ask_if_behind(parse_position(message), link)
 
-    def _told(self, link: PeerLink, digest: FleetDigest) -> None:
+    def _handle_digest(self, link: PeerLink, digest: FleetDigest) -> None:
         now_ms = self._now_ms()
         self._view.heard_gatherer(link.peer_ip, now_ms)
         if digest.whole and self._view.source(now_ms) == link.peer_ip:
@@ -180,66 +182,68 @@
         return SummaryReply(
             **position_fields(self._data.position),
             gatherers=self._view.gatherers(self._now_ms()),
-            summary=self._summary if self._gathers else None,
+            summary=self._summary if self._is_aggregating else None,
         )
 
-    def _step(self) -> float:
-        """Do a round if on duty; return the pause until the next one."""
+    def _run_round(self) -> float:
+        """Run a round if this is an aggregator; return the time until the next one."""
         now_ms = self._now_ms()
         members = self._members()
         round_ms = pause_ms(len(members))
-        gatherers = self._view.gatherers(now_ms)
+        aggregators = self._view.gatherers(now_ms)
         listed = self._fleet.hosts_of(self._zone)
-        peers = {ip: ip in gatherers for ip in {*listed, *gatherers} - {self._own_ip}}
-        self._duty.decide(peers, now_ms)
-        self._note_duty(self._duty.is_own and bool(listed))
-        if self._gathers:
-            self._gather(members, now_ms, round_ms)
+        peers = {
+            ip: ip in aggregators for ip in {*listed, *aggregators} - {self._own_ip}
+        }
+        self._role.decide(peers, now_ms)
+        self._set_aggregating(self._role.is_own and bool(listed))
+        if self._is_aggregating:
+            self._poll_members(members, now_ms, round_ms)
         return round_ms
 
-    def _note_duty(self, gathers: bool) -> None:
-        if gathers == self._gathers:
+    def _set_aggregating(self, is_aggregating: bool) -> None:
+        if is_aggregating == self._is_aggregating:
             return
-        self._gathers = gathers
-        log_event("gathering", level="warning", gathers=gathers, zone=self._zone)
-        if not gathers:
+        self._is_aggregating = is_aggregating
+        log_event("gathering", level="warning", gathers=is_aggregating, zone=self._zone)
+        if not is_aggregating:
             self._links.keep(())
             self._view.forget_gatherer(self._own_ip)
 
     def _members(self) -> set[str]:
-        """Return the other hosts of this zone: listed, or known by their own word."""
-        greeted = {
+        """Return the other hosts of this zone: listed, linked here, or reporting."""
+        linked = {
             link.peer_ip
             for link in self._links.accepted
             if link.availability_zone == self._zone
         }
-        members = greeted.union(
-            self._fleet.hosts_of(self._zone), self._gatherer.answering()
+        members = linked.union(
+            self._fleet.hosts_of(self._zone), self._aggregator.answering()
         )
         return members - {self._own_ip}
 
-    def _gather(self, members: set[str], now_ms: float, round_ms: float) -> None:
+    def _poll_members(self, members: set[str], now_ms: float, round_ms: float) -> None:
         zones = self._fleet.zones()
         others = {zone: ips for zone, ips in zones.items() if zone != self._zone}
         contacts = self._contacts.choose(others, now_ms, round_ms)
         self._links.keep(itertools.chain(members, contacts))
-        self._gatherer.forget(now_ms, round_ms)
-        self._gatherer.heard(self._own_ip, self._reports.report(relies=True), now_ms)
-        self._summary = self._gatherer.summary()
+        self._aggregator.forget(now_ms, round_ms)
+        self._aggregator.heard(self._own_ip, self._reports.report(relies=True), now_ms)
+        self._summary = self._aggregator.summary()
         position = self._data.position
-        digest = self._gatherer.digest(self._summary, position, now_ms)
+        digest = self._aggregator.digest(self._summary, position, now_ms)
         self._view.heard_gatherer(self._own_ip, now_ms)
         self._view.take(digest, now_ms)
-        self._tell_suspects(itertools.chain(members, contacts))
-        whole = serialize_message(digest)
-        bare = serialize_message(bare_digest(position))
+        self._send_suspects(itertools.chain(members, contacts))
+        full = serialize_message(digest)
+        empty = serialize_message(bare_digest(position))
         for ip in members:
-            self._links.poll(ip, whole if self._gatherer.relies(ip) else bare)
+            self._links.poll(ip, full if self._aggregator.relies(ip) else empty)
         request = serialize_message(SummaryRequest(**position_fields(position)))
         for ip in contacts:
             self._links.poll(ip, request)
 
-    def _tell_suspects(self, ips: Iterable[str]) -> None:
+    def _send_suspects(self, ips: Iterable[str]) -> None:
         peers = (self._links.peers.get(ip) for ip in ips)
         for peer in peers:
             if peer is not None and peer.link is not None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this sidecar was last told of the fleet: loads, demand and repeats."""
+"""A sidecar's view of the fleet: server loads, demand, retry counts and usage."""
 
 import math
 from collections.abc import Iterator
@@ -20,24 +20,24 @@
 from sassafraswinch_sidecar.zone_gatherer import FOLLOWING, ISOLATED, LEAVING
 
 VIEW_LIFE_MS = 2_000.0
-"""Age at which what was told of a host, or of demand, says nothing any more. Gatherers
-tell several times a second; one that is lost is replaced within a second."""
+"""Age at which a reported load, or the reported demand, is no longer used. Aggregators
+send digests several times a second; a lost aggregator is replaced within a second."""
 
 MISSING_LIFE_MS = 500.0
-"""The same for a host that the gatherer no longer names: it lost power, or is cut off,
-and gatherers have already waited for it. A gatherer that has just stepped in names few
-hosts in its first rounds, which are over by then."""
+"""Age limit for the load of a host that the digest no longer lists. The host lost power
+or is cut off, and the aggregators have already waited for it. An aggregator that has
+just become active lists few hosts in its first rounds, which are over by then."""
 
 GATHERER_LIFE_MS = 900.0
-"""Time without a word after which a gatherer counts as lost: three of its rounds, and
-more than a busy host stands still."""
+"""Time without a digest after which an aggregator counts as lost: three of its rounds,
+and longer than a busy host pauses."""
 
 
 class FleetView:
-    """Loads of all hosts, and the sums over all entries.
+    """Loads of all hosts, and the totals over all ingress sidecars.
 
-    The whole view is taken from one gatherer at a time: two that hear different hosts
-    would make it jump to and fro.
+    The whole view comes from one aggregator at a time: two that reach different hosts
+    would make it alternate between two states.
 
     Args:
         own_ip: address of this host.
@@ -46,81 +46,81 @@
     def __init__(self, *, own_ip: str):
         self._own_ip = own_ip
         self._loads: dict[str, PeerLoad] = {}
-        self._named: set[str] = set()
-        self._gatherers: dict[str, float] = {}
+        self._listed: set[str] = set()
+        self._aggregators: dict[str, float] = {}
         self._demand: list[Claim] = []
         self._totals: Totals = ({}, 0)
-        self._uses = FleetUse()
-        self._told_ms = -math.inf
+        self._usage = FleetUse()
+        self._received_ms = -math.inf
 
     def heard_gatherer(self, ip: str, now_ms: float) -> None:
-        """Note a word of a gatherer of this zone."""
-        self._gatherers[ip] = now_ms
+        """Record a digest from an aggregator of this zone."""
+        self._aggregators[ip] = now_ms
 
     def forget_gatherer(self, ip: str) -> None:
-        """Take nothing from a gatherer any more."""
-        self._gatherers.pop(ip, None)
+        """Remove an aggregator, so that the view is no longer taken from it."""
+        self._aggregators.pop(ip, None)
 
     def gatherers(self, now_ms: float) -> list[str]:
-        """Return the gatherers of this zone that are heard, in order of address."""
-        heard = self._gatherers.items()
-        return sorted(ip for ip, at in heard if now_ms - at < GATHERER_LIFE_MS)
+        """Return the sorted addresses of the active aggregators of this zone."""
+        received = self._aggregators.items()
+        return sorted(ip for ip, at in received if now_ms - at < GATHERER_LIFE_MS)
 
     def source(self, now_ms: float) -> str | None:
-        """Return the gatherer that the view is taken from."""
-        heard = self.gatherers(now_ms)
-        if self._own_ip in heard:
+        """Return the address of the aggregator that the view is taken from."""
+        active = self.gatherers(now_ms)
+        if self._own_ip in active:
             return self._own_ip
-        return heard[0] if heard else None
+        return active[0] if active else None
 
     def take(self, digest: FleetDigest, now_ms: float) -> None:
-        """Take in the whole digest of the source."""
+        """Apply a full digest of the source."""
         for zone in digest.zones:
-            self._take_loads(zone, now_ms - zone.age_ms)
-        named = {ip for zone in digest.zones for ip in zone.hosts.ips}
-        for ip in self._named - named:
+            self._apply_loads(zone, now_ms - zone.age_ms)
+        listed = {ip for zone in digest.zones for ip in zone.hosts.ips}
+        for ip in self._listed - listed:
             load = self._loads[ip]
             missing_ms = now_ms - VIEW_LIFE_MS + MISSING_LIFE_MS
             load.told_ms = min(load.told_ms, missing_ms)
-        self._named = named
+        self._listed = listed
         self._demand = parse_demand(digest.demand)
         hosts = sum(len(zone.hosts.ips) for zone in digest.zones)
         self._totals = parse_counts(digest.counts), hosts
-        self._uses = parse_uses(digest.uses)
-        self._told_ms = now_ms
+        self._usage = parse_uses(digest.uses)
+        self._received_ms = now_ms
 
     def demand(self, now_ms: float) -> list[Claim]:
-        """Return what all entries' arrivals need, this one's included, as last told.
+        """Return the demand at all ingress sidecars, this one included.
 
-        Empty where nobody has told it lately.
+        Empty if no recent digest has reported it.
         """
-        return self._demand if now_ms - self._told_ms < VIEW_LIFE_MS else []
+        return self._demand if now_ms - self._received_ms < VIEW_LIFE_MS else []
 
     def totals(self, now_ms: float) -> Totals:
-        """Return how much all sidecars sent, this one included, as last told."""
-        return self._totals if now_ms - self._told_ms < VIEW_LIFE_MS else ({}, 0)
+        """Return the requests and retries of all sidecars, this one included."""
+        return self._totals if now_ms - self._received_ms < VIEW_LIFE_MS else ({}, 0)
 
     def uses(self, now_ms: float) -> FleetUse:
-        """Return what was asked and let in of organisations, as last told."""
-        return self._uses if now_ms - self._told_ms < VIEW_LIFE_MS else FleetUse()
+        """Return the usage of organisations, as last reported."""
+        return self._usage if now_ms - self._received_ms < VIEW_LIFE_MS else FleetUse()
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since a whole digest was taken."""
-        return now_ms - self._told_ms
+        """Return the time since the last full digest was applied."""
+        return now_ms - self._received_ms
 
     def load(self, ip: str) -> PeerLoad | None:
-        """Return what was ever told of the server at an address."""
+        """Return the last reported load of the server at an address, however old."""
         return self._loads.get(ip)
 
     def recent_load(self, ip: str, now_ms: float) -> PeerLoad | None:
-        """Return what was lately told of the server at an address."""
+        """Return the load of the server at an address if the report is recent."""
         load = self._loads.get(ip)
         if load is None or now_ms - load.told_ms >= VIEW_LIFE_MS:
             return None
         return load
 
     def told(self, ip: str, load: ServerLoad, now_ms: float) -> PeerLoad:
-        """Take in what a host says of itself, which is newer than any digest."""
+        """Record a load received from the host itself, which is newer than a digest."""
         known = self._loads.get(ip)
         if known is None:
             known = self._loads[ip] = PeerLoad()
@@ -128,13 +128,17 @@
         return known
 
     def stood_still(self, stood_ms: float) -> None:
-        """Add time that passed unknown to the clock to all ages."""
-        self._told_ms -= stood_ms
+        """Add the length of a process pause, which the clock didn't count, to all ages.
+
+        Args:
+            stood_ms: length of the pause.
+        """
+        self._received_ms -= stood_ms
         for load in self._loads.values():
             load.told_ms -= stood_ms
-        self._gatherers = {ip: at - stood_ms for ip, at in self._gatherers.items()}
+        self._aggregators = {ip: at - stood_ms for ip, at in self._aggregators.items()}
 
-    def _take_loads(self, zone: ZoneLoads, at_ms: float) -> None:
+    def _apply_loads(self, zone: ZoneLoads, at_ms: float) -> None:
         for ip, in_flight, queued, limit, flags in _host_states(zone):
             load = self._loads.get(ip)
             if load is None:
@@ -152,7 +156,7 @@
 
 
 def _host_states(zone: ZoneLoads) -> Iterator[tuple[str, int, int, int, int]]:
-    """Yield address, requests that run, that wait, slots and flags of each host."""
+    """Yield address, requests in flight, queue length, slots and flags of each host."""
     hosts = zone.hosts
     return zip(
         hosts.ips, hosts.in_flight, hosts.queued, hosts.limits, hosts.flags, strict=True
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -1,4 +1,4 @@
-"""What one sidecar tells of itself, and the coding of demand and counts."""
+"""Host reports of a sidecar, and the wire format of demand, counts and usage."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypedDict
@@ -19,27 +19,28 @@
 from sassafraswinch_sidecar.repeat_budget import Counted, RepeatBudget
 
 SUMS_LIFE_MS = 40.0
-"""Time in which the same sums are told to each gatherer: a part of their pause."""
+"""Time for which the same totals are sent to all aggregators: a part of the pause
+between their rounds."""
 
 
-class _Sums(TypedDict):
+class _Totals(TypedDict):
     demand: list[RouteDemand]
     counts: list[SentCount]
     uses: OrganisationUses
 
 
 class HostReports:
-    """Demand and repeats of this entry, load of its backend server, and its state.
+    """Builder of the reports on this host: demand, retries, server load and state.
 
     Args:
-        data: what is known of the platform.
+        data: copy of the platform's data.
         executor: runs requests at the backend server.
-        admission: knows what this entry's arrivals need.
-        budget: knows how much this sidecar repeats.
-        rates: knows what organisations sent here.
-        is_stopping: whether this sidecar takes no new work.
-        is_isolated: whether this host can't reach the platform, which therefore
-            doesn't list the server.
+        admission: ingress admission, which knows the demand of arriving requests.
+        budget: retry budget, which counts the requests and retries of this sidecar.
+        rates: usage of the organisations at this sidecar.
+        is_stopping: returns whether this sidecar takes no new work.
+        is_isolated: returns whether the server's registration is missing because this
+            host can't reach the platform.
         now_ms: monotonic clock.
     """
 
@@ -63,10 +64,10 @@
         self._is_stopping = is_stopping
         self._is_isolated = is_isolated
         self._now_ms = now_ms
-        self._sums: tuple[float, _Sums] | None = None
+        self._totals: tuple[float, _Totals] | None = None
 
     def report(self, *, relies: bool) -> HostReport:
-        """Return the report of the moment.
+        """Return the current report.
 
         Args:
             relies: whether this sidecar takes its view of the fleet from the receiver.
@@ -78,26 +79,26 @@
             following=self._data.following,
             isolated=self._is_isolated(),
             relies=relies,
-            **self._current_sums(),
+            **self._current_totals(),
         )
 
-    def _current_sums(self) -> _Sums:
-        """Return what is added up over hosts, made once for all gatherers."""
+    def _current_totals(self) -> _Totals:
+        """Return the data to be totalled over hosts, built once for all aggregators."""
         now_ms = self._now_ms()
-        if self._sums is None or now_ms - self._sums[0] >= SUMS_LIFE_MS:
-            sums = _Sums(
+        if self._totals is None or now_ms - self._totals[0] >= SUMS_LIFE_MS:
+            totals = _Totals(
                 demand=serialize_demand(self._admission.demand()),
                 counts=serialize_counts(self._budget.counted(now_ms)),
                 uses=serialize_uses(self._rates.report(now_ms)),
             )
-            self._sums = now_ms, sums
-        return self._sums[1]
+            self._totals = now_ms, totals
+        return self._totals[1]
 
     def reply(self, sequence: int) -> HeartbeatReply:
-        """Return the reply to a heartbeat; 0 where it answers none, as an announcement.
+        """Return the reply to a heartbeat, or an unsolicited announcement.
 
         Args:
-            sequence: number of the heartbeat.
+            sequence: number of the heartbeat; 0 for an announcement.
         """
         return HeartbeatReply(
             sequence=sequence,
@@ -109,7 +110,7 @@
 
 
 def serialize_demand(demand: Iterable[Claim]) -> list[RouteDemand]:
-    """Write what requests need, by route; routes without known needs tell nothing."""
+    """Serialize the demand by route; routes whose cost is unknown are left out."""
     return [
         RouteDemand(
             claim.kind,
@@ -122,8 +123,8 @@
     ]
 
 
-def parse_demand(told: Iterable[RouteDemand]) -> list[Claim]:
-    """Read what requests need, by route."""
+def parse_demand(received: Iterable[RouteDemand]) -> list[Claim]:
+    """Parse the demand by route."""
     return [
         Claim(
             kind=each.route_name,
@@ -131,40 +132,38 @@
             rate_per_s=each.rate_per_s,
             needs={service: us / 1e6 for service, us in each.slot_us.items()},
         )
-        for each in told
+        for each in received
     ]
 
 
 def serialize_counts(counts: Mapping[str, Counted]) -> list[SentCount]:
-    """Write requests and repeats by service."""
+    """Serialize the counts of requests and retries by service."""
     return [
         SentCount(service, count.requests, count.repeats)
         for service, count in counts.items()
     ]
 
 
-def parse_counts(told: Iterable[SentCount]) -> dict[str, Counted]:
-    """Read requests and repeats by service."""
-    return {each.service_name: Counted(each.sent, each.repeated) for each in told}
+def parse_counts(received: Iterable[SentCount]) -> dict[str, Counted]:
+    """Parse the counts of requests and retries by service."""
+    return {each.service_name: Counted(each.sent, each.repeated) for each in received}
 
 
-def serialize_uses(told: FleetUse) -> OrganisationUses:
-    """Write what was asked and let in of organisations."""
+def serialize_uses(usage: FleetUse) -> OrganisationUses:
+    """Serialize the requested and admitted usage of organisations."""
     return OrganisationUses(
-        names=list(told.uses),
-        asked_per_ks=[round(use.asked_per_s * 1000) for use in told.uses.values()],
-        spent=[use.spent for use in told.uses.values()],
-        hosts=told.hosts,
-        unknown_ms=round(told.unknown_ms),
+        names=list(usage.uses),
+        asked_per_ks=[round(each.asked_per_s * 1000) for each in usage.uses.values()],
+        spent=[each.spent for each in usage.uses.values()],
+        hosts=usage.hosts,
+        unknown_ms=round(usage.unknown_ms),
     )
 
 
-def parse_uses(told: OrganisationUses | None) -> FleetUse:
-    """Read what was asked and let in of organisations; peers may not tell it."""
-    if told is None:
+def parse_uses(received: OrganisationUses | None) -> FleetUse:
+    """Parse the usage of organisations; empty if the peer didn't send it."""
+    if received is None:
         return FleetUse()
-    columns = zip(told.names, told.asked_per_ks, told.spent, strict=True)
-    uses = {
-        name: Use(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in columns
-    }
-    return FleetUse(uses, told.hosts, told.unknown_ms)
+    rows = zip(received.names, received.asked_per_ks, received.spent, strict=True)
+    uses = {name: Use(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in rows}
+    return FleetUse(uses, received.hosts, received.unknown_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
@@ -1,4 +1,4 @@
-"""Finds out why the platform no longer lists the backend server beside this sidecar."""
+"""Detection of hosts that are isolated from the platform."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,38 +11,41 @@
 )
 
 ASK_TIMEOUT_S = 0.7
-"""Time for the platform's answer: it takes milliseconds, and sixty times that when the
-platform is slow."""
+"""Time limit of a lookup. The platform replies within milliseconds, and takes sixty
+times as long when it is slow."""
 
 ASK_PAUSE_S = 0.4
-"""Pause between questions while the platform doesn't answer: its return must be known
-well before the time is over in which the entry may come back."""
+"""Pause between lookups while the platform doesn't reply. Its return must be noticed
+well before the end of the time in which registrations may come back."""
 
 ANSWERED_PAUSE_S = 3.0
-"""The same after an answer: the entry is gone, most likely for good, and each question
-is paid for. A server that left for good costs a call each three seconds, not seven."""
+"""Pause after a reply: the registration is gone, most likely for good, and each call to
+the platform is billed. A server that left for good costs one call every three seconds
+instead of seven."""
 
 LOOK_S = 0.1
-"""Pause between looks for a missing entry: the grain of the other periodic looks."""
+"""Pause between checks for a missing registration: the interval of the other periodic
+checks."""
 
 
 class OwnEntry:
-    """Tells whether the server's entry is missing only since this host is cut off.
+    """Checks whether the server's registration expired because this host is isolated.
 
-    Load pattern: some hosts can't reach the platform for a while, nor can the servers
-    beside them. Their entries expire, the others hear of that and tell the sidecars
-    that are cut off, and all servers of a service may be out of use while they live
-    and can be reached. A host that gets no answer of the platform knows that the entry
-    says nothing. One that gets an answer, also a refusal, takes the entry for gone: its
-    server may be leaving.
+    Load pattern: some hosts can't reach the platform for a while, and neither can the
+    servers beside them. Their registrations expire, the other hosts receive the
+    removals and send them to the isolated sidecars, and all servers of a service may be
+    out of use although they are running and can be reached. If the platform doesn't
+    reply to this host, the missing registration proves nothing. Any reply, a refusal
+    included, means that the registration is gone: the server may be leaving.
 
     Args:
-        missing: returns the instance of this host whose entry is missing, if any.
-        store: is asked for the entry.
+        missing: returns the instance of this host whose registration is missing, if
+            any.
+        store: store in which the registration is looked up.
         changed: called when ``is_isolated`` changes.
 
     Attributes:
-        is_isolated: whether the entry is missing and the platform doesn't answer.
+        is_isolated: whether the registration is missing and the platform doesn't reply.
     """
 
     def __init__(
@@ -53,30 +56,30 @@
         changed: Callable[[], None],
     ):
         self.is_isolated = False
-        self._missing = missing
+        self._find_missing = missing
         self._store = store
         self._changed = changed
 
     async def run(self) -> None:
-        """Ask whenever the entry is missing, until cancelled."""
+        """Look up the registration whenever it is missing, until cancelled."""
         while True:
-            instance = self._missing()
+            instance = self._find_missing()
             if instance is None:
-                self._note(False, "")
+                self._set_isolated(False, "")
                 await asyncio.sleep(LOOK_S)
                 continue
-            answers = await self._answers(instance)
-            self._note(not answers, instance.id)
-            await self._pause(ANSWERED_PAUSE_S if answers else ASK_PAUSE_S)
+            replies = await self._platform_replies(instance)
+            self._set_isolated(not replies, instance.id)
+            await self._pause(ANSWERED_PAUSE_S if replies else ASK_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
-        """Wait, but no longer than the entry is missing."""
+        """Wait, but no longer than the registration is missing."""
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + seconds
-        while loop.time() < ends_s and self._missing() is not None:
+        end_s = loop.time() + seconds
+        while loop.time() < end_s and self._find_missing() is not None:
             await asyncio.sleep(LOOK_S)
 
-    async def _answers(self, instance: Instance) -> bool:
+    async def _platform_replies(self, instance: Instance) -> bool:
         try:
             async with asyncio.timeout(ASK_TIMEOUT_S):
                 await self._store.lists(instance.id)
@@ -86,7 +89,7 @@
             return error.answered
         return True
 
-    def _note(self, is_isolated: bool, instance_id: str) -> None:
+    def _set_isolated(self, is_isolated: bool, instance_id: str) -> None:
         if is_isolated == self.is_isolated:
             return
         self.is_isolated = is_isolated
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -1,4 +1,4 @@
-"""What this sidecar knows of the platform's data, and how peers share it."""
+"""A sidecar's copy of the platform's data, and its synchronisation with peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,25 +19,26 @@
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
 ASK_AGAIN_MS = 300.0
-"""Pause before changes are asked of another peer: the first may not answer."""
+"""Pause before changes are requested from another peer: the first may not reply."""
 
 
 class PlatformData:
-    """Merges what the platform and peers tell, and keeps the fleet up to date.
+    """Merges changes from the platform and from peers, and updates the fleet.
 
-    A sidecar that the platform turns away, or that starts while it is down, hears of
-    every change from a peer: digests and reports tell positions, and whoever is behind
-    asks.
+    A sidecar that the platform refuses, or that starts during an outage, receives every
+    change from a peer: digests and host reports hold the position of the sender, and a
+    sidecar that is behind requests the changes.
 
     Args:
-        fleet: follows the changes.
+        fleet: updated with the changes.
         changed: called after each change.
-        announce: tells peers what this sidecar knows, and whether it follows the
-            platform. Those that rely on it hear at once of a change, or of its loss.
+        announce: sends this sidecar's position to peers, and whether it follows the
+            platform, so that those that rely on it notice a change or its loss at once.
 
     Attributes:
         following: whether this sidecar follows the platform itself.
-        restores: how often the platform's store came back from an older copy.
+        restores: number of times that the platform's store was restored from an older
+            copy.
     """
 
     def __init__(
@@ -54,24 +55,24 @@
         self._announce = announce
         self._replica = Replica(routes=fleet)
         self._loop = asyncio.get_running_loop()
-        self._asked_ms = 0.0
+        self._requested_ms = 0.0
 
     @property
     def revision(self) -> Revision:
-        """Revision of the platform's data up to which all is known."""
+        """Revision up to which all changes of the platform's data are known."""
         return self._replica.revision
 
     @property
     def position(self) -> Position:
-        """How much of the platform's data is known."""
+        """Position of this sidecar's replica."""
         return self._replica.position
 
     def take(self, delta: Delta, source: str) -> None:
-        """Take in changes (ReplicaKeeper)."""
-        former = self.revision
+        """Apply changes (ReplicaKeeper)."""
+        previous = self.revision
         changed = self._replica.merge(delta)
-        if former > UNKNOWN and former.era < self.revision.era:
-            self._note_restore(former, source)
+        if previous > UNKNOWN and previous.era < self.revision.era:
+            self._record_restore(previous, source)
         if not changed:
             return
         version = self._fleet.table.version if self._fleet.table else None
@@ -93,42 +94,42 @@
             self._announce()
 
     def platform_away(self) -> None:
-        """The platform can't be read (ReplicaKeeper)."""
+        """Record that the platform can't be read (ReplicaKeeper)."""
         self._fleet.platform_away(self._now_ms())
 
     def platform_back(self) -> None:
-        """The platform can be read (ReplicaKeeper)."""
+        """Record that the platform can be read (ReplicaKeeper)."""
         self._fleet.platform_back(self._now_ms())
 
     def platform_followed(self, following: bool) -> None:
-        """Following has begun or ended here (ReplicaKeeper)."""
+        """Record that following began or ended here (ReplicaKeeper)."""
         self.following = following
         era, number = self.revision
         log_event("platform_followed", following=following, era=era, revision=number)
         self._announce()
 
     def tick(self, now_ms: float) -> None:
-        """Drop what didn't come back after an outage."""
+        """Remove instances whose registrations didn't come back after an outage."""
         self._fleet.tick(self._replica, now_ms)
 
     def exchange(self, link: PeerLink, message: Message) -> None:
-        """Answer a peer's question for changes, or take in its answer."""
+        """Reply to a peer's request for changes, or apply its reply."""
         if isinstance(message, ReplicaRequest):
             link.send(serialize_delta(self._replica.since(parse_question(message))))
         elif isinstance(message, ReplicaReply):
-            self._asked_ms = 0.0
+            self._requested_ms = 0.0
             self.take(parse_delta(message), f"peer-{link.peer_ip}")
 
-    def ask_if_behind(self, told: Position, link: PeerLink) -> None:
-        """Ask a peer for what it knows and this sidecar doesn't."""
+    def ask_if_behind(self, reported: Position, link: PeerLink) -> None:
+        """Request the changes that a peer has and this sidecar lacks."""
         now_ms = self._now_ms()
         position = self.position
-        if not position.lacks(told) or now_ms - self._asked_ms < ASK_AGAIN_MS:
+        if not position.lacks(reported) or now_ms - self._requested_ms < ASK_AGAIN_MS:
             return
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         link.send(serialize_question(position))
 
-    def _note_restore(self, former: Revision, source: str) -> None:
+    def _record_restore(self, previous: Revision, source: str) -> None:
         self.restores += 1
         log_event(
             "platform_restored",
@@ -136,8 +137,8 @@
             source=source,
             era=self.revision.era,
             revision=self.revision.number,
-            former_era=former.era,
-            former_revision=former.number,
+            former_era=previous.era,
+            former_revision=previous.number,
         )
         self._fleet.store_restored(self._now_ms())
         self._announce()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -1,4 +1,4 @@
-"""Keeps a replica of the platform's data up to date by reading and watching."""
+"""Reader that follows the platform's data by full reads and watches."""
 
 import asyncio
 import random
@@ -11,50 +11,52 @@
 from sassafraswinch_sidecar.zone_duty import ZoneDuty
 
 PLATFORM_SOURCE = "platform"
-"""Names the platform itself as the source of changes, in logs too."""
+"""Source name of changes that come from the platform itself, also used in logs."""
 
 WATCH_MS = 1_500
-"""Longest wait of one watch. A connection that fell silent, or a store that came back
-from an older copy unnoticed, is found out by its end; each call is paid for."""
+"""Longest wait of one watch. It bounds the time for which a silent connection, or a
+store that was restored from an older copy, goes unnoticed; each call is billed."""
 
 RETURN_WATCH_MS = 20
-"""Wait of the first watch after a failure, or after others have followed: it tells at
-once that the platform can be read. A long one would be answered by the next change,
-perhaps seconds later, and until then the platform would count as away, and peers would
-come on duty as well."""
+"""Wait of the first watch after a failure, or after peers have followed the platform:
+it shows at once that the platform can be read. A long watch would be answered at the
+next change, perhaps seconds later. Until then the platform would count as unreachable,
+and peers would become active as well."""
 
 GATHER_S = (0.25, 0.6)
-"""Pause after a watch that brought changes. They come in bursts, as when a service is
-released, and each call is paid for; with the rounds of gatherers, by which the others
-learn of a change within a second, it stays below the two seconds that are allowed."""
+"""Pause after a watch that returned changes. They come in bursts, as when a service is
+released, and each call is billed. Together with the rounds of aggregators, by which the
+other sidecars receive a change within a second, it stays below the two seconds that are
+allowed."""
 
 RETRY_S = (0.15, 0.4)
-"""Pause after a failed call: all hosts don't come back in one moment."""
+"""Random pause after a failed call, so that not all hosts retry at the same moment."""
 
 MAX_RETRY_S = 1.5
-"""Longest pause of a sidecar alone: changes must be in force within two seconds of the
-return. Where more share a zone, one of them calls as often, and tells the others."""
+"""Longest pause after failures for a sidecar that is alone: changes must be in force
+within two seconds of the platform's return. Where several share a zone, together they
+call as often as one, and the first that succeeds informs the others."""
 
 WATCHERS = 1
-"""Sidecars of a zone that follow the platform while they can. Each call is paid for. If
-the one is lost, its zone hears of changes from the gatherers of the other zones, within
-a second, until the next has stepped in."""
+"""Sidecars of a zone that follow the platform in normal operation. Each call is billed.
+If the active one is lost, its zone receives changes from the aggregators of the other
+zones within a second, until the next one takes over."""
 
 WATCH_STEP_MS = 50.0
-"""Time that each further sidecar leaves to those before it, when watchers are missing:
-one call to the platform and its news take a few milliseconds."""
+"""Delay of each further sidecar in taking over when watchers are missing: a call to the
+platform and the announcement of its result take a few milliseconds."""
 
 STANDBY_S = 0.1
-"""Pause between looks at whether this sidecar has come on duty: the grain of the other
-periodic decisions."""
+"""Pause between checks whether this sidecar has become active: the interval of the
+other periodic decisions."""
 
 
 class PlatformUnavailableError(SassafraswinchError):
-    """The platform's store gave no answer of use.
+    """The platform's store didn't return usable data.
 
     Attributes:
-        reason: what happened, in words for a log line.
-        answered: whether it gave any answer, so that the way to it is open.
+        reason: cause, worded for a log line.
+        answered: whether the store replied at all, so that it can be reached.
     """
 
     def __init__(self, *, reason: str, answered: bool = False):
@@ -64,71 +66,77 @@
 
 
 class HistoryGoneError(SassafraswinchError):
-    """The changes after the asked revision are no longer kept."""
+    """The store no longer keeps the changes after the requested revision."""
 
 
 class PlatformStore(Protocol):
-    """Reads the platform's data; the adapter of a platform brings it.
+    """Client of the platform's store; each platform adapter implements it.
 
     Attributes:
-        era: the era of the latest answer, refusals included.
+        era: era of the latest reply, refusals included.
     """
 
     era: int
 
     async def read(self) -> Delta:
-        """Return all data of interest.
+        """Return all relevant data as a full delta.
 
         Raises:
-            PlatformUnavailableError: there is no answer.
+            PlatformUnavailableError: the store returned no usable data.
         """
 
     async def lists(self, instance_id: str) -> bool:
-        """Return whether the platform lists an instance now.
+        """Return whether an instance is currently registered.
 
         Raises:
-            PlatformUnavailableError: there is no answer.
+            PlatformUnavailableError: the store returned no usable data.
         """
 
     async def watch(self, after: Revision, wait_ms: int) -> Delta:
         """Return the changes after a revision as soon as there is one.
 
-        The answer may be of another era, and tells no changes after the revision then.
+        The reply may belong to another era, and doesn't continue from the revision
+        then.
+
+        Args:
+            after: revision up to which changes are known.
+            wait_ms: longest time to wait for a change.
 
         Raises:
-            HistoryGoneError: read anew.
-            PlatformUnavailableError: there is no answer.
+            HistoryGoneError: the changes are no longer kept; a full read is needed.
+            PlatformUnavailableError: the store returned no usable data.
         """
 
 
 class ReplicaKeeper(Protocol):
-    """Whoever owns the replica."""
+    """Receiver of the platform's changes and state."""
 
     @property
     def revision(self) -> Revision:
         """Revision up to which all changes are known."""
 
     def take(self, delta: Delta, source: str) -> None:
-        """Take in changes."""
+        """Apply changes."""
 
     def platform_away(self) -> None:
-        """The platform can't be read."""
+        """Record that the platform can't be read."""
 
     def platform_back(self) -> None:
-        """The platform can be read, here or by peers that follow it."""
+        """Record that the platform can be read, by this sidecar or by a peer."""
 
     def platform_followed(self, following: bool) -> None:
-        """Following the platform has begun here, or ended."""
+        """Record that this sidecar began or ceased to follow the platform."""
 
 
 class PlatformReader:
-    """Reads once, then follows the changes, whatever happens to the platform.
+    """Reads all data once, then follows the changes, through outages and restores.
 
     Args:
-        store: reads the platform's data.
-        keeper: owns the replica.
-        duty: tells whether this sidecar must follow; another that does tells it news.
-        rng: source of the pauses.
+        store: client of the platform's store.
+        keeper: receives the changes.
+        duty: role of this sidecar. While it isn't active, a peer follows the platform
+            and sends the changes.
+        rng: random source of the pauses.
     """
 
     def __init__(
@@ -143,8 +151,8 @@
         self._keeper = keeper
         self._duty = duty
         self._rng = rng
-        self._whole = False
-        self._away = False
+        self._is_complete = False
+        self._is_unreachable = False
         self._failures = 0
         self._lost_histories = 0
         self._following = False
@@ -158,60 +166,62 @@
             try:
                 await self._step()
             except HistoryGoneError:
-                await self._note_lost_history()
+                await self._handle_lost_history()
             except PlatformUnavailableError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await self._pause(self._pause_s())
 
     @property
     def _is_needed(self) -> bool:
-        """Whether to call the platform: on duty, or nobody has told anything yet."""
+        """Whether to call the platform: this sidecar is active, or has no data yet."""
         return self._duty.is_own or self._keeper.revision == UNKNOWN
 
     async def _stand_by(self) -> None:
-        """Leave the platform to others while they follow it."""
-        self._follow(False)
+        """Make no calls while peers follow the platform."""
+        self._set_following(False)
         self._failures = 0
-        self._whole = True  # Peers tell all that this sidecar lacks.
+        self._is_complete = True  # Peers send all changes.
         while not self._is_needed:
-            self._heed_peers()
+            self._check_peers()
             await asyncio.sleep(STANDBY_S)
 
     async def _pause(self, seconds: float) -> None:
-        """Wait, but no longer than this sidecar is needed."""
+        """Wait, but only while this sidecar has to call the platform."""
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + seconds
-        while (left_s := ends_s - loop.time()) > 0 and self._is_needed:
-            self._heed_peers()
-            await asyncio.sleep(min(left_s, STANDBY_S))
+        end_s = loop.time() + seconds
+        while (remaining_s := end_s - loop.time()) > 0 and self._is_needed:
+            self._check_peers()
+            await asyncio.sleep(min(remaining_s, STANDBY_S))
 
-    def _heed_peers(self) -> None:
-        """Take the platform for reachable while a peer follows it.
+    def _check_peers(self) -> None:
+        """Treat the platform as reachable while a peer follows it.
 
-        Failure: a sidecar that the platform turns away counts it as away, and holds
-        back each removal of a server that its peers tell, as an expiry of the outage.
+        Failure: a sidecar that the platform refuses treats it as unreachable, and holds
+        each removal of a server that its peers send, as an expiry during the outage.
         """
         if self._duty.is_held:
-            self._note_return("peers")
+            self._record_return("peers")
 
     async def _step(self) -> None:
-        if self._whole and self._store.era <= self._keeper.revision.era:
+        if self._is_complete and self._store.era <= self._keeper.revision.era:
             delta = await self._watch()
         else:
             delta = await self._read()
         self._failures = 0
-        self._note_return(PLATFORM_SOURCE)
-        self._follow(True)
-        brought_changes = delta.revision > self._keeper.revision
+        self._record_return(PLATFORM_SOURCE)
+        self._set_following(True)
+        has_changes = delta.revision > self._keeper.revision
         self._keeper.take(delta, PLATFORM_SOURCE)
-        if brought_changes and not delta.whole:
+        if has_changes and not delta.whole:
             await asyncio.sleep(self._rng.uniform(*GATHER_S))
 
     async def _read(self) -> Delta:
         delta = await self._store.read()
         if delta.revision.era < self._keeper.revision.era:
-            raise PlatformUnavailableError(reason="is of an older era", answered=True)
-        self._whole = True
+            raise PlatformUnavailableError(
+                reason="store replied with an older era", answered=True
+            )
+        self._is_complete = True
         return delta
 
     async def _watch(self) -> Delta:
@@ -223,35 +233,35 @@
         self._lost_histories = 0
         return delta
 
-    async def _note_lost_history(self) -> None:
-        """Read anew: at once the first time, with a pause if no watch holds."""
+    async def _handle_lost_history(self) -> None:
+        """Request a full read, with a pause if watches repeatedly find no history."""
         era, number = self._keeper.revision
         log_event("platform_history_gone", era=era, revision=number)
-        self._whole = False
+        self._is_complete = False
         self._lost_histories += 1
         if self._lost_histories > 1:
             await self._pause(self._rng.uniform(*RETRY_S))
 
-    def _note_return(self, source: str) -> None:
-        if self._away:
-            self._away = False
+    def _record_return(self, source: str) -> None:
+        if self._is_unreachable:
+            self._is_unreachable = False
             era, number = self._keeper.revision
             log_event("platform_back", source=source, era=era, revision=number)
         self._keeper.platform_back()
 
-    def _follow(self, following: bool) -> None:
+    def _set_following(self, following: bool) -> None:
         if following != self._following:
             self._following = following
             self._keeper.platform_followed(following)
 
-    def _note_failure(self, error: PlatformUnavailableError) -> None:
+    def _record_failure(self, error: PlatformUnavailableError) -> None:
         self._failures += 1
-        self._follow(False)
+        self._set_following(False)
         if self._duty.is_held:
             return
         self._keeper.platform_away()
-        if not self._away:
-            self._away = True
+        if not self._is_unreachable:
+            self._is_unreachable = True
             log_event("platform_away", level="warning", reason=error.reason)
 
     def _pause_s(self) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
@@ -1,10 +1,10 @@
-"""A copy of the platform's data that sidecars keep and hand on to each other.
+"""Replica of the platform's data that sidecars keep and send to each other.
 
-The platform numbers all changes, so two copies merge by taking the later entry of each
-key: no agreement between sidecars is needed. When its store comes back from an older
-copy, a new era begins: what it holds then goes before all that was known. Routes are
-the exception. They bear a version of their own that only rises, so the newest stays,
-whatever the store has lost.
+The platform numbers all changes, so two replicas merge by taking the later entry of
+each key, without any consensus between sidecars. When the platform's store is restored
+from an older copy, a new era begins, whose data takes precedence over that of older
+eras. Routes are the exception: they have a version of their own that only increases, so
+the newest routes stay in force even if the store has lost them.
 """
 
 from collections.abc import Iterable
@@ -14,18 +14,18 @@
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
 MAX_REMOVED = 4_096
-"""Removed keys that are remembered for peers that lag; older ones make a peer take
-the whole copy. Several days of replacements at 560 hosts."""
+"""Removed keys that are kept for peers that lag; a peer that lags further receives the
+full replica. Covers several days of server replacements at 560 hosts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """The state of one key.
+    """State of one key.
 
     Attributes:
         key: name of the item at the platform.
-        revision: its last change.
-        value: its bytes as the platform holds them; None where it was removed.
+        revision: revision of its last change.
+        value: its bytes as stored by the platform; None if it was removed.
     """
 
     key: str
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Delta:
-    """Changes that bring a copy up to a revision.
+    """Changes that bring a replica up to a revision.
 
     Attributes:
         revision: all changes up to it are in the entries or known to the receiver.
-        whole: whether keys that the entries don't name are gone.
+        whole: whether the delta is full, so that keys missing from it are removed.
         entries: the changed keys.
     """
 
@@ -49,24 +49,24 @@
 
 
 class RoutesReader(Protocol):
-    """Knows the key of the routes and their version."""
+    """Reader of the routes' key and version."""
 
     def is_route_table(self, key: str) -> bool:
-        """Return whether a key holds the routes."""
+        """Return whether a key holds the route table."""
 
     def routes_version(self, value: bytes) -> int | None:
-        """Return the version of routes; None if they can't be read."""
+        """Return the version of a route table; None if it is invalid."""
 
 
 class Replica:
-    """The platform's data up to one revision, in memory.
+    """In-memory copy of the platform's data up to one revision.
 
     Args:
-        routes: tells the version of the routes.
+        routes: reads the version of the routes.
 
     Attributes:
-        revision: all changes up to it are known.
-        routes_version: version of the routes; 0 while none are known.
+        revision: all changes up to this revision are known.
+        routes_version: version of the routes; 0 if none are known.
     """
 
     def __init__(self, *, routes: RoutesReader):
@@ -74,73 +74,73 @@
         self.routes_version = 0
         self._routes = routes
         self._entries: dict[str, Entry] = {}
-        self._forgotten_revision = UNKNOWN
+        self._purged_revision = UNKNOWN
 
     @property
     def position(self) -> Position:
-        """How much this copy knows."""
+        """Revision and routes version of this replica."""
         return Position(revision=self.revision, routes_version=self.routes_version)
 
     def merge(self, delta: Delta) -> list[Entry]:
-        """Take in changes.
+        """Merge changes.
 
-        A delta that is older than this copy still brings single keys that are newer,
-        and never takes one back. Of another era only a whole one that is newer can be
-        taken in: the changes alone don't tell what the store has lost, and what an
-        older era tells is over. Newer routes are taken from any.
+        A delta that is older than this replica may still hold newer entries of single
+        keys; older entries are ignored. Of another era only a full delta of a newer era
+        is merged: changes alone don't show what the store has lost, and data of an
+        older era is obsolete. Newer routes are merged from any delta.
 
         Returns:
             The entries that changed, removals included.
         """
-        if not self._can_follow(delta):
-            return [entry for entry in delta.entries if self._take_routes(entry)]
-        changed = [entry for entry in delta.entries if self._take(entry)]
+        if not self._is_applicable(delta):
+            return [entry for entry in delta.entries if self._apply_routes(entry)]
+        changed = [entry for entry in delta.entries if self._apply_entry(entry)]
         if delta.whole and delta.revision >= self.revision:
-            named = {entry.key for entry in delta.entries}
-            changed += self._remove_others(named, delta.revision)
-            # A whole reading doesn't name what was removed before it, so a peer that
-            # lags behind it can't be told removals one by one.
-            self._forgotten_revision = max(self._forgotten_revision, delta.revision)
+            listed = {entry.key for entry in delta.entries}
+            changed += self._remove_unlisted(listed, delta.revision)
+            # A full delta doesn't list the keys removed before it, so a peer that lags
+            # behind it can't be sent single removals.
+            self._purged_revision = max(self._purged_revision, delta.revision)
         self.revision = max(self.revision, delta.revision)
         return changed
 
     def since(self, position: Position) -> Delta:
-        """Return what a copy at that position lacks."""
+        """Return the changes that a replica at a position lacks."""
         after = position.revision
-        # An era begins with a whole reading, so those of older ones take all.
-        whole = after < self._forgotten_revision
+        # An era begins with a full delta, so replicas of older eras receive a full one.
+        whole = after < self._purged_revision
 
-        def is_lacking(entry: Entry) -> bool:
+        def is_missing(entry: Entry) -> bool:
             if self._routes.is_route_table(entry.key):
                 return self.routes_version > position.routes_version
             return entry.value is not None if whole else entry.revision > after
 
-        entries = tuple(filter(is_lacking, self._entries.values()))
+        entries = tuple(filter(is_missing, self._entries.values()))
         return Delta(revision=self.revision, whole=whole, entries=entries)
 
     def live(self) -> Iterable[Entry]:
-        """Return the entries that aren't removed."""
+        """Return the entries of keys that aren't removed."""
         return (e for e in self._entries.values() if e.value is not None)
 
-    def _can_follow(self, delta: Delta) -> bool:
+    def _is_applicable(self, delta: Delta) -> bool:
         if delta.revision.era == self.revision.era:
             return True
         return delta.whole and delta.revision.era > self.revision.era
 
-    def _take(self, entry: Entry) -> bool:
+    def _apply_entry(self, entry: Entry) -> bool:
         if self._routes.is_route_table(entry.key):
-            return self._take_routes(entry)
+            return self._apply_routes(entry)
         known = self._entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
             return False
         self._entries[entry.key] = entry
         if entry.value is None:
-            # Kept also for a key that was never seen here: a peer may know it, and
-            # would keep it for ever if this copy told no removal.
-            self._forget_removed()
+            # Also kept for a key that is unknown here: a peer may have it, and would
+            # keep it for ever if this replica didn't send the removal.
+            self._evict_oldest_removal()
         return known is not None or entry.value is not None
 
-    def _take_routes(self, entry: Entry) -> bool:
+    def _apply_routes(self, entry: Entry) -> bool:
         if entry.value is None or not self._routes.is_route_table(entry.key):
             return False
         known = self._entries.get(entry.key)
@@ -153,26 +153,26 @@
         self.routes_version = version
         return True
 
-    def _remove_others(self, named: set[str], revision: Revision) -> list[Entry]:
+    def _remove_unlisted(self, listed: set[str], revision: Revision) -> list[Entry]:
         gone = [
             Entry(key=entry.key, revision=revision, value=None)
             for entry in self.live()
-            if entry.key not in named
+            if entry.key not in listed
             and entry.revision <= revision
             and not self._routes.is_route_table(entry.key)
         ]
-        # A removal bears the revision of the reading, so it must not count as known
-        # already where the entry's last change has the same one.
+        # A removal has the revision of the full delta. It must not be ignored as known
+        # if the entry's last change has the same revision.
         for entry in gone:
             self._entries[entry.key] = entry
         if gone:
-            self._forget_removed()
+            self._evict_oldest_removal()
         return gone
 
-    def _forget_removed(self) -> None:
+    def _evict_oldest_removal(self) -> None:
         removed = [e for e in self._entries.values() if e.value is None]
         if len(removed) <= MAX_REMOVED:
             return
         oldest = min(removed, key=lambda entry: entry.revision)
-        self._forgotten_revision = max(self._forgotten_revision, oldest.revision)
+        self._purged_revision = max(self._purged_revision, oldest.revision)
         del self._entries[oldest.key]
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/revisions.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/revisions.py
@@ -1,15 +1,15 @@
-"""The order of the platform's changes, also after its store was restored."""
+"""Revisions that order the platform's changes, across restores of its store."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class Revision(NamedTuple):
-    """A moment of the platform's store; a later one is greater.
+    """State of the platform's store at one moment; later revisions compare greater.
 
     Attributes:
-        era: how often the store has come back from an older copy.
-        number: its counter of changes, which goes back with each era.
+        era: number of times that the store was restored from an older copy.
+        number: the store's change counter, which may go back with each era.
     """
 
     era: int
@@ -17,24 +17,24 @@
 
 
 UNKNOWN = Revision(era=0, number=0)
-"""The revision of a copy that knows nothing."""
+"""Revision of an empty replica."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Position:
-    """How much a copy of the platform's data knows.
+    """Extent of a replica of the platform's data.
 
     Attributes:
-        revision: all changes up to it.
-        routes_version: the version of its routes. A restored store lacks confirmed
-            versions until they are written again, so it isn't told by the revision.
+        revision: all changes up to this revision are included.
+        routes_version: version of the routes. A restored store lacks confirmed versions
+            until they are written again, so the revision doesn't imply it.
     """
 
     revision: Revision
     routes_version: int
 
     def lacks(self, other: "Position") -> bool:
-        """Return whether another copy knows something that this one doesn't."""
+        """Return whether another replica has data that this one lacks."""
         return (
             other.revision > self.revision or other.routes_version > self.routes_version
         )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
@@ -1,33 +1,33 @@
-"""Notices that this machine stood still, which the steady clock doesn't count."""
+"""Detection of process pauses, which the monotonic clock doesn't count."""
 
 import time
 from collections.abc import Callable
 
 MIN_STANDSTILL_MS = 200.0
-"""Shortest standstill that counts: well above the jitter of two clock readings, and
-below what callers wait for."""
+"""Shortest pause that is reported: well above the jitter of two clock readings, and
+shorter than callers wait."""
 
 
 def boot_ms() -> float:
-    """Return the time since boot, standstills included."""
+    """Return the time since boot, including time for which the host was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 def steady_ms() -> float:
-    """Return the time of the event loop's clock."""
+    """Return the monotonic time of the event loop's clock."""
     return time.monotonic() * 1000
 
 
 class Standstill:
-    """Compares two clocks of which one goes on while the machine is suspended.
+    """Compares two clocks, of which one continues while the host is suspended.
 
-    Failure: a machine is suspended for seconds. Its event loop goes on as if no time
-    had passed, and hands requests to backend servers with more time than their callers
-    still wait.
+    Failure: a host is suspended for seconds. Its event loop continues as if no time had
+    passed, and sends requests to backend servers with longer timeouts than the time for
+    which their callers still wait.
 
     Args:
-        boot_ms: clock that counts standstills.
-        steady_ms: clock that doesn't.
+        boot_ms: clock that continues while the host is suspended.
+        steady_ms: clock that stops meanwhile.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
     ):
         self._boot_ms = boot_ms
         self._steady_ms = steady_ms
-        self._apart_ms = boot_ms() - steady_ms()
+        self._offset_ms = boot_ms() - steady_ms()
 
     def look(self) -> float:
-        """Return how long the machine stood still since the last look; 0 if not."""
-        apart_ms = self._boot_ms() - self._steady_ms()
-        stood_ms = apart_ms - self._apart_ms
-        self._apart_ms = apart_ms
-        return stood_ms if stood_ms >= MIN_STANDSTILL_MS else 0.0
+        """Return the length of the pause since the last check; 0 if there was none."""
+        offset_ms = self._boot_ms() - self._steady_ms()
+        paused_ms = offset_ms - self._offset_ms
+        self._offset_ms = offset_ms
+        return paused_ms if paused_ms >= MIN_STANDSTILL_MS else 0.0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
@@ -1,26 +1,28 @@
-"""Which sidecars of an availability zone do a duty for the others."""
+"""Election of the sidecars of an availability zone that act for the others."""
 
 from collections.abc import Mapping
 
 
 class ZoneDuty:
-    """Shares a duty out by what peers say, without any agreement.
+    """Role that a few sidecars of a zone fill, decided from the state of the peers.
 
-    A sidecar is on duty unless enough peers before it are. The order is that of the
-    addresses, so all that see the same peers decide alike; those that see others are on
-    duty as well, at worst. Whoever sees no peer is on duty at once.
+    There is no consensus protocol. A sidecar is active unless enough peers with lower
+    addresses are. Sidecars that see the same peers decide alike; where they see
+    different ones, more of them are active than needed, at worst. A sidecar that sees
+    no peer becomes active at once.
 
     Args:
         own_ip: address of this host.
-        holders: sidecars of a zone that are on duty while they can.
-        step_ms: time that each further sidecar leaves to those before it, when some
-            are missing.
+        holders: sidecars of a zone that are active in normal operation.
+        step_ms: delay of each further sidecar in taking over when active ones are
+            missing.
 
     Attributes:
-        is_own: whether this sidecar is on duty.
-        is_held: whether a peer of the zone is.
-        spread: how many sidecars there are for each one on duty. While nobody can do
-            it, all try, each so much less often: an outage must not multiply the calls.
+        is_own: whether this sidecar is active.
+        is_held: whether a peer of the zone is active.
+        spread: number of sidecars for each active one. While no sidecar can fill the
+            role, all of them try, each less often by this factor: an outage must not
+            multiply the calls.
     """
 
     def __init__(self, *, own_ip: str, holders: int, step_ms: float):
@@ -33,11 +35,11 @@
         self._missing_since_ms: float | None = None
 
     def decide(self, peers: Mapping[str, bool], now_ms: float) -> None:
-        """Decide anew.
+        """Update the role from the state of the peers.
 
         Args:
             peers: the sidecars of the zone that can be reached and aren't leaving, and
-                whether each is on duty.
+                whether each is active.
             now_ms: monotonic time.
         """
         earlier = [ip for ip in peers if ip < self._own_ip]
@@ -49,5 +51,5 @@
             return
         if self._missing_since_ms is None:
             self._missing_since_ms = now_ms
-        turn_ms = max(0, len(earlier) - self._holders + 1) * self._step_ms
-        self.is_own = now_ms - self._missing_since_ms >= turn_ms
+        delay_ms = max(0, len(earlier) - self._holders + 1) * self._step_ms
+        self.is_own = now_ms - self._missing_since_ms >= delay_ms
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
@@ -1,10 +1,10 @@
-"""Adds up what the hosts of a zone report, and what other zones' sums tell.
+"""Aggregator of an availability zone: merges host reports and other zones' summaries.
 
-A fleet of hundreds can't tell everything to everybody: the messages would grow with the
-square of it. So two sidecars of each zone ask the others of their zone and one gatherer
-of each other zone, add up, and hand the sums on. A report replaces the former one of
-its host, and a sum that of its zone, so nothing is ever added twice, whatever is lost,
-doubled or late.
+If every host sent its report to every other host, the messages would grow with the
+square of a fleet of hundreds. So two sidecars of each zone are its aggregators: they
+poll the hosts of their zone and one aggregator of each other zone, and distribute the
+totals. A host report replaces the former one of that host, and a zone summary that of
+its zone, so nothing is counted twice, whether messages are lost, duplicated or late.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -34,37 +34,42 @@
 from sassafraswinch_sidecar.revisions import Position
 
 GATHERERS = 2
-"""Sidecars of a zone that gather while they can; with one, its loss would leave the
-zone without a view until that is noticed."""
+"""Active aggregators of a zone. With one, its loss would leave the zone without a view
+until the loss is noticed."""
 
 GATHER_STEP_MS = 100.0
-"""Time that each further sidecar leaves to those before it, when gatherers are missing:
-dialling a zone and telling it who gathers takes tens of milliseconds."""
+"""Delay of each further sidecar in taking over when aggregators are missing: dialling
+a zone and announcing the new aggregator takes tens of milliseconds."""
 
 PAUSE_MS = 125.0
-"""Pause between two rounds of a gatherer. News takes three of them at most to cross the
-fleet, and entries admit too much until they hear of each other's demand."""
+"""Pause between two rounds of an aggregator. A change needs at most three rounds to
+reach the whole fleet, and ingress sidecars admit too much until they receive each
+other's demand."""
 
 MAX_POLLS_PER_S = 128.0
-"""Hosts that a gatherer asks in a second. In large zones the pause grows, so that it
-stays near a hundredth of a core."""
+"""Hosts that an aggregator polls per second. In large zones the pause grows, so that
+the cost stays near a hundredth of a core."""
 
 LIFE_ROUNDS = 3.5
 MIN_LIFE_MS = 800.0
-"""Rounds, and time at least, without an answer after which a host, or a zone, no longer
-counts: one answer may be lost, and a busy host stand still for a moment."""
+"""Rounds, and minimum time, without a reply after which a host or a zone is evicted:
+one reply may be lost, and a busy host may pause for a moment."""
 
 LEAVING, FOLLOWING, ISOLATED = 1, 2, 4
 """Bits of a host's state on the wire."""
 
 
 def life_ms(round_ms: float) -> float:
-    """Return the time without an answer after which a host or a zone is forgotten."""
+    """Return the time without a reply after which a host or a zone is evicted."""
     return max(LIFE_ROUNDS * round_ms, MIN_LIFE_MS)
 
 
 def pause_ms(hosts: int) -> float:
-    """Return the pause between two rounds, for a zone of so many hosts."""
+    """Return the pause between two rounds.
+
+    Args:
+        hosts: number of hosts in the zone.
+    """
     return max(PAUSE_MS, hosts / MAX_POLLS_PER_S * 1000)
 
 
@@ -73,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told(Generic[Content]):
+class _Received(Generic[Content]):
     at_ms: float
     content: Content
 
@@ -82,11 +87,12 @@
 
 
 class ZoneGatherer:
-    """The latest reports of one zone's hosts and sums of the other zones.
+    """Latest reports of one zone's hosts and summaries of the other zones.
 
     Args:
-        availability_zone: the gatherer's zone.
-        is_near_limit: returns whether hosts must be told of an organisation's use.
+        availability_zone: zone of the aggregator.
+        is_near_limit: returns whether the usage of an organisation must be published
+            to the hosts.
     """
 
     def __init__(
@@ -97,48 +103,48 @@
     ):
         self._zone = availability_zone
         self._is_near_limit = is_near_limit
-        self._reports: dict[str, _Told[HostReport]] = {}
-        self._zones: dict[str, _Told[ZoneSummary]] = {}
+        self._reports: dict[str, _Received[HostReport]] = {}
+        self._summaries: dict[str, _Received[ZoneSummary]] = {}
 
     def heard(self, ip: str, report: HostReport, now_ms: float) -> bool:
-        """Take in the report of a host of this zone, in place of its former one.
+        """Record the report of a host of this zone, replacing its former one.
 
         Returns:
-            Whether the host wasn't known before.
+            Whether the host was unknown before.
         """
         is_new = ip not in self._reports
-        self._reports[ip] = _Told(now_ms, report)
+        self._reports[ip] = _Received(now_ms, report)
         return is_new
 
     def heard_zone(self, summary: ZoneSummary, now_ms: float) -> bool:
-        """Take in the sum of another zone, in place of its former one.
+        """Record the summary of another zone, replacing its former one.
 
         Returns:
-            Whether it tells of more hosts than the former one.
+            Whether it lists more hosts than the former one.
         """
         zone = summary.loads.availability_zone
-        known = self._zones.get(zone)
-        self._zones[zone] = _Told(now_ms, summary)
+        known = self._summaries.get(zone)
+        self._summaries[zone] = _Received(now_ms, summary)
         hosts = len(summary.loads.hosts.ips)
         return known is None or hosts > len(known.content.loads.hosts.ips)
 
     def relies(self, ip: str) -> bool:
-        """Return whether a host wants the whole digest; one that is unknown does."""
-        told = self._reports.get(ip)
-        return told is None or told.content.relies
+        """Return whether a host needs the full digest; an unknown host does."""
+        received = self._reports.get(ip)
+        return received is None or received.content.relies
 
     def answering(self) -> Iterable[str]:
-        """Return the hosts of this zone that answered in the last rounds."""
+        """Return the hosts of this zone that replied in the last rounds."""
         return self._reports.keys()
 
     def forget(self, now_ms: float, round_ms: float) -> None:
-        """Drop the hosts and zones that no longer answer."""
-        self._reports = _young(self._reports, now_ms, life_ms(round_ms))
-        self._zones = _young(self._zones, now_ms, life_ms(round_ms))
+        """Evict the hosts and zones that no longer reply."""
+        self._reports = _recent(self._reports, now_ms, life_ms(round_ms))
+        self._summaries = _recent(self._summaries, now_ms, life_ms(round_ms))
 
     def summary(self) -> ZoneSummary:
-        """Return the sum of this zone."""
-        reports = {ip: told.content for ip, told in self._reports.items()}
+        """Return the summary of this zone."""
+        reports = {ip: received.content for ip, received in self._reports.items()}
         demands = [parse_demand(report.demand) for report in reports.values()]
         counts = [parse_counts(report.counts) for report in reports.values()]
         return ZoneSummary(
@@ -153,22 +159,22 @@
     def digest(
         self, own: ZoneSummary, position: Position, now_ms: float
     ) -> FleetDigest:
-        """Return what the hosts of this zone are told.
+        """Return the digest for the hosts of this zone.
 
         Args:
-            own: the sum of this zone, as made last.
-            position: how much this sidecar knows of the platform's data.
+            own: latest summary of this zone.
+            position: position of this sidecar's copy of the platform's data.
             now_ms: monotonic time.
         """
         others = [
             ZoneLoads(
                 zone,
-                int(told.age_ms(now_ms)) + told.content.loads.age_ms,
-                told.content.loads.hosts,
+                int(received.age_ms(now_ms)) + received.content.loads.age_ms,
+                received.content.loads.hosts,
             )
-            for zone, told in self._zones.items()
+            for zone, received in self._summaries.items()
         ]
-        summaries = [own, *(told.content for told in self._zones.values())]
+        summaries = [own, *(received.content for received in self._summaries.values())]
         return FleetDigest(
             **position_fields(position),
             whole=True,
@@ -181,78 +187,91 @@
         )
 
     def _near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
-        """Return the uses that hosts must hear of; the others have no effect."""
+        """Return the usage of organisations near their limit; others have no effect."""
         total = sum_uses(parse_uses(each.uses) for each in summaries)
         near = {
-            name: use
-            for name, use in total.uses.items()
-            if self._is_near_limit(name, use)
+            name: usage
+            for name, usage in total.uses.items()
+            if self._is_near_limit(name, usage)
         }
         return FleetUse(near, total.hosts, total.unknown_ms)
 
 
 def bare_digest(position: Position) -> FleetDigest:
-    """Return the digest for hosts that take their view from another gatherer."""
+    """Return the digest for hosts that take their view from another aggregator."""
     return FleetDigest(
         **position_fields(position), whole=False, zones=[], demand=[], counts=[]
     )
 
 
 class ZoneContacts:
-    """Which sidecar of each other zone is asked for that zone's sum.
+    """Selection of the sidecar that is polled for the summary of each other zone.
 
-    One that gathers is best; one that doesn't tells who does. Whoever doesn't answer
-    for some rounds gives way to the next by address, so that a zone stays in view while
-    any of its hosts can be reached.
+    An aggregator is preferred; a sidecar that isn't one returns the addresses of those
+    that are. A sidecar that doesn't reply for some rounds is replaced by the next by
+    address, so that a zone stays in view while any of its hosts can be reached.
     """
 
     def __init__(self):
-        self._asked: dict[str, str] = {}
-        self._answered_ms: dict[str, float] = {}
+        self._contacts: dict[str, str] = {}
+        self._replied_ms: dict[str, float] = {}
 
     def choose(
         self, zones: Mapping[str, list[str]], now_ms: float, round_ms: float
     ) -> list[str]:
-        """Return one address for each zone.
+        """Return the address to poll for each zone.
 
         Args:
-            zones: addresses of the hosts of the other zones, in order.
+            zones: sorted host addresses of the other zones.
             now_ms: monotonic time.
             round_ms: pause between two rounds.
         """
         for zone, ips in zones.items():
-            asked = self._asked.get(zone)
-            answered_ms = self._answered_ms.setdefault(zone, now_ms)
-            if asked not in ips:
-                self._ask(zone, ips[0], now_ms)
-            elif now_ms - answered_ms > life_ms(round_ms):
-                self._ask(zone, ips[(ips.index(asked) + 1) % len(ips)], now_ms)
-        return [self._asked[zone] for zone in zones]
+            contact = self._contacts.get(zone)
+            replied_ms = self._replied_ms.setdefault(zone, now_ms)
+            if contact not in ips:
+                self._set_contact(zone, ips[0], now_ms)
+            elif now_ms - replied_ms > life_ms(round_ms):
+                self._set_contact(
+                    zone, ips[(ips.index(contact) + 1) % len(ips)], now_ms
+                )
+        return [self._contacts[zone] for zone in zones]
 
     def answered(
-        self, zone: str, ip: str, gatherers: Iterable[str], now_ms: float
+        self, zone: str, ip: str, aggregators: Iterable[str], now_ms: float
     ) -> None:
-        """Note an answer, and who gathers there."""
-        gatherers = sorted(gatherers)
-        if not gatherers or self._asked.get(zone) != ip:
+        """Record a reply, and switch to an aggregator of the zone.
+
+        Args:
+            zone: polled zone.
+            ip: address of the sidecar that replied.
+            aggregators: addresses of the zone's aggregators, as listed in the reply.
+            now_ms: monotonic time.
+        """
+        aggregators = sorted(aggregators)
+        if not aggregators or self._contacts.get(zone) != ip:
             return
-        self._answered_ms[zone] = now_ms
-        if ip not in gatherers:
-            self._ask(zone, gatherers[0], now_ms)
+        self._replied_ms[zone] = now_ms
+        if ip not in aggregators:
+            self._set_contact(zone, aggregators[0], now_ms)
 
     def zone_of(self, ip: str) -> str | None:
-        """Return the zone that a sidecar is asked for."""
-        return next((zone for zone, asked in self._asked.items() if asked == ip), None)
+        """Return the zone for which a sidecar is polled."""
+        return next(
+            (zone for zone, contact in self._contacts.items() if contact == ip), None
+        )
 
-    def _ask(self, zone: str, ip: str, now_ms: float) -> None:
-        self._asked[zone] = ip
-        self._answered_ms[zone] = now_ms
+    def _set_contact(self, zone: str, ip: str, now_ms: float) -> None:
+        self._contacts[zone] = ip
+        self._replied_ms[zone] = now_ms
 
 
-def _young(
-    told: Mapping[Key, _Told[Content]], now_ms: float, longest_ms: float
-) -> dict[Key, _Told[Content]]:
-    return {key: each for key, each in told.items() if each.age_ms(now_ms) < longest_ms}
+def _recent(
+    received: Mapping[Key, _Received[Content]], now_ms: float, max_age_ms: float
+) -> dict[Key, _Received[Content]]:
+    return {
+        key: each for key, each in received.items() if each.age_ms(now_ms) < max_age_ms
+    }
 
 
 def _host_loads(reports: Mapping[str, HostReport]) -> HostLoads:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
@@ -1,4 +1,4 @@
-"""The other sidecars of this availability zone, who follow the platform together."""
+"""Peers of this availability zone that share the task of following the platform."""
 
 from collections.abc import Callable, Mapping
 
@@ -8,14 +8,14 @@
 
 
 class ZonePeers:
-    """Finds the sidecars of a zone.
+    """Finds the peers of a zone that can be relied on.
 
     Args:
         own_ip: address of this host.
-        availability_zone: where it is.
-        fleet: tells the hosts of each zone.
-        view: tells which of them were ever heard.
-        load_of: returns what is known of a host that can be reached.
+        availability_zone: availability zone of this host.
+        fleet: provides the hosts of each zone.
+        view: knows which of them have ever been reported.
+        load_of: returns the load of a host that can be reached, None for others.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         self._load_of = load_of
 
     def following(self) -> Mapping[str, bool]:
-        """Return whether each follows the platform, of those that can be relied on.
+        """Return whether each peer that can be relied on follows the platform.
 
-        Hosts that nobody has told of yet count as ones that don't. Failure: all hosts
-        start at once, each knows the others by the platform's list alone, and all of
-        them follow the platform until the first word of a gatherer.
+        Hosts that haven't been reported yet count as not following. Failure: all hosts
+        start at once, each knows the others only by their registrations, and all of
+        them follow the platform until the first digest of an aggregator.
         """
         listed = self._fleet.hosts_of(self._zone)
         found = {ip: self._follows(ip) for ip in listed if ip != self._own_ip}
