--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -149,7 +149,7 @@
     ):
         self._store = store
         self._keeper = keeper
-        self._duty = duty
+        self._role = duty
         self._rng = rng
         self._is_complete = False
         self._is_unreachable = False
@@ -174,7 +174,7 @@
     @property
     def _is_needed(self) -> bool:
         """Whether to call the platform: this sidecar is active, or has no data yet."""
-        return self._duty.is_own or self._keeper.revision == UNKNOWN
+        return self._role.is_own or self._keeper.revision == UNKNOWN
 
     async def _stand_by(self) -> None:
         """Make no calls while peers follow the platform."""
@@ -199,7 +199,7 @@
         Failure: a sidecar that the platform refuses treats it as unreachable, and holds
         each removal of a server that its peers send, as an expiry during the outage.
         """
-        if self._duty.is_held:
+        if self._role.is_held:
             self._record_return("peers")
 
     async def _step(self) -> None:
@@ -257,7 +257,7 @@
     def _record_failure(self, error: PlatformUnavailableError) -> None:
         self._failures += 1
         self._set_following(False)
-        if self._duty.is_held:
+        if self._role.is_held:
             return
         self._keeper.platform_away()
         if not self._is_unreachable:
@@ -266,4 +266,4 @@
 
     def _pause_s(self) -> float:
         pause_s = self._rng.uniform(*RETRY_S) * self._failures
-        return min(pause_s, MAX_RETRY_S) * self._duty.spread
+        return min(pause_s, MAX_RETRY_S) * self._role.spread
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
@@ -108,15 +108,15 @@
         """Return the changes that a replica at a position lacks."""
         after = position.revision
         # An era begins with a full delta, so replicas of older eras receive a full one.
-        whole = after < self._purged_revision
+        is_full = after < self._purged_revision
 
         def is_missing(entry: Entry) -> bool:
             if self._routes.is_route_table(entry.key):
                 return self.routes_version > position.routes_version
-            return entry.value is not None if whole else entry.revision > after
+            return entry.value is not None if is_full else entry.revision > after
 
         entries = tuple(filter(is_missing, self._entries.values()))
-        return Delta(revision=self.revision, whole=whole, entries=entries)
+        return Delta(revision=self.revision, whole=is_full, entries=entries)
 
     def live(self) -> Iterable[Entry]:
         """Return the entries of keys that aren't removed."""
--- a/packages/sassafraswinch-sidecar/tests/test_fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What the platform's data means: held expiries, superseded instances, versions."""
+"""Tests of the fleet: held removals, superseded instances, route table versions."""
 
 import json
 
@@ -9,18 +9,18 @@
 from sidecar_standins.instances import instance_value
 
 DRAIN_MS = 2_000.0
-"""Time after its removal in which a server must get no more work."""
+"""Time after its removal by which a server must get no more work."""
 
 
-class World:
-    """A fleet fed from a replica, as a sidecar does it."""
+class Harness:
+    """A fleet that is updated from a replica, as in a sidecar."""
 
     def __init__(self):
-        self.faults = []
+        self.errors = []
         self.isolated = set()
         self.fleet = Fleet(
             decoder=MemoryDecoder(),
-            report=self.faults.append,
+            report=self.errors.append,
             is_isolated=self.isolated.__contains__,
         )
         self.replica = Replica(routes=self.fleet)
@@ -43,201 +43,204 @@
         return [found.id for found in self.fleet.of_service("archiv")]
 
 
-def test_entries_that_expired_in_an_outage_are_held_until_they_may_be_back():
-    """The platform was away for five seconds. At its return all entries are removed,
-    and the servers that live write theirs again within two seconds. Without the hold
-    every request of that time would be refused.
+def test_registrations_that_expired_in_an_outage_are_held_until_they_may_return():
+    """After a platform outage of five seconds all registrations are removed, and the
+    running servers register again within two seconds. Without the hold every request
+    in that time would be refused.
     """
-    world = World()
-    world.put("a", 0.0)
-    world.put("b", 0.0, ip="10.0.0.2")
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
-    world.remove("a", 6_010.0)
-    world.remove("b", 6_010.0)
-    assert sorted(world.ids()) == ["a", "b"]
-    world.put("a", 7_000.0)
-    world.fleet.tick(world.replica, 6_010.0 + RETURN_MS)
-    assert world.ids() == ["a"]
-
-
-def test_removal_told_by_a_peer_during_a_long_outage_counts_after_the_same_time():
-    world = World()
-    world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.remove("a", 1_000.0 + EXPIRY_MS)
-    assert world.ids() == ["a"]
-    world.fleet.tick(world.replica, 1_000.0 + EXPIRY_MS + RETURN_MS)
-    assert world.ids() == []
-
-
-def test_removal_counts_at_once_without_a_long_outage():
-    """A watch is cut for a moment while a server leaves: that server must get no more
-    work, so a short outage holds nothing.
+    harness = Harness()
+    harness.put("a", 0.0)
+    harness.put("b", 0.0, ip="10.0.0.2")
+    harness.fleet.platform_away(1_000.0)
+    harness.fleet.platform_back(6_000.0)
+    harness.remove("a", 6_010.0)
+    harness.remove("b", 6_010.0)
+    assert sorted(harness.ids()) == ["a", "b"]
+    harness.put("a", 7_000.0)
+    harness.fleet.tick(harness.replica, 6_010.0 + RETURN_MS)
+    assert harness.ids() == ["a"]
+
+
+def test_removal_from_a_peer_during_a_long_outage_takes_effect_after_the_same_time():
+    harness = Harness()
+    harness.put("a", 0.0)
+    harness.fleet.platform_away(1_000.0)
+    harness.remove("a", 1_000.0 + EXPIRY_MS)
+    assert harness.ids() == ["a"]
+    harness.fleet.tick(harness.replica, 1_000.0 + EXPIRY_MS + RETURN_MS)
+    assert harness.ids() == []
+
+
+def test_removal_takes_effect_at_once_without_a_long_outage():
+    """A watch is interrupted for a moment while a server leaves. That server must get
+    no more work, so a short outage holds no removals.
     """
-    world = World()
-    world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(1_500.0)
-    world.remove("a", 1_510.0)
-    assert world.ids() == []
-    assert world.fleet.is_leaving("a")
-
-
-def test_removal_late_in_the_time_of_return_counts_within_the_drain_time():
-    """Guards against a server without a farewell that is held for a whole return."""
-    world = World()
-    world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
+    harness = Harness()
+    harness.put("a", 0.0)
+    harness.fleet.platform_away(1_000.0)
+    harness.fleet.platform_back(1_500.0)
+    harness.remove("a", 1_510.0)
+    assert harness.ids() == []
+    assert harness.fleet.is_leaving("a")
+
+
+def test_removal_late_in_the_return_window_takes_effect_within_the_drain_time():
+    """Guards against holding a server that left without notice for a full window."""
+    harness = Harness()
+    harness.put("a", 0.0)
+    harness.fleet.platform_away(1_000.0)
+    harness.fleet.platform_back(6_000.0)
     removed_ms = 6_000.0 + RETURN_MS - 100.0
-    world.remove("a", removed_ms)
-    world.fleet.tick(world.replica, removed_ms + DRAIN_MS)
-    assert world.ids() == []
+    harness.remove("a", removed_ms)
+    harness.fleet.tick(harness.replica, removed_ms + DRAIN_MS)
+    assert harness.ids() == []
 
 
 def test_leaving_instance_is_not_held():
-    world = World()
-    world.put("a", 0.0, leaving=True)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
-    world.remove("a", 6_010.0)
-    assert world.fleet.at("10.0.0.1") == []
-
-
-def test_old_lifetime_at_an_address_gives_way_to_the_new_one():
-    """After a loss of power old and new entries stand side by side for seconds."""
-    world = World()
-    world.put("old", 0.0)
-    world.put("new", 10.0)
-    world.put("old", 20.0, slots=9)
-    assert world.ids() == ["new"]
-    assert len(list(world.fleet.serving())) == 1
-
-
-def test_cold_time_runs_from_when_it_was_told():
-    world = World()
-    world.put("a", 1_000.0, cold_ms=3_000.0)
-    (found,) = world.fleet.at("10.0.0.1")
-    assert world.fleet.cold_left_ms(found, 2_000.0) == 2_000.0
-    assert world.fleet.cold_left_ms(found, 9_000.0) == 0.0
-
-
-def test_version_of_the_routes_never_falls_and_faults_change_nothing():
-    world = World()
+    harness = Harness()
+    harness.put("a", 0.0, leaving=True)
+    harness.fleet.platform_away(1_000.0)
+    harness.fleet.platform_back(6_000.0)
+    harness.remove("a", 6_010.0)
+    assert harness.fleet.at("10.0.0.1") == []
+
+
+def test_new_lifetime_at_an_address_supersedes_the_old_one():
+    """After a power loss old and new registrations coexist for seconds."""
+    harness = Harness()
+    harness.put("old", 0.0)
+    harness.put("new", 10.0)
+    harness.put("old", 20.0, slots=9)
+    assert harness.ids() == ["new"]
+    assert len(list(harness.fleet.serving())) == 1
+
+
+def test_cold_time_counts_from_the_registration():
+    harness = Harness()
+    harness.put("a", 1_000.0, cold_ms=3_000.0)
+    (found,) = harness.fleet.at("10.0.0.1")
+    assert harness.fleet.cold_left_ms(found, 2_000.0) == 2_000.0
+    assert harness.fleet.cold_left_ms(found, 9_000.0) == 0.0
+
+
+def test_routes_version_never_decreases_and_invalid_routes_are_ignored():
+    harness = Harness()
     for version in (5, 3):
         value = json.dumps({"version": version, "routes": []}).encode()
-        world.write(ROUTES, value, 0.0)
-    assert world.fleet.table.version == 5
-    world.write(ROUTES, b'{"fault": true}', 0.0)
-    assert world.fleet.table.version == 5
-    assert len(world.faults) == 1
+        harness.write(ROUTES, value, 0.0)
+    assert harness.fleet.table.version == 5
+    harness.write(ROUTES, b'{"fault": true}', 0.0)
+    assert harness.fleet.table.version == 5
+    assert len(harness.errors) == 1
 
 
-def test_entry_that_cant_be_read_names_no_server_until_it_can():
-    """Another writer replaces a server's entry by something odd. The server may be
-    anything by now, so it gets no new work; its next report is used at once.
+def test_invalid_registration_removes_the_server_until_it_is_valid_again():
+    """Another writer replaces a server's registration by an invalid value. The state of
+    the server is unknown, so it gets no new work; its next registration is used at
+    once.
     """
-    world = World()
-    world.put("a", 0.0)
-    world.put("b", 0.0, ip="10.0.0.2")
-    world.write(INSTANCE + "a", b'{"fault": true}', 10.0)
-    assert world.ids() == ["b"]
-    assert len(world.faults) == 1
-    world.put("a", 20.0)
-    assert sorted(world.ids()) == ["a", "b"]
-
-
-def test_server_that_starts_again_under_its_id_is_cold_anew_and_the_later_one():
-    """A server crashes and starts again under the id that it had. Taken for the former
-    lifetime, it would count as warm, and an entry that another server left at the
-    address meanwhile would count as the later one.
+    harness = Harness()
+    harness.put("a", 0.0)
+    harness.put("b", 0.0, ip="10.0.0.2")
+    harness.write(INSTANCE + "a", b'{"fault": true}', 10.0)
+    assert harness.ids() == ["b"]
+    assert len(harness.errors) == 1
+    harness.put("a", 20.0)
+    assert sorted(harness.ids()) == ["a", "b"]
+
+
+def test_server_restarted_under_its_id_is_cold_again_and_the_latest_one():
+    """A server crashes and starts again under the same ID. If it were taken for the
+    former lifetime, it would count as warm, and the registration of another server that
+    used the address meanwhile would count as the later one.
     """
-    world = World()
-    world.put("a", 0.0, cold_ms=3_000.0, incarnation=1)
-    world.put("between", 5_000.0)
-    assert world.ids() == ["between"]
-    world.put("a", 9_000.0, cold_ms=3_000.0, incarnation=2)
-    assert world.ids() == ["a"]
-    (found,) = world.fleet.of_service("archiv")
-    assert world.fleet.cold_left_ms(found, 10_000.0) == 2_000.0
-
-
-def test_server_that_left_and_starts_again_under_its_id_gets_work():
-    world = World()
-    world.put("a", 0.0, leaving=True, incarnation=1)
-    world.remove("a", 10.0)
-    assert world.fleet.is_leaving("a")
-    world.put("a", 20.0, incarnation=2)
-    assert world.ids() == ["a"]
-    assert not world.fleet.is_leaving("a")
-
-
-def test_entry_of_a_service_that_nobody_configured_replaces_no_server():
-    """Another writer names a service that doesn't exist at the address of a server
-    that does: that server keeps its work.
+    harness = Harness()
+    harness.put("a", 0.0, cold_ms=3_000.0, incarnation=1)
+    harness.put("between", 5_000.0)
+    assert harness.ids() == ["between"]
+    harness.put("a", 9_000.0, cold_ms=3_000.0, incarnation=2)
+    assert harness.ids() == ["a"]
+    (found,) = harness.fleet.of_service("archiv")
+    assert harness.fleet.cold_left_ms(found, 10_000.0) == 2_000.0
+
+
+def test_server_that_left_and_restarts_under_its_id_gets_work():
+    harness = Harness()
+    harness.put("a", 0.0, leaving=True, incarnation=1)
+    harness.remove("a", 10.0)
+    assert harness.fleet.is_leaving("a")
+    harness.put("a", 20.0, incarnation=2)
+    assert harness.ids() == ["a"]
+    assert not harness.fleet.is_leaving("a")
+
+
+def test_registration_of_an_unknown_service_supersedes_no_server():
+    """Another writer registers a service that doesn't exist at the address of an
+    existing server. That server still gets work.
     """
-    world = World()
+    harness = Harness()
     table = {"version": 1, "routes": [], "known_services": ["archiv"]}
-    world.write(ROUTES, json.dumps(table).encode(), 0.0)
-    world.put("a", 0.0)
-    world.put("odd", 10.0, service="nothing")
-    assert world.ids() == ["a"]
+    harness.write(ROUTES, json.dumps(table).encode(), 0.0)
+    harness.put("a", 0.0)
+    harness.put("odd", 10.0, service="nothing")
+    assert harness.ids() == ["a"]
 
 
-def test_server_whose_host_is_cut_off_from_the_platform_stays_in_use():
-    """A third of the hosts can't reach the platform, their entries expire, and the one
-    server of the service that is still listed leaves. For seconds every request that
-    needed the service was refused, though its other servers lived and were linked.
+def test_server_whose_host_is_isolated_from_the_platform_stays_in_use():
+    """A third of the hosts can't reach the platform, their registrations expire, and
+    the only server of a service that is still registered leaves. For seconds every
+    request that needed the service was refused, though its other servers were running
+    and linked.
     """
-    world = World()
-    world.put("cut", 0.0)
-    world.put("leaves", 0.0, ip="10.0.0.2")
-    world.put("leaves", 10.0, ip="10.0.0.2", leaving=True)
-    world.remove("leaves", 20.0)
-    world.remove("cut", 5_000.0)
-    assert world.ids() == []
-    assert world.fleet.is_leaving("cut")
-    assert world.fleet.lapsed_at("10.0.0.1").id == "cut"
-    assert world.fleet.lapsed_at("10.0.0.2") is None
-
-    world.isolated.add("10.0.0.1")
-    world.isolated.add("10.0.0.2")
-    world.fleet.tick(world.replica, 5_700.0)
-    assert world.ids() == ["cut"]
-    assert not world.fleet.is_leaving("cut")
-
-    world.isolated.clear()
-    world.fleet.tick(world.replica, 13_000.0)
-    world.put("cut", 14_000.0)
-    world.fleet.tick(world.replica, 20_000.0)
-    assert world.ids() == ["cut"]
-    assert world.fleet.lapsed_at("10.0.0.1") is None
-
-
-def test_server_that_is_not_listed_again_after_the_cut_gets_no_more_work():
-    """While its host was cut off the server left for good. The platform can be reached
-    again, and lists it no more: its work must end within the drain time.
+    harness = Harness()
+    harness.put("cut", 0.0)
+    harness.put("leaves", 0.0, ip="10.0.0.2")
+    harness.put("leaves", 10.0, ip="10.0.0.2", leaving=True)
+    harness.remove("leaves", 20.0)
+    harness.remove("cut", 5_000.0)
+    assert harness.ids() == []
+    assert harness.fleet.is_leaving("cut")
+    assert harness.fleet.lapsed_at("10.0.0.1").id == "cut"
+    assert harness.fleet.lapsed_at("10.0.0.2") is None
+
+    harness.isolated.add("10.0.0.1")
+    harness.isolated.add("10.0.0.2")
+    harness.fleet.tick(harness.replica, 5_700.0)
+    assert harness.ids() == ["cut"]
+    assert not harness.fleet.is_leaving("cut")
+
+    harness.isolated.clear()
+    harness.fleet.tick(harness.replica, 13_000.0)
+    harness.put("cut", 14_000.0)
+    harness.fleet.tick(harness.replica, 20_000.0)
+    assert harness.ids() == ["cut"]
+    assert harness.fleet.lapsed_at("10.0.0.1") is None
+
+
+def test_server_that_is_not_registered_again_after_isolation_gets_no_more_work():
+    """A server leaves for good while its host is isolated. Once the platform can be
+    reached again, it no longer lists the server, whose work must end within the drain
+    time.
     """
-    world = World()
-    world.put("cut", 0.0)
-    world.remove("cut", 5_000.0)
-    world.isolated.add("10.0.0.1")
-    world.fleet.tick(world.replica, 5_700.0)
-    world.isolated.clear()
-    world.fleet.tick(world.replica, 5_700.0 + RETURN_MS - 1)
-    assert world.ids() == ["cut"]
-    world.fleet.tick(world.replica, 5_700.0 + RETURN_MS)
-    assert world.ids() == []
-    assert world.fleet.is_leaving("cut")
-
-
-def test_server_that_took_the_address_goes_before_an_isolated_one():
-    world = World()
-    world.put("cut", 0.0)
-    world.remove("cut", 5_000.0)
-    world.put("new", 6_000.0)
-    world.isolated.add("10.0.0.1")
-    world.fleet.tick(world.replica, 6_100.0)
-    assert world.ids() == ["new"]
-    assert world.fleet.lapsed_at("10.0.0.1") is None
+    harness = Harness()
+    harness.put("cut", 0.0)
+    harness.remove("cut", 5_000.0)
+    harness.isolated.add("10.0.0.1")
+    harness.fleet.tick(harness.replica, 5_700.0)
+    harness.isolated.clear()
+    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_MS - 1)
+    assert harness.ids() == ["cut"]
+    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_MS)
+    assert harness.ids() == []
+    assert harness.fleet.is_leaving("cut")
+
+
+def test_new_server_at_the_address_supersedes_an_isolated_one():
+    harness = Harness()
+    harness.put("cut", 0.0)
+    harness.remove("cut", 5_000.0)
+    harness.put("new", 6_000.0)
+    harness.isolated.add("10.0.0.1")
+    harness.fleet.tick(harness.replica, 6_100.0)
+    assert harness.ids() == ["new"]
+    assert harness.fleet.lapsed_at("10.0.0.1") is None
--- a/packages/sassafraswinch-sidecar/tests/test_own_entry.py
+++ b/packages/sassafraswinch-sidecar/tests/test_own_entry.py
@@ -1,4 +1,4 @@
-"""Whether a missing entry says that the server has gone, on a paused clock."""
+"""Tests of the detection of isolated hosts, on a simulated clock."""
 
 import asyncio
 from contextlib import contextmanager
@@ -12,15 +12,15 @@
 pytestmark = pytest.mark.looptime
 
 
-class Platform:
-    """Answers as it is told, and knows what it was asked."""
+class StubStore:
+    """A store that returns a configured answer and counts the lookups."""
 
     def __init__(self):
         self.answer = True
-        self.asked = 0
+        self.lookups = 0
 
     async def lists(self, instance_id):
-        self.asked += 1
+        self.lookups += 1
         if self.answer is None:
             await asyncio.Event().wait()
         if isinstance(self.answer, Exception):
@@ -28,83 +28,84 @@
         return self.answer
 
 
-class World:
+class Harness:
     def __init__(self):
-        self.platform = Platform()
-        self.lapsed = None
-        self.told = []
-        self.own = OwnEntry(
-            missing=lambda: self.lapsed,
-            store=self.platform,
-            changed=lambda: self.told.append(self.own.is_isolated),
+        self.store = StubStore()
+        self.missing = None
+        self.states = []
+        self.detector = OwnEntry(
+            missing=lambda: self.missing,
+            store=self.store,
+            changed=lambda: self.states.append(self.detector.is_isolated),
         )
 
 
 @contextmanager
-def asking():
-    world = World()
-    task = asyncio.create_task(world.own.run())
-    yield world
+def running_harness():
+    harness = Harness()
+    task = asyncio.create_task(harness.detector.run())
+    yield harness
     task.cancel()
 
 
-async def test_nothing_is_asked_while_the_entry_is_there():
-    with asking() as world:
+async def test_no_lookup_while_the_registration_exists():
+    with running_harness() as harness:
         await asyncio.sleep(30.0)
-        assert world.platform.asked == 0
-        assert world.told == []
+        assert harness.store.lookups == 0
+        assert harness.states == []
 
 
 @pytest.mark.parametrize(
     "silence", [None, PlatformUnavailableError(reason="unreachable")]
 )
-async def test_host_that_gets_no_answer_is_isolated_until_it_gets_one(silence):
-    """The host is cut off from the platform for ten seconds. Its server's entry
-    expires, and the others tell so. Peers must hear that the server lives, and when
-    the platform can be reached again.
+async def test_host_without_a_reply_is_isolated_until_it_gets_one(silence):
+    """A host is isolated from the platform for ten seconds. Its server's registration
+    expires, and peers report the removal. They must be notified that the server is
+    running, and when the platform can be reached again.
     """
-    with asking() as world:
-        world.platform.answer = silence
-        world.lapsed = new_instance(1)
+    with running_harness() as harness:
+        harness.store.answer = silence
+        harness.missing = new_instance(1)
         await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
-        assert world.told == [True]
+        assert harness.states == [True]
         await asyncio.sleep(10.0)
-        world.platform.answer = False
+        harness.store.answer = False
         await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
-        assert world.told == [True, False]
+        assert harness.states == [True, False]
 
 
 @pytest.mark.parametrize(
     "answer", [False, True, PlatformUnavailableError(reason="503", answered=True)]
 )
-async def test_host_that_gets_any_answer_is_not_isolated(answer):
-    """A server leaves without a word, and the platform drops its entry, or turns this
-    host away while it serves the others: the server must get no new work.
+async def test_host_that_gets_any_reply_is_not_isolated(answer):
+    """A server leaves without notice, and the platform removes its registration, or
+    refuses this host while it serves the others. The server must get no new work.
     """
-    with asking() as world:
-        world.platform.answer = answer
-        world.lapsed = new_instance(1)
+    with running_harness() as harness:
+        harness.store.answer = answer
+        harness.missing = new_instance(1)
         await asyncio.sleep(5.0)
-        assert world.platform.asked > 1
-        assert world.told == []
+        assert harness.store.lookups > 1
+        assert harness.states == []
 
 
-async def test_entry_that_is_gone_for_good_is_asked_for_now_and_then():
-    """Five servers leave, and the sidecars beside them live on with their callers. They
-    asked for the entries seven times in three seconds each, for the rest of the day.
+async def test_registration_that_is_gone_for_good_is_rarely_looked_up():
+    """Five servers leave, and the sidecars beside them keep running for their callers.
+    Each of them looked up the registration seven times in three seconds, for the rest
+    of the day.
     """
-    with asking() as world:
-        world.platform.answer = False
-        world.lapsed = new_instance(1)
+    with running_harness() as harness:
+        harness.store.answer = False
+        harness.missing = new_instance(1)
         await asyncio.sleep(30.0)
-        assert 8 <= world.platform.asked <= 11
+        assert 8 <= harness.store.lookups <= 11
 
 
-async def test_entry_that_is_back_ends_the_isolation():
-    with asking() as world:
-        world.platform.answer = None
-        world.lapsed = new_instance(1)
+async def test_returned_registration_ends_the_isolation():
+    with running_harness() as harness:
+        harness.store.answer = None
+        harness.missing = new_instance(1)
         await asyncio.sleep(2.0)
-        world.lapsed = None
+        harness.missing = None
         await asyncio.sleep(2.0)
-        assert world.told == [True, False]
+        assert harness.states == [True, False]
--- a/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
+++ b/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
@@ -1,4 +1,4 @@
-"""Following the platform through outages, lost history and silence."""
+"""Tests of following the platform through outages, lost history and silence."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class ScriptedStore:
-    """Answers calls in turn; the last answer is waited for for ever."""
+    """A store that returns given answers in turn; further calls never return."""
 
     era = 0
 
@@ -31,7 +31,7 @@
 
     async def watch(self, after, wait_ms):
         self.waits_ms.append(wait_ms)
-        return await self._next(("watch", *spelt(after)))
+        return await self._next(("watch", *call_arguments(after)))
 
     async def _next(self, call):
         self.calls.append(call)
@@ -45,13 +45,13 @@
         return Delta(revision=revision, whole=call == "read", entries=())
 
 
-def spelt(revision):
-    """Return a revision as the calls of most tests name it: without the first era."""
+def call_arguments(revision):
+    """Return a revision as recorded in calls: the first era is left out."""
     return revision if revision.era else (revision.number,)
 
 
 class BurstStore:
-    """Makes one change after the other, and answers watches as soon as there is one."""
+    """A store that changes at a fixed interval and answers watches at each change."""
 
     era = 0
 
@@ -59,51 +59,51 @@
         self.changes = changes
         self.gap_s = gap_s
         self.watches = 0
-        self.told = 0
-        self._began_s = asyncio.get_running_loop().time()
+        self.reported = 0
+        self._started_s = asyncio.get_running_loop().time()
 
     async def read(self):
         return Delta(revision=UNKNOWN, whole=True, entries=())
 
     async def watch(self, after, wait_ms):
         self.watches += 1
-        while self._made() <= after.number:
+        while self._change_count() <= after.number:
             await asyncio.sleep(self.gap_s / 4)
-        self.told = self._made()
-        return Delta(revision=Revision(0, self.told), whole=False, entries=())
+        self.reported = self._change_count()
+        return Delta(revision=Revision(0, self.reported), whole=False, entries=())
 
-    def _made(self):
-        passed_s = asyncio.get_running_loop().time() - self._began_s
-        return min(self.changes, int(passed_s / self.gap_s))
+    def _change_count(self):
+        elapsed_s = asyncio.get_running_loop().time() - self._started_s
+        return min(self.changes, int(elapsed_s / self.gap_s))
 
 
-class Keeper:
-    """Notes what it is told."""
+class RecordingKeeper:
+    """Records the calls of the reader."""
 
     def __init__(self):
         self.revision = UNKNOWN
-        self.told = []
+        self.states = []
         self.followed = []
 
     def take(self, delta, source):
         self.revision = max(self.revision, delta.revision)
 
     def platform_away(self):
-        self.told.append("away")
+        self.states.append("away")
 
     def platform_back(self):
-        self.told.append("back")
+        self.states.append("back")
 
     def platform_followed(self, following):
         self.followed.append(following)
 
 
-def new_reader(store, keeper, duty):
-    return PlatformReader(store=store, keeper=keeper, duty=duty, rng=random.Random(1))
+def new_reader(store, keeper, role):
+    return PlatformReader(store=store, keeper=keeper, duty=role, rng=random.Random(1))
 
 
 async def follow(*answers):
-    store, keeper = ScriptedStore(*answers), Keeper()
+    store, keeper = ScriptedStore(*answers), RecordingKeeper()
     reader = new_reader(
         store, keeper, ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
     )
@@ -115,67 +115,67 @@
     return store, keeper
 
 
-async def test_reading_is_held_by_watches_from_its_revision():
+async def test_read_is_followed_by_watches_from_its_revision():
     store, _ = await follow(4, 6)
     assert store.calls == ["read", ("watch", 4), ("watch", 6)]
 
 
-async def test_changes_in_a_burst_take_one_call_for_all_but_the_first():
-    """The servers of a service are replaced: a dozen changes within a second, and
-    every sidecar calls the platform again after each.
+async def test_changes_after_the_first_of_a_burst_are_fetched_in_one_call():
+    """The servers of a service are replaced, with a dozen changes within a second.
+    Every sidecar would call the platform again after each.
     """
     store = BurstStore(changes=12, gap_s=0.02)
     reader = new_reader(
-        store, Keeper(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, RecordingKeeper(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
-        while store.told < 12:
+        while store.reported < 12:
             await asyncio.sleep(0.01)
     task.cancel()
     assert store.watches <= 3
 
 
-async def test_lost_history_is_read_anew():
+async def test_lost_history_causes_a_full_read():
     store, _ = await follow(4, HistoryGoneError(), 9)
     assert store.calls == ["read", ("watch", 4), "read", ("watch", 9)]
 
 
-async def test_outage_is_told_and_the_watch_goes_on_where_it_was():
-    """The platform is away for a moment. Changes of the meantime are still in its
-    history, so nothing is read anew: all hosts would do so at once.
+async def test_outage_is_reported_and_the_watch_continues_from_its_revision():
+    """The platform is unreachable for a moment. Changes of that time are still in its
+    history, so there is no full read: all hosts would do one at once.
     """
     down = PlatformUnavailableError(reason="reset")
     store, keeper = await follow(4, down, 5)
     assert store.calls == ["read", ("watch", 4), ("watch", 4), ("watch", 5)]
-    assert keeper.told == ["back", "away", "back"]
+    assert keeper.states == ["back", "away", "back"]
 
 
-async def test_start_during_an_outage_reads_once_it_is_over():
+async def test_start_during_an_outage_reads_after_its_end():
     down = PlatformUnavailableError(reason="status 503")
     store, keeper = await follow(down, down, 7)
     assert store.calls == ["read", "read", "read", ("watch", 7)]
     assert keeper.revision == Revision(0, 7)
 
 
-async def test_return_of_the_platform_is_found_at_once_and_not_by_the_next_change():
-    """The watch is cut for a moment, and the next one waits for a change. Three seconds
-    later a server is removed. If the platform counted as away until that answer, the
-    removal would pass for an expiry of a long outage and be held back: the server
-    would get work for two seconds more.
+async def test_return_of_the_platform_is_detected_before_the_next_change():
+    """A watch is interrupted for a moment, and the next one waits for a change. Three
+    seconds later a server is removed. If the platform counted as unreachable until that
+    reply, the removal would be taken for an expiry during a long outage and be held,
+    and the server would get work for two more seconds.
     """
     down = PlatformUnavailableError(reason="reset")
     store, keeper = await follow(4, down, 4)
     assert store.waits_ms[0] == WATCH_MS
     assert store.waits_ms[1] == RETURN_WATCH_MS
     assert store.waits_ms[2] == WATCH_MS
-    assert keeper.told == ["back", "away", "back"]
+    assert keeper.states == ["back", "away", "back"]
 
 
-def duty_of(own_ip, **peers):
-    duty = ZoneDuty(own_ip=own_ip, holders=2, step_ms=50.0)
-    duty.decide({f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0)
-    return duty
+def role_of(own_ip, **peers):
+    role = ZoneDuty(own_ip=own_ip, holders=2, step_ms=50.0)
+    role.decide({f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0)
+    return role
 
 
 async def run_until(condition, reader):
@@ -186,30 +186,30 @@
     task.cancel()
 
 
-async def test_sidecar_off_duty_reads_once_and_leaves_the_platform_to_others():
-    """A zone of thirty sidecars calls the platform thirty times for each change."""
-    store, keeper = ScriptedStore(4, 5, 6), Keeper()
-    duty = duty_of("10.0.0.3", p1=True, p2=True)
+async def test_inactive_sidecar_reads_once_and_then_makes_no_calls():
+    """Guards against thirty sidecars of a zone calling the platform for each change."""
+    store, keeper = ScriptedStore(4, 5, 6), RecordingKeeper()
+    role = role_of("10.0.0.3", p1=True, p2=True)
     await run_until(
-        lambda: keeper.followed[-1:] == [False], new_reader(store, keeper, duty)
+        lambda: keeper.followed[-1:] == [False], new_reader(store, keeper, role)
     )
     assert store.calls == ["read"]
     assert keeper.followed == [True, False]
 
 
-async def test_sidecar_comes_on_duty_when_the_watchers_are_gone():
-    """Both watchers are cut off. Their zone must hear of the next change in time: the
-    first call tells at once whether the platform can be read, and peers rely on that.
+async def test_sidecar_becomes_active_when_the_watchers_are_lost():
+    """Both watchers are isolated. Their zone must receive the next change in time: the
+    first call shows at once whether the platform can be read, and peers rely on that.
     """
-    store, keeper = ScriptedStore(4), Keeper()
-    duty = duty_of("10.0.0.3", p1=True, p2=True)
-    reader = new_reader(store, keeper, duty)
+    store, keeper = ScriptedStore(4), RecordingKeeper()
+    role = role_of("10.0.0.3", p1=True, p2=True)
+    reader = new_reader(store, keeper, role)
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
         while keeper.followed != [True, False]:
             await asyncio.sleep(0.01)
         store.answers = [4]
-        duty.decide({}, 1_000)
+        role.decide({}, 1_000)
         while keeper.followed != [True, False, True]:
             await asyncio.sleep(0.01)
     task.cancel()
@@ -217,19 +217,20 @@
     assert store.waits_ms[0] == RETURN_WATCH_MS
 
 
-async def test_sidecar_turned_away_doesnt_take_the_platform_for_lost():
-    """The platform turns one sidecar away and serves its peers. A server is removed:
-    held back as the expiry of an outage, it would get work for two seconds more.
+async def test_refused_sidecar_does_not_count_the_platform_as_unreachable():
+    """The platform refuses one sidecar and serves its peers. A server is removed. If
+    the removal were held as an expiry during an outage, the server would get work for
+    two more seconds.
     """
     down = PlatformUnavailableError(reason="status 429")
-    store, keeper = ScriptedStore(4, down, down, 5), Keeper()
-    duty = duty_of("10.0.0.1", p2=True, p3=True)
-    await run_until(lambda: not store.answers, new_reader(store, keeper, duty))
-    assert "away" not in keeper.told
+    store, keeper = ScriptedStore(4, down, down, 5), RecordingKeeper()
+    role = role_of("10.0.0.1", p2=True, p3=True)
+    await run_until(lambda: not store.answers, new_reader(store, keeper, role))
+    assert "away" not in keeper.states
 
 
-async def test_watch_answered_in_another_era_is_no_continuation():
-    """Guards against changes of a restored store without what it has lost."""
+async def test_watch_answered_in_another_era_causes_a_full_read():
+    """Guards against merging changes of a restored store without what it has lost."""
     store, keeper = await follow(4, Revision(1, 6), Revision(1, 5), Revision(1, 7))
     assert store.calls == [
         "read",
@@ -241,17 +242,17 @@
     assert keeper.revision == Revision(1, 7)
 
 
-async def test_era_that_any_answer_bears_is_read_anew():
-    """Guards against a new era that only a refusal has told."""
-    store, keeper = ScriptedStore(4, 5, Revision(1, 3)), Keeper()
-    reader = new_reader(store, keeper, duty_of("10.0.0.1"))
-    store.watch = told_by_refusal(store, store.watch)
+async def test_new_era_in_any_reply_causes_a_full_read():
+    """Guards against missing a new era that only a refusal has reported."""
+    store, keeper = ScriptedStore(4, 5, Revision(1, 3)), RecordingKeeper()
+    reader = new_reader(store, keeper, role_of("10.0.0.1"))
+    store.watch = with_era_in_refusal(store, store.watch)
     await run_until(lambda: keeper.revision == Revision(1, 3), reader)
     assert store.calls[:3] == ["read", ("watch", 4), "read"]
 
 
-def told_by_refusal(store, watch):
-    """Return a watch whose first answer is a refusal that bears the next era."""
+def with_era_in_refusal(store, watch):
+    """Return a watch whose first reply is a refusal with the next era."""
 
     async def refused(after, wait_ms):
         await watch(after, wait_ms)
@@ -262,20 +263,20 @@
     return refused
 
 
-async def test_answer_of_an_older_era_is_not_taken():
-    """Guards against a late answer that takes a copy back to an older era."""
-    store, keeper = ScriptedStore(4, Revision(2, 6)), Keeper()
+async def test_reply_of_an_older_era_is_rejected():
+    """Guards against a late reply that takes the replica back to an older era."""
+    store, keeper = ScriptedStore(4, Revision(2, 6)), RecordingKeeper()
     keeper.revision = Revision(2, 5)
-    reader = new_reader(store, keeper, duty_of("10.0.0.1"))
+    reader = new_reader(store, keeper, role_of("10.0.0.1"))
     await run_until(lambda: keeper.revision == Revision(2, 6), reader)
     assert store.calls[:2] == ["read", "read"]
 
 
 async def test_store_that_keeps_no_history_is_read_with_pauses():
-    """Guards against readings and lost histories in turn, each at once."""
+    """Guards against full reads and lost histories in a loop without pauses."""
     gone = [answer for _ in range(20) for answer in (4, HistoryGoneError())]
-    store, keeper = ScriptedStore(*gone), Keeper()
-    reader = new_reader(store, keeper, duty_of("10.0.0.1"))
+    store, keeper = ScriptedStore(*gone), RecordingKeeper()
+    reader = new_reader(store, keeper, role_of("10.0.0.1"))
     task = asyncio.create_task(reader.run())
     await asyncio.sleep(0.5)
     task.cancel()
--- a/packages/sassafraswinch-sidecar/tests/test_replica.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Copies of the platform's data that merge in any order."""
+"""Tests of replicas, which merge changes in any order."""
 
 import random
 
@@ -46,8 +46,8 @@
     assert replica.revision == Revision(0, 5)
 
 
-def test_whole_reading_removes_what_it_lacks():
-    """History is dropped while a server leaves; the next reading doesn't name it."""
+def test_full_delta_removes_the_keys_that_it_lacks():
+    """History is lost while a server leaves; the next full delta lacks its key."""
     replica = new_replica()
     replica.merge(delta_of(3, entry("a", 2), entry("b", 3), whole=True))
     changed = replica.merge(delta_of(9, entry("a", 2), whole=True))
@@ -55,10 +55,11 @@
     assert values(replica) == {"a": 2}
 
 
-def test_removal_reaches_a_peer_through_one_that_never_saw_the_key():
-    """Two hosts follow a third. One has just started and never knew a server that
-    was removed meanwhile. If it didn't keep the removal, the other one would ask it
-    for the changes, get none, and send work to the removed server for ever.
+def test_removal_reaches_a_peer_through_one_that_never_had_the_key():
+    """Two hosts receive changes from a third. One has just started and never had the
+    registration of a server that was removed meanwhile. If it didn't keep the removal,
+    the other one would request the changes from it, receive none, and send work to the
+    removed server for ever.
     """
     fresh, behind = new_replica(), new_replica()
     behind.merge(delta_of(2, entry("a", 2), whole=True))
@@ -76,27 +77,27 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_copies_that_exchange_changes_end_equal(changes, rng: random.Random):
-    """Each copy reads the platform up to some moment; then they ask each other."""
+def test_replicas_that_exchange_changes_converge(changes, rng: random.Random):
+    """Each replica has the changes up to some revision; then they exchange changes."""
     history = [
         entry(key, number, None if removed else b"%d" % number)
         for number, (key, removed) in enumerate(changes, 1)
     ]
-    copies = [new_replica() for _ in range(3)]
-    for copy in copies:
+    replicas = [new_replica() for _ in range(3)]
+    for replica in replicas:
         reached = rng.randrange(len(history) + 1)
-        copy.merge(delta_of(reached, *history[:reached]))
+        replica.merge(delta_of(reached, *history[:reached]))
     for _ in range(2):
-        for left in copies:
-            for right in copies:
+        for left in replicas:
+            for right in replicas:
                 left.merge(right.since(left.position))
-    assert values(copies[0]) == values(copies[1]) == values(copies[2])
-    revisions = {copy.revision for copy in copies}
+    assert values(replicas[0]) == values(replicas[1]) == values(replicas[2])
+    revisions = {replica.revision for replica in replicas}
     assert len(revisions) == 1
 
 
-def test_copy_of_a_restored_store_goes_before_all_that_was_known():
-    """Guards against entries that are refused since their revisions went back."""
+def test_restored_store_takes_precedence_over_former_data():
+    """Guards against ignoring entries because their revision numbers went back."""
     replica = new_replica()
     replica.merge(delta_of(9, entry("a", 4), entry("b", 9), whole=True))
     restored = delta_of(
@@ -113,8 +114,8 @@
     assert replica.revision == Revision(1, 7)
 
 
-def test_changes_of_another_era_are_not_taken_for_a_continuation():
-    """Guards against late answers, and against changes without what was lost."""
+def test_changes_of_another_era_are_not_merged():
+    """Guards against late replies, and against changes that omit what was lost."""
     replica = new_replica()
     replica.merge(delta_of(5, entry("a", 5, era=1), whole=True, era=1))
     assert replica.merge(delta_of(9, entry("b", 9))) == []
@@ -124,8 +125,8 @@
     assert replica.revision == Revision(1, 5)
 
 
-def test_peer_of_an_older_era_is_told_everything():
-    """Guards against a host that a cut kept in the old era, with higher numbers."""
+def test_peer_of_an_older_era_receives_a_full_delta():
+    """Guards against an isolated host that keeps the higher numbers of an old era."""
     restored, behind = new_replica(), new_replica()
     behind.merge(delta_of(9, entry("a", 4), entry("b", 9), whole=True))
     restored.merge(delta_of(5, entry("a", 4, era=1), whole=True, era=1))
@@ -137,35 +138,35 @@
     assert behind.position == restored.position
 
 
-def test_newest_routes_outlive_a_copy_that_lacks_them():
-    """Guards against a confirmed version that an older copy of the store takes back."""
-    knows, fresh = new_replica(), new_replica()
-    knows.merge(delta_of(9, entry(ROUTES, 9, b"8"), whole=True))
-    copy = delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1)
-    assert knows.merge(copy) == []
-    fresh.merge(copy)
-    assert fresh.position.lacks(knows.position)
-    fresh.merge(knows.since(fresh.position))
-    assert fresh.routes_version == knows.routes_version == 8
-    assert knows.merge(delta_of(6, whole=True, era=2)) == []
-    assert knows.since(new_replica().position).entries[0].value == b"8"
+def test_newest_routes_survive_a_restore_that_lacks_them():
+    """Guards against reverting a confirmed version to that of an older copy."""
+    current, fresh = new_replica(), new_replica()
+    current.merge(delta_of(9, entry(ROUTES, 9, b"8"), whole=True))
+    restored = delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1)
+    assert current.merge(restored) == []
+    fresh.merge(restored)
+    assert fresh.position.lacks(current.position)
+    fresh.merge(current.since(fresh.position))
+    assert fresh.routes_version == current.routes_version == 8
+    assert current.merge(delta_of(6, whole=True, era=2)) == []
+    assert current.since(new_replica().position).entries[0].value == b"8"
 
 
-def test_routes_that_cant_be_read_are_not_handed_on():
-    """Guards against peers that start with routes of which they can read nothing."""
+def test_invalid_routes_are_not_sent_to_peers():
+    """Guards against peers that start with invalid routes only."""
     replica = new_replica()
     replica.merge(delta_of(3, entry(ROUTES, 3, b"7"), whole=True))
     assert replica.merge(delta_of(4, entry(ROUTES, 4, b"odd"))) == []
-    told = replica.since(new_replica().position)
-    assert [found.value for found in told.entries] == [b"7"]
+    sent = replica.since(new_replica().position)
+    assert [found.value for found in sent.entries] == [b"7"]
 
 
-def test_host_that_a_cut_kept_in_the_old_era_hands_its_newer_routes_on():
-    """Guards against a confirmed version that only a host of the old era knows."""
-    cut, restored = new_replica(), new_replica()
-    cut.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), whole=True))
+def test_isolated_host_of_the_old_era_sends_its_newer_routes():
+    """Guards against losing a confirmed version that only a host of the old era has."""
+    isolated, restored = new_replica(), new_replica()
+    isolated.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), whole=True))
     restored.merge(delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1))
-    assert restored.position.lacks(cut.position)
-    changed = restored.merge(cut.since(restored.position))
+    assert restored.position.lacks(isolated.position)
+    changed = restored.merge(isolated.since(restored.position))
     assert [found.value for found in changed] == [b"8"]
     assert restored.revision == Revision(1, 5)
--- a/packages/sassafraswinch-sidecar/tests/test_standstill.py
+++ b/packages/sassafraswinch-sidecar/tests/test_standstill.py
@@ -1,10 +1,10 @@
-"""Noticing that the machine stood still."""
+"""Tests of the detection of process pauses."""
 
 from sassafraswinch_sidecar.standstill import Standstill
 
 
 class Clocks:
-    """A machine that runs and is suspended."""
+    """Clocks of a host that runs and is suspended."""
 
     def __init__(self):
         self.boot_ms = 50_000.0
@@ -17,25 +17,25 @@
     def suspend(self, for_ms):
         self.boot_ms += for_ms
 
-    def standstill(self):
+    def new_detector(self):
         return Standstill(
             boot_ms=lambda: self.boot_ms, steady_ms=lambda: self.steady_ms
         )
 
 
-def test_only_time_that_the_steady_clock_missed_is_a_standstill():
+def test_only_time_that_the_monotonic_clock_missed_is_a_pause():
     clocks = Clocks()
-    standstill = clocks.standstill()
+    detector = clocks.new_detector()
     clocks.run(5_000.0)
-    assert standstill.look() == 0.0
+    assert detector.look() == 0.0
     clocks.suspend(3_000.0)
     clocks.run(100.0)
-    assert standstill.look() == 3_000.0
-    assert standstill.look() == 0.0
+    assert detector.look() == 3_000.0
+    assert detector.look() == 0.0
 
 
-def test_clocks_that_are_read_a_moment_apart_are_no_standstill():
+def test_jitter_between_clock_readings_is_no_pause():
     clocks = Clocks()
-    standstill = clocks.standstill()
+    detector = clocks.new_detector()
     clocks.suspend(20.0)
-    assert standstill.look() == 0.0
+    assert detector.look() == 0.0
--- a/packages/sassafraswinch-sidecar/tests/test_store_restored_routes.py
+++ b/packages/sassafraswinch-sidecar/tests/test_store_restored_routes.py
@@ -1,4 +1,4 @@
-"""Routes after the platform's store came back from an older copy."""
+"""Tests of routes after the platform's store was restored from an older copy."""
 
 import pytest
 
@@ -12,20 +12,20 @@
 
 
 def versions(fleet) -> set[int]:
-    """Return the versions that are in force."""
+    """Return the route table versions in force."""
     return {node.sidecar._fleet.table.version for node in fleet.nodes}
 
 
 async def put_and_lose(fleet, version):
-    """Put a version in force that the store then loses."""
+    """Put a version in force; return a copy of the store that lacks it."""
     copy = fleet.store.copy()
     await put_routes(fleet.store, version)
     await until(lambda: versions(fleet) == {version})
     return copy
 
 
-async def test_routes_written_at_a_revision_given_out_before_are_in_force(fleet):
-    """Guards against new routes that are taken for known ones by their revision."""
+async def test_routes_written_at_a_reused_revision_come_into_force(fleet):
+    """Guards against ignoring new routes because their revision is known."""
     copy = await put_and_lose(fleet, 2)
     await fleet.store.restore(copy)
     await put_routes(fleet.store, 3)
@@ -35,8 +35,8 @@
         assert got.status == 200
 
 
-async def test_routes_below_a_revision_that_was_overtaken_are_in_force(fleet):
-    """Guards against a watch that goes on in a store that has come back meanwhile."""
+async def test_routes_below_a_former_revision_come_into_force(fleet):
+    """Guards against a watch that continues in a store that was restored meanwhile."""
     copy = await put_and_lose(fleet, 2)
     fleet.store.cut_off = {node.ip for node in fleet.nodes}
     await fleet.store.restore(copy)
@@ -47,8 +47,8 @@
     await until(lambda: versions(fleet) == {3})
 
 
-async def test_store_that_came_back_is_not_read_again_and_again(fleet):
-    """Guards against readings and lost histories in turn, each at once."""
+async def test_restored_store_is_not_read_repeatedly(fleet):
+    """Guards against full reads and lost histories in a loop without pauses."""
     copy = await put_and_lose(fleet, 2)
     await fleet.store.restore(copy)
     reads = []
@@ -65,7 +65,7 @@
 
 
 async def test_lost_routes_stay_in_force_until_they_are_written_again(fleet):
-    """Guards against a confirmed change that an older copy takes back."""
+    """Guards against a restore that reverts a confirmed change."""
     copy = await put_and_lose(fleet, 2)
     await fleet.store.restore(copy)
     await fleet.store.put("other/1", {})
--- a/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers after the platform's store came back from an older copy."""
+"""Tests of backend servers after the platform's store was restored from a copy."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 from sidecar_standins.instances import instance_value
 
 
-class RestoredWorld:
-    """A fleet that follows a store, which comes back from an older copy on demand."""
+class RestoredStoreHarness:
+    """A fleet that follows a store, which can be restored from an older copy."""
 
     def __init__(self):
         self.fleet = Fleet(decoder=MemoryDecoder(), report=print)
@@ -29,7 +29,7 @@
         return dict(self.items), self.revision
 
     def restore(self, copy, now_ms):
-        """Come back from a copy, and be read whole."""
+        """Restore the store from a copy, and apply a full read."""
         items, (era, number) = copy
         era = self.revision.era + 1
         self.revision = Revision(era, number)
@@ -42,7 +42,9 @@
             for key, entry in items.items()
         }
         live = tuple(e for e in self.items.values() if e.value is not None)
-        self._take(Delta(revision=self.revision, whole=True, entries=live), now_ms)
+        self._apply_delta(
+            Delta(revision=self.revision, whole=True, entries=live), now_ms
+        )
 
     def ids(self):
         return sorted(found.id for found in self.fleet.of_service("archiv"))
@@ -56,9 +58,11 @@
         self.revision = Revision(era, number + 1)
         entry = Entry(key=key, revision=self.revision, value=value)
         self.items[key] = entry
-        self._take(Delta(revision=self.revision, whole=False, entries=(entry,)), now_ms)
+        self._apply_delta(
+            Delta(revision=self.revision, whole=False, entries=(entry,)), now_ms
+        )
 
-    def _take(self, delta, now_ms):
+    def _apply_delta(self, delta, now_ms):
         era = self.replica.revision.era
         changed = self.replica.merge(delta)
         if self.replica.revision.era > era:
@@ -67,119 +71,119 @@
 
 
 @pytest.fixture
-def world():
-    return RestoredWorld()
-
-
-def test_server_that_said_it_leaves_stays_leaving(world):
-    """Guards against a leaving that an older copy of the store takes back."""
-    world.put("a", 0.0)
-    copy = world.copy()
-    world.put("a", 10.0, leaving=True)
-    world.restore(copy, 20.0)
-    assert world.ids() == []
-    assert world.fleet.is_leaving("a")
-    world.put("a", 900.0, leaving=True)
-    world.remove("a", 3_000.0)
-    assert world.tick(9_000.0) == []
-    world.restore(copy, 9_100.0)
-    assert world.tick(9_100.0 + 2 * EXPIRED_BY_MS) == []
-
-
-def test_server_that_left_and_was_removed_gets_no_requests_again(world):
-    """Guards against servers that only an older copy of the store still lists."""
-    world.put("a", 0.0)
-    world.put("b", 0.0, ip="10.0.0.2")
-    copy = world.copy()
-    world.remove("a", 10.0)
-    world.put("b", 10.0, ip="10.0.0.2", leaving=True)
-    world.remove("b", 2_000.0)
-    world.restore(copy, 2_100.0)
-    assert world.ids() == []
-    assert world.fleet.is_leaving("a")
-    assert world.fleet.is_leaving("b")
-    world.remove("a", 6_000.0)
-    assert world.tick(2_100.0 + EXPIRED_BY_MS) == []
-
-
-def test_server_that_was_removed_and_writes_again_is_used(world):
-    """Guards against a living server that its former removal keeps out of use."""
-    world.put("a", 0.0)
-    copy = world.copy()
-    world.remove("a", 10.0)
-    world.restore(copy, 100.0)
-    assert world.ids() == []
-    world.put("a", 900.0, slots=9)
-    assert world.ids() == ["a"]
-
-
-def test_server_that_is_listed_for_longer_than_a_dead_one_is_used(world):
-    """Guards against the same where the server wrote before the store was read."""
-    world.put("a", 0.0)
-    copy = world.copy()
-    world.remove("a", 10.0)
-    world.restore(copy, 100.0)
-    assert world.tick(100.0 + EXPIRED_BY_MS - 1) == []
-    assert world.tick(100.0 + EXPIRED_BY_MS) == ["a"]
-
-
-def test_doubted_server_whose_entry_cant_be_read_is_not_used(world):
-    """Guards against a server that is used though nobody knows what it is by now."""
-    world.put("a", 0.0)
-    copy = world.copy()
-    world.remove("a", 10.0)
-    world.restore(copy, 100.0)
-    world.write(INSTANCE + "a", b'{"fault": true}', 200.0)
-    assert world.tick(100.0 + EXPIRED_BY_MS) == []
-
-
-def test_next_lifetime_of_a_server_that_left_is_used(world):
-    """Guards against a started server that is taken for its former lifetime."""
-    world.put("a", 0.0, incarnation=1)
-    copy = world.copy()
-    world.put("a", 10.0, leaving=True, incarnation=1)
-    world.restore(copy, 100.0)
-    world.put("a", 900.0, incarnation=2)
-    assert world.ids() == ["a"]
-
-
-def test_server_that_the_copy_lacks_has_time_to_write_again(world):
-    """Guards against refusals for servers that the store only has to hear of again."""
-    world.put("a", 0.0)
-    copy = world.copy()
-    world.put("b", 10.0, ip="10.0.0.2")
-    world.put("c", 10.0, ip="10.0.0.3")
-    world.restore(copy, 100.0)
-    assert world.ids() == ["a", "b", "c"]
-    world.put("b", 1_500.0, ip="10.0.0.2")
-    assert world.tick(100.0 + RETURN_MS) == ["a", "b"]
-
-
-def test_removal_long_after_the_store_came_back_counts_at_once(world):
-    """Guards against requests at a server whose removal is taken for a loss."""
-    world.put("a", 0.0)
-    world.restore(world.copy(), 100.0)
-    world.remove("a", 100.0 + RETURN_MS)
-    assert world.ids() == []
-
-
-def test_latest_server_at_an_address_stays_the_latest(world):
-    """Guards against an entry of a former server that passes for a newer one."""
-    world.put("old", 0.0)
-    world.put("other", 1.0, ip="10.0.0.2")
-    copy = world.copy()
-    world.put("new", 10.0)
-    assert world.ids() == ["new", "other"]
-    world.restore(copy, 100.0)
-    assert world.ids() == ["new", "other"]
-    world.put("new", 1_000.0)
-    assert world.tick(5_000.0) == ["new", "other"]
-    world.restore(world.copy(), 6_000.0)
-    assert world.tick(9_000.0) == ["new", "other"]
-
-
-async def test_leaving_at_a_revision_given_out_before_reaches_every_host():
-    """Guards against requests to a leaving server from hosts that were never told."""
+def harness():
+    return RestoredStoreHarness()
+
+
+def test_server_that_gave_leave_notice_stays_leaving(harness):
+    """Guards against a restore that reverts a leave notice."""
+    harness.put("a", 0.0)
+    copy = harness.copy()
+    harness.put("a", 10.0, leaving=True)
+    harness.restore(copy, 20.0)
+    assert harness.ids() == []
+    assert harness.fleet.is_leaving("a")
+    harness.put("a", 900.0, leaving=True)
+    harness.remove("a", 3_000.0)
+    assert harness.tick(9_000.0) == []
+    harness.restore(copy, 9_100.0)
+    assert harness.tick(9_100.0 + 2 * EXPIRED_BY_MS) == []
+
+
+def test_server_that_left_and_was_removed_gets_no_more_requests(harness):
+    """Guards against using servers that only an older copy still lists."""
+    harness.put("a", 0.0)
+    harness.put("b", 0.0, ip="10.0.0.2")
+    copy = harness.copy()
+    harness.remove("a", 10.0)
+    harness.put("b", 10.0, ip="10.0.0.2", leaving=True)
+    harness.remove("b", 2_000.0)
+    harness.restore(copy, 2_100.0)
+    assert harness.ids() == []
+    assert harness.fleet.is_leaving("a")
+    assert harness.fleet.is_leaving("b")
+    harness.remove("a", 6_000.0)
+    assert harness.tick(2_100.0 + EXPIRED_BY_MS) == []
+
+
+def test_removed_server_that_registers_again_is_used(harness):
+    """Guards against a running server that stays excluded by its former removal."""
+    harness.put("a", 0.0)
+    copy = harness.copy()
+    harness.remove("a", 10.0)
+    harness.restore(copy, 100.0)
+    assert harness.ids() == []
+    harness.put("a", 900.0, slots=9)
+    assert harness.ids() == ["a"]
+
+
+def test_server_listed_for_longer_than_an_exited_one_is_used(harness):
+    """Guards against excluding a server that registered before the store was read."""
+    harness.put("a", 0.0)
+    copy = harness.copy()
+    harness.remove("a", 10.0)
+    harness.restore(copy, 100.0)
+    assert harness.tick(100.0 + EXPIRED_BY_MS - 1) == []
+    assert harness.tick(100.0 + EXPIRED_BY_MS) == ["a"]
+
+
+def test_doubted_server_with_an_invalid_registration_is_not_used(harness):
+    """Guards against using a server whose current state is unknown."""
+    harness.put("a", 0.0)
+    copy = harness.copy()
+    harness.remove("a", 10.0)
+    harness.restore(copy, 100.0)
+    harness.write(INSTANCE + "a", b'{"fault": true}', 200.0)
+    assert harness.tick(100.0 + EXPIRED_BY_MS) == []
+
+
+def test_next_lifetime_of_a_server_that_left_is_used(harness):
+    """Guards against taking a restarted server for its former lifetime."""
+    harness.put("a", 0.0, incarnation=1)
+    copy = harness.copy()
+    harness.put("a", 10.0, leaving=True, incarnation=1)
+    harness.restore(copy, 100.0)
+    harness.put("a", 900.0, incarnation=2)
+    assert harness.ids() == ["a"]
+
+
+def test_server_missing_from_the_copy_has_time_to_register_again(harness):
+    """Guards against refusals for servers that are about to register again."""
+    harness.put("a", 0.0)
+    copy = harness.copy()
+    harness.put("b", 10.0, ip="10.0.0.2")
+    harness.put("c", 10.0, ip="10.0.0.3")
+    harness.restore(copy, 100.0)
+    assert harness.ids() == ["a", "b", "c"]
+    harness.put("b", 1_500.0, ip="10.0.0.2")
+    assert harness.tick(100.0 + RETURN_MS) == ["a", "b"]
+
+
+def test_removal_long_after_the_restore_takes_effect_at_once(harness):
+    """Guards against requests to a server whose removal is taken for data loss."""
+    harness.put("a", 0.0)
+    harness.restore(harness.copy(), 100.0)
+    harness.remove("a", 100.0 + RETURN_MS)
+    assert harness.ids() == []
+
+
+def test_latest_server_at_an_address_stays_the_latest(harness):
+    """Guards against taking the registration of a former server for a newer one."""
+    harness.put("old", 0.0)
+    harness.put("other", 1.0, ip="10.0.0.2")
+    copy = harness.copy()
+    harness.put("new", 10.0)
+    assert harness.ids() == ["new", "other"]
+    harness.restore(copy, 100.0)
+    assert harness.ids() == ["new", "other"]
+    harness.put("new", 1_000.0)
+    assert harness.tick(5_000.0) == ["new", "other"]
+    harness.restore(harness.copy(), 6_000.0)
+    assert harness.tick(9_000.0) == ["new", "other"]
+
+
+async def test_leave_notice_at_a_reused_revision_reaches_every_host():
+    """Guards against requests to a leaving server from hosts that missed its notice."""
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         copy = fleet.store.copy()
         await fleet.store.put("other/1", {})
--- a/packages/sassafraswinch-sidecar/tests/test_zone_duty.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_duty.py
@@ -1,4 +1,4 @@
-"""Who does a duty for an availability zone."""
+"""Tests of the election of a zone's active sidecars."""
 
 from hypothesis import given, strategies as st
 
@@ -8,74 +8,76 @@
 IPS = [f"10.0.0.{number}" for number in range(1, 10)]
 
 
-def new_duty(own_ip):
+def new_role(own_ip):
     return ZoneDuty(own_ip=own_ip, holders=WATCHERS, step_ms=STEP_MS)
 
 
-def decided(own_ip, peers, now_ms=0.0):
-    duty = new_duty(own_ip)
-    duty.decide(peers, now_ms)
-    return duty
+def decided_role(own_ip, peers, now_ms=0.0):
+    role = new_role(own_ip)
+    role.decide(peers, now_ms)
+    return role
 
 
-def settle(sees, rounds=40):
-    """Let all sidecars decide by turns; return who follows in the end.
+def settled_watchers(visible, rounds=40):
+    """Let all sidecars decide in turn; return those that are active at the end.
 
     Args:
-        sees: the peers that each sidecar can reach.
+        visible: peers that each sidecar can reach.
         rounds: rounds of decisions, one step apart.
     """
-    duties = {ip: new_duty(ip) for ip in sees}
-    following = dict.fromkeys(sees, False)
+    roles = {ip: new_role(ip) for ip in visible}
+    following = dict.fromkeys(visible, False)
     for number in range(rounds):
-        for ip, duty in duties.items():
-            duty.decide({peer: following[peer] for peer in sees[ip]}, number * STEP_MS)
-            following[ip] = duty.is_own
+        for ip, role in roles.items():
+            role.decide(
+                {peer: following[peer] for peer in visible[ip]}, number * STEP_MS
+            )
+            following[ip] = role.is_own
     return {ip for ip, follows in following.items() if follows}
 
 
-def test_two_sidecars_of_a_zone_follow_and_the_others_stand_by():
-    sees = {ip: set(IPS) - {ip} for ip in IPS}
-    assert settle(sees) == set(IPS[:WATCHERS])
-    duty = decided(IPS[5], {ip: ip in IPS[:3] for ip in IPS if ip != IPS[5]})
-    assert not duty.is_own
+def test_two_sidecars_of_a_zone_are_active_and_the_others_stand_by():
+    visible = {ip: set(IPS) - {ip} for ip in IPS}
+    assert settled_watchers(visible) == set(IPS[:WATCHERS])
+    role = decided_role(IPS[5], {ip: ip in IPS[:3] for ip in IPS if ip != IPS[5]})
+    assert not role.is_own
 
 
-def test_sidecar_that_sees_nobody_follows_at_once():
-    """A host is cut off from all others, but not from the platform."""
-    duty = decided(IPS[8], dict.fromkeys(IPS[:8], True))
-    assert not duty.is_own
-    duty.decide({}, 1.0)
-    assert duty.is_own
-    assert not duty.is_held
+def test_sidecar_that_reaches_no_peer_is_active_at_once():
+    """A host is isolated from all others, but not from the platform."""
+    role = decided_role(IPS[8], dict.fromkeys(IPS[:8], True))
+    assert not role.is_own
+    role.decide({}, 1.0)
+    assert role.is_own
+    assert not role.is_held
 
 
-def test_lost_watchers_are_replaced_one_after_the_other():
-    """Both watchers are gone: one call to the platform each, in turn, not thirty."""
+def test_lost_watchers_are_replaced_one_at_a_time():
+    """Both watchers are lost: two sidecars take over in turn, not all thirty."""
     peers = dict.fromkeys(IPS[2:], False)
-    duties = {ip: new_duty(ip) for ip in IPS[2:]}
-    took = {}
+    roles = {ip: new_role(ip) for ip in IPS[2:]}
+    taken_over_ms = {}
     for now_ms in range(0, 1_000, 10):
-        for ip, duty in duties.items():
-            duty.decide({p: f for p, f in peers.items() if p != ip}, now_ms)
-            if duty.is_own:
-                took.setdefault(ip, now_ms)
+        for ip, role in roles.items():
+            role.decide({p: f for p, f in peers.items() if p != ip}, now_ms)
+            if role.is_own:
+                taken_over_ms.setdefault(ip, now_ms)
                 peers[ip] = True
-    assert set(took) == set(IPS[2:4])
-    assert max(took.values()) <= STEP_MS
+    assert set(taken_over_ms) == set(IPS[2:4])
+    assert max(taken_over_ms.values()) <= STEP_MS
 
 
-def test_all_try_while_the_platform_is_away_each_so_much_less_often():
-    duty = decided(IPS[8], dict.fromkeys(IPS[:8], False))
-    duty.decide(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
-    assert duty.is_own
-    assert duty.spread == len(IPS) / WATCHERS
+def test_all_sidecars_try_less_often_while_the_platform_is_unreachable():
+    role = decided_role(IPS[8], dict.fromkeys(IPS[:8], False))
+    role.decide(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
+    assert role.is_own
+    assert role.spread == len(IPS) / WATCHERS
 
 
 @given(st.lists(st.sets(st.sampled_from(IPS)), min_size=len(IPS), max_size=len(IPS)))
-def test_whoever_doesnt_follow_reaches_two_that_do(views):
-    """Links are cut in any way, one direction included."""
-    sees = {ip: view - {ip} for ip, view in zip(IPS, views, strict=True)}
-    following = settle(sees)
+def test_each_inactive_sidecar_reaches_two_active_ones(views):
+    """Any links are cut, also in one direction only."""
+    visible = {ip: view - {ip} for ip, view in zip(IPS, views, strict=True)}
+    following = settled_watchers(visible)
     for ip in set(IPS) - following:
-        assert len(sees[ip] & following) >= WATCHERS
+        assert len(visible[ip] & following) >= WATCHERS
--- a/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
@@ -1,4 +1,4 @@
-"""Which sidecars of the zone can be relied on to follow the platform."""
+"""Tests of the zone's peers that can be relied on to follow the platform."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 OWN_IP = "10.0.0.1"
 
 
-class Hosts:
+class StubFleet:
     """A fleet of four hosts in this zone and one in another."""
 
     def hosts_of(self, availability_zone):
@@ -33,29 +33,29 @@
     return ZonePeers(
         own_ip=OWN_IP,
         availability_zone="brno-a",
-        fleet=Hosts(),
+        fleet=StubFleet(),
         view=view,
         load_of=loads.get,
     )
 
 
-def test_reachable_peers_of_the_zone_that_stay_are_relied_on(peers, loads):
+def test_reachable_peers_of_the_zone_that_are_not_leaving_are_relied_on(peers, loads):
     loads["10.0.0.2"] = PeerLoad(following=True)
     loads["10.0.0.3"] = PeerLoad(following=True, leaving=True)
     loads["10.0.0.9"] = PeerLoad(following=True)
     assert peers.following() == {"10.0.0.2": True, "10.0.0.4": False}
 
 
-def test_host_that_was_told_of_and_is_out_of_reach_is_left_out(peers):
-    """A watcher loses power. Whoever still counted it would leave the zone without
-    news until its entry expires.
+def test_reported_host_that_cannot_be_reached_is_excluded(peers):
+    """A watcher loses power. If it were still counted, the zone would receive no
+    changes until its registration expires.
     """
     assert peers.following() == {"10.0.0.4": False}
 
 
-def test_hosts_that_nobody_has_told_of_yet_count_as_peers(peers):
-    """All hosts start at once and know each other by the platform's list alone. If
-    each took itself for the only one, all of them would follow the platform.
+def test_hosts_that_have_not_been_reported_yet_count_as_peers(peers):
+    """All hosts start at once and know each other only by their registrations. If each
+    counted itself as the only one, all of them would follow the platform.
     """
     peers._view = FleetView(own_ip=OWN_IP)
     assert peers.following() == dict.fromkeys(
