--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -33,7 +33,7 @@
     ZoneContacts,
     ZoneGatherer,
     bare_digest,
-    pause_ms,
+    round_pause_ms,
 )
 
 MIN_PAUSE_S = 0.05
@@ -189,7 +189,7 @@
         """Run a round if this is an aggregator; return the time until the next one."""
         now_ms = self._now_ms()
         members = self._members()
-        round_ms = pause_ms(len(members))
+        round_ms = round_pause_ms(len(members))
         aggregators = self._view.gatherers(now_ms)
         listed = self._fleet.hosts_of(self._zone)
         peers = {
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
@@ -23,7 +23,7 @@
 the platform is billed. A server that left for good costs one call every three seconds
 instead of seven."""
 
-LOOK_S = 0.1
+CHECK_PAUSE_S = 0.1
 """Pause between checks for a missing registration: the interval of the other periodic
 checks."""
 
@@ -66,7 +66,7 @@
             instance = self._find_missing()
             if instance is None:
                 self._set_isolated(False, "")
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_PAUSE_S)
                 continue
             replies = await self._platform_replies(instance)
             self._set_isolated(not replies, instance.id)
@@ -77,7 +77,7 @@
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         while loop.time() < end_s and self._find_missing() is not None:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_PAUSE_S)
 
     async def _platform_replies(self, instance: Instance) -> bool:
         try:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -18,7 +18,7 @@
 from sassafraswinch_sidecar.replica import Delta, Replica
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
-ASK_AGAIN_MS = 300.0
+REQUEST_AGAIN_MS = 300.0
 """Pause before changes are requested from another peer: the first may not reply."""
 
 
@@ -124,7 +124,10 @@
         """Request the changes that a peer has and this sidecar lacks."""
         now_ms = self._now_ms()
         position = self.position
-        if not position.lacks(reported) or now_ms - self._requested_ms < ASK_AGAIN_MS:
+        if (
+            not position.lacks(reported)
+            or now_ms - self._requested_ms < REQUEST_AGAIN_MS
+        ):
             return
         self._requested_ms = now_ms
         link.send(serialize_question(position))
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -148,7 +148,7 @@
         rng: random.Random,
     ):
         self._store = store
-        self._keeper = keeper
+        self._listener = keeper
         self._role = duty
         self._rng = rng
         self._is_complete = False
@@ -174,7 +174,7 @@
     @property
     def _is_needed(self) -> bool:
         """Whether to call the platform: this sidecar is active, or has no data yet."""
-        return self._role.is_own or self._keeper.revision == UNKNOWN
+        return self._role.is_own or self._listener.revision == UNKNOWN
 
     async def _stand_by(self) -> None:
         """Make no calls while peers follow the platform."""
@@ -203,21 +203,21 @@
             self._record_return("peers")
 
     async def _step(self) -> None:
-        if self._is_complete and self._store.era <= self._keeper.revision.era:
+        if self._is_complete and self._store.era <= self._listener.revision.era:
             delta = await self._watch()
         else:
             delta = await self._read()
         self._failures = 0
         self._record_return(PLATFORM_SOURCE)
         self._set_following(True)
-        has_changes = delta.revision > self._keeper.revision
-        self._keeper.take(delta, PLATFORM_SOURCE)
+        has_changes = delta.revision > self._listener.revision
+        self._listener.take(delta, PLATFORM_SOURCE)
         if has_changes and not delta.whole:
             await asyncio.sleep(self._rng.uniform(*GATHER_S))
 
     async def _read(self) -> Delta:
         delta = await self._store.read()
-        if delta.revision.era < self._keeper.revision.era:
+        if delta.revision.era < self._listener.revision.era:
             raise PlatformUnavailableError(
                 reason="store replied with an older era", answered=True
             )
@@ -225,7 +225,7 @@
         return delta
 
     async def _watch(self) -> Delta:
-        after = self._keeper.revision
+        after = self._listener.revision
         wait_ms = WATCH_MS if self._following else RETURN_WATCH_MS
         delta = await self._store.watch(after, wait_ms)
         if delta.revision.era != after.era:
@@ -235,7 +235,7 @@
 
     async def _handle_lost_history(self) -> None:
         """Request a full read, with a pause if watches repeatedly find no history."""
-        era, number = self._keeper.revision
+        era, number = self._listener.revision
         log_event("platform_history_gone", era=era, revision=number)
         self._is_complete = False
         self._lost_histories += 1
@@ -245,21 +245,21 @@
     def _record_return(self, source: str) -> None:
         if self._is_unreachable:
             self._is_unreachable = False
-            era, number = self._keeper.revision
+            era, number = self._listener.revision
             log_event("platform_back", source=source, era=era, revision=number)
-        self._keeper.platform_back()
+        self._listener.platform_back()
 
     def _set_following(self, following: bool) -> None:
         if following != self._following:
             self._following = following
-            self._keeper.platform_followed(following)
+            self._listener.platform_followed(following)
 
     def _record_failure(self, error: PlatformUnavailableError) -> None:
         self._failures += 1
         self._set_following(False)
         if self._role.is_held:
             return
-        self._keeper.platform_away()
+        self._listener.platform_away()
         if not self._is_unreachable:
             self._is_unreachable = True
             log_event("platform_away", level="warning", reason=error.reason)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
@@ -30,7 +30,7 @@
         self.is_held = False
         self.spread = 1.0
         self._own_ip = own_ip
-        self._holders = holders
+        self._active_sidecars = holders
         self._step_ms = step_ms
         self._missing_since_ms: float | None = None
 
@@ -44,12 +44,12 @@
         """
         earlier = [ip for ip in peers if ip < self._own_ip]
         self.is_held = any(peers.values())
-        self.spread = max(1.0, (len(peers) + 1) / self._holders)
-        if sum(peers[ip] for ip in earlier) >= self._holders:
+        self.spread = max(1.0, (len(peers) + 1) / self._active_sidecars)
+        if sum(peers[ip] for ip in earlier) >= self._active_sidecars:
             self._missing_since_ms = None
             self.is_own = False
             return
         if self._missing_since_ms is None:
             self._missing_since_ms = now_ms
-        delay_ms = max(0, len(earlier) - self._holders + 1) * self._step_ms
+        delay_ms = max(0, len(earlier) - self._active_sidecars + 1) * self._step_ms
         self.is_own = now_ms - self._missing_since_ms >= delay_ms
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
@@ -64,7 +64,7 @@
     return max(LIFE_ROUNDS * round_ms, MIN_LIFE_MS)
 
 
-def pause_ms(hosts: int) -> float:
+def round_pause_ms(hosts: int) -> float:
     """Return the pause between two rounds.
 
     Args:
--- a/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
+++ b/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
@@ -77,7 +77,7 @@
         return min(self.changes, int(elapsed_s / self.gap_s))
 
 
-class RecordingKeeper:
+class RecordingListener:
     """Records the calls of the reader."""
 
     def __init__(self):
@@ -98,21 +98,21 @@
         self.followed.append(following)
 
 
-def new_reader(store, keeper, role):
-    return PlatformReader(store=store, keeper=keeper, duty=role, rng=random.Random(1))
+def new_reader(store, listener, role):
+    return PlatformReader(store=store, keeper=listener, duty=role, rng=random.Random(1))
 
 
 async def follow(*answers):
-    store, keeper = ScriptedStore(*answers), RecordingKeeper()
+    store, listener = ScriptedStore(*answers), RecordingListener()
     reader = new_reader(
-        store, keeper, ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, listener, ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
         while store.answers or len(store.calls) <= len(answers):
             await asyncio.sleep(0.01)
     task.cancel()
-    return store, keeper
+    return store, listener
 
 
 async def test_read_is_followed_by_watches_from_its_revision():
@@ -126,7 +126,7 @@
     """
     store = BurstStore(changes=12, gap_s=0.02)
     reader = new_reader(
-        store, RecordingKeeper(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, RecordingListener(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
@@ -146,16 +146,16 @@
     history, so there is no full read: all hosts would do one at once.
     """
     down = PlatformUnavailableError(reason="reset")
-    store, keeper = await follow(4, down, 5)
+    store, listener = await follow(4, down, 5)
     assert store.calls == ["read", ("watch", 4), ("watch", 4), ("watch", 5)]
-    assert keeper.states == ["back", "away", "back"]
+    assert listener.states == ["back", "away", "back"]
 
 
 async def test_start_during_an_outage_reads_after_its_end():
     down = PlatformUnavailableError(reason="status 503")
-    store, keeper = await follow(down, down, 7)
+    store, listener = await follow(down, down, 7)
     assert store.calls == ["read", "read", "read", ("watch", 7)]
-    assert keeper.revision == Revision(0, 7)
+    assert listener.revision == Revision(0, 7)
 
 
 async def test_return_of_the_platform_is_detected_before_the_next_change():
@@ -165,11 +165,11 @@
     and the server would get work for two more seconds.
     """
     down = PlatformUnavailableError(reason="reset")
-    store, keeper = await follow(4, down, 4)
+    store, listener = await follow(4, down, 4)
     assert store.waits_ms[0] == WATCH_MS
     assert store.waits_ms[1] == RETURN_WATCH_MS
     assert store.waits_ms[2] == WATCH_MS
-    assert keeper.states == ["back", "away", "back"]
+    assert listener.states == ["back", "away", "back"]
 
 
 def role_of(own_ip, **peers):
@@ -188,29 +188,29 @@
 
 async def test_inactive_sidecar_reads_once_and_then_makes_no_calls():
     """Guards against thirty sidecars of a zone calling the platform for each change."""
-    store, keeper = ScriptedStore(4, 5, 6), RecordingKeeper()
+    store, listener = ScriptedStore(4, 5, 6), RecordingListener()
     role = role_of("10.0.0.3", p1=True, p2=True)
     await run_until(
-        lambda: keeper.followed[-1:] == [False], new_reader(store, keeper, role)
+        lambda: listener.followed[-1:] == [False], new_reader(store, listener, role)
     )
     assert store.calls == ["read"]
-    assert keeper.followed == [True, False]
+    assert listener.followed == [True, False]
 
 
 async def test_sidecar_becomes_active_when_the_watchers_are_lost():
     """Both watchers are isolated. Their zone must receive the next change in time: the
     first call shows at once whether the platform can be read, and peers rely on that.
     """
-    store, keeper = ScriptedStore(4), RecordingKeeper()
+    store, listener = ScriptedStore(4), RecordingListener()
     role = role_of("10.0.0.3", p1=True, p2=True)
-    reader = new_reader(store, keeper, role)
+    reader = new_reader(store, listener, role)
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
-        while keeper.followed != [True, False]:
+        while listener.followed != [True, False]:
             await asyncio.sleep(0.01)
         store.answers = [4]
         role.decide({}, 1_000)
-        while keeper.followed != [True, False, True]:
+        while listener.followed != [True, False, True]:
             await asyncio.sleep(0.01)
     task.cancel()
     assert store.calls[:2] == ["read", ("watch", 4)]
@@ -223,15 +223,15 @@
     two more seconds.
     """
     down = PlatformUnavailableError(reason="status 429")
-    store, keeper = ScriptedStore(4, down, down, 5), RecordingKeeper()
+    store, listener = ScriptedStore(4, down, down, 5), RecordingListener()
     role = role_of("10.0.0.1", p2=True, p3=True)
-    await run_until(lambda: not store.answers, new_reader(store, keeper, role))
-    assert "away" not in keeper.states
+    await run_until(lambda: not store.answers, new_reader(store, listener, role))
+    assert "away" not in listener.states
 
 
 async def test_watch_answered_in_another_era_causes_a_full_read():
     """Guards against merging changes of a restored store without what it has lost."""
-    store, keeper = await follow(4, Revision(1, 6), Revision(1, 5), Revision(1, 7))
+    store, listener = await follow(4, Revision(1, 6), Revision(1, 5), Revision(1, 7))
     assert store.calls == [
         "read",
         ("watch", 4),
@@ -239,15 +239,15 @@
         ("watch", 1, 5),
         ("watch", 1, 7),
     ]
-    assert keeper.revision == Revision(1, 7)
+    assert listener.revision == Revision(1, 7)
 
 
 async def test_new_era_in_any_reply_causes_a_full_read():
     """Guards against missing a new era that only a refusal has reported."""
-    store, keeper = ScriptedStore(4, 5, Revision(1, 3)), RecordingKeeper()
-    reader = new_reader(store, keeper, role_of("10.0.0.1"))
+    store, listener = ScriptedStore(4, 5, Revision(1, 3)), RecordingListener()
+    reader = new_reader(store, listener, role_of("10.0.0.1"))
     store.watch = with_era_in_refusal(store, store.watch)
-    await run_until(lambda: keeper.revision == Revision(1, 3), reader)
+    await run_until(lambda: listener.revision == Revision(1, 3), reader)
     assert store.calls[:3] == ["read", ("watch", 4), "read"]
 
 
@@ -265,18 +265,18 @@
 
 async def test_reply_of_an_older_era_is_rejected():
     """Guards against a late reply that takes the replica back to an older era."""
-    store, keeper = ScriptedStore(4, Revision(2, 6)), RecordingKeeper()
-    keeper.revision = Revision(2, 5)
-    reader = new_reader(store, keeper, role_of("10.0.0.1"))
-    await run_until(lambda: keeper.revision == Revision(2, 6), reader)
+    store, listener = ScriptedStore(4, Revision(2, 6)), RecordingListener()
+    listener.revision = Revision(2, 5)
+    reader = new_reader(store, listener, role_of("10.0.0.1"))
+    await run_until(lambda: listener.revision == Revision(2, 6), reader)
     assert store.calls[:2] == ["read", "read"]
 
 
 async def test_store_that_keeps_no_history_is_read_with_pauses():
     """Guards against full reads and lost histories in a loop without pauses."""
     gone = [answer for _ in range(20) for answer in (4, HistoryGoneError())]
-    store, keeper = ScriptedStore(*gone), RecordingKeeper()
-    reader = new_reader(store, keeper, role_of("10.0.0.1"))
+    store, listener = ScriptedStore(*gone), RecordingListener()
+    reader = new_reader(store, listener, role_of("10.0.0.1"))
     task = asyncio.create_task(reader.run())
     await asyncio.sleep(0.5)
     task.cancel()
--- a/packages/sassafraswinch-sidecar/tests/test_replica.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica.py
@@ -28,8 +28,8 @@
     return Entry(key=key, revision=Revision(era, number), value=value)
 
 
-def delta_of(number, *entries, whole=False, era=0):
-    return Delta(revision=Revision(era, number), whole=whole, entries=entries)
+def delta_of(number, *entries, is_full=False, era=0):
+    return Delta(revision=Revision(era, number), whole=is_full, entries=entries)
 
 
 def values(replica):
@@ -39,7 +39,7 @@
 def test_later_change_wins_whatever_the_order():
     replica = new_replica()
     newer = delta_of(5, entry("a", 5))
-    older = delta_of(3, entry("a", 3), entry("b", 2), whole=True)
+    older = delta_of(3, entry("a", 3), entry("b", 2), is_full=True)
     assert replica.merge(newer) == [entry("a", 5)]
     assert replica.merge(older) == [entry("b", 2)]
     assert values(replica) == {"a": 5, "b": 2}
@@ -49,8 +49,8 @@
 def test_full_delta_removes_the_keys_that_it_lacks():
     """History is lost while a server leaves; the next full delta lacks its key."""
     replica = new_replica()
-    replica.merge(delta_of(3, entry("a", 2), entry("b", 3), whole=True))
-    changed = replica.merge(delta_of(9, entry("a", 2), whole=True))
+    replica.merge(delta_of(3, entry("a", 2), entry("b", 3), is_full=True))
+    changed = replica.merge(delta_of(9, entry("a", 2), is_full=True))
     assert [(found.key, found.value) for found in changed] == [("b", None)]
     assert values(replica) == {"a": 2}
 
@@ -62,8 +62,8 @@
     removed server for ever.
     """
     fresh, behind = new_replica(), new_replica()
-    behind.merge(delta_of(2, entry("a", 2), whole=True))
-    fresh.merge(delta_of(1, whole=True))
+    behind.merge(delta_of(2, entry("a", 2), is_full=True))
+    fresh.merge(delta_of(1, is_full=True))
     fresh.merge(delta_of(4, entry("a", 4, None)))
     behind.merge(fresh.since(behind.position))
     assert values(behind) == {}
@@ -99,9 +99,9 @@
 def test_restored_store_takes_precedence_over_former_data():
     """Guards against ignoring entries because their revision numbers went back."""
     replica = new_replica()
-    replica.merge(delta_of(9, entry("a", 4), entry("b", 9), whole=True))
+    replica.merge(delta_of(9, entry("a", 4), entry("b", 9), is_full=True))
     restored = delta_of(
-        6, entry("a", 4, era=1), entry("c", 6, b"w", era=1), whole=True, era=1
+        6, entry("a", 4, era=1), entry("c", 6, b"w", era=1), is_full=True, era=1
     )
     changed = replica.merge(restored)
     assert [(found.key, found.value) for found in changed] == [
@@ -117,9 +117,9 @@
 def test_changes_of_another_era_are_not_merged():
     """Guards against late replies, and against changes that omit what was lost."""
     replica = new_replica()
-    replica.merge(delta_of(5, entry("a", 5, era=1), whole=True, era=1))
+    replica.merge(delta_of(5, entry("a", 5, era=1), is_full=True, era=1))
     assert replica.merge(delta_of(9, entry("b", 9))) == []
-    assert replica.merge(delta_of(9, entry("b", 9), whole=True)) == []
+    assert replica.merge(delta_of(9, entry("b", 9), is_full=True)) == []
     assert replica.merge(delta_of(9, entry("b", 9, era=2), era=2)) == []
     assert values(replica) == {"a": 5}
     assert replica.revision == Revision(1, 5)
@@ -128,8 +128,8 @@
 def test_peer_of_an_older_era_receives_a_full_delta():
     """Guards against an isolated host that keeps the higher numbers of an old era."""
     restored, behind = new_replica(), new_replica()
-    behind.merge(delta_of(9, entry("a", 4), entry("b", 9), whole=True))
-    restored.merge(delta_of(5, entry("a", 4, era=1), whole=True, era=1))
+    behind.merge(delta_of(9, entry("a", 4), entry("b", 9), is_full=True))
+    restored.merge(delta_of(5, entry("a", 4, era=1), is_full=True, era=1))
     assert behind.position.lacks(restored.position)
     assert not restored.position.lacks(behind.position)
     restored.merge(behind.since(restored.position))
@@ -141,21 +141,21 @@
 def test_newest_routes_survive_a_restore_that_lacks_them():
     """Guards against reverting a confirmed version to that of an older copy."""
     current, fresh = new_replica(), new_replica()
-    current.merge(delta_of(9, entry(ROUTES, 9, b"8"), whole=True))
-    restored = delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1)
+    current.merge(delta_of(9, entry(ROUTES, 9, b"8"), is_full=True))
+    restored = delta_of(5, entry(ROUTES, 3, b"7", era=1), is_full=True, era=1)
     assert current.merge(restored) == []
     fresh.merge(restored)
     assert fresh.position.lacks(current.position)
     fresh.merge(current.since(fresh.position))
     assert fresh.routes_version == current.routes_version == 8
-    assert current.merge(delta_of(6, whole=True, era=2)) == []
+    assert current.merge(delta_of(6, is_full=True, era=2)) == []
     assert current.since(new_replica().position).entries[0].value == b"8"
 
 
 def test_invalid_routes_are_not_sent_to_peers():
     """Guards against peers that start with invalid routes only."""
     replica = new_replica()
-    replica.merge(delta_of(3, entry(ROUTES, 3, b"7"), whole=True))
+    replica.merge(delta_of(3, entry(ROUTES, 3, b"7"), is_full=True))
     assert replica.merge(delta_of(4, entry(ROUTES, 4, b"odd"))) == []
     sent = replica.since(new_replica().position)
     assert [found.value for found in sent.entries] == [b"7"]
@@ -164,8 +164,8 @@
 def test_isolated_host_of_the_old_era_sends_its_newer_routes():
     """Guards against losing a confirmed version that only a host of the old era has."""
     isolated, restored = new_replica(), new_replica()
-    isolated.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), whole=True))
-    restored.merge(delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1))
+    isolated.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), is_full=True))
+    restored.merge(delta_of(5, entry(ROUTES, 3, b"7", era=1), is_full=True, era=1))
     assert restored.position.lacks(isolated.position)
     changed = restored.merge(isolated.since(restored.position))
     assert [found.value for found in changed] == [b"8"]
--- a/packages/sassafraswinch-sidecar/tests/test_zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_gatherer.py
@@ -27,7 +27,7 @@
     ZoneGatherer,
     bare_digest,
     life_ms,
-    pause_ms,
+    round_pause_ms,
 )
 
 ZONES = ("brno-a", "brno-b")
@@ -154,8 +154,8 @@
 
 
 def test_rounds_of_large_zones_are_further_apart():
-    assert pause_ms(5) == PAUSE_MS
-    assert pause_ms(93) == 93 / MAX_POLLS_PER_S * 1000
+    assert round_pause_ms(5) == PAUSE_MS
+    assert round_pause_ms(93) == 93 / MAX_POLLS_PER_S * 1000
 
 
 def test_contact_that_is_no_aggregator_returns_the_address_of_one():
