--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -68,7 +68,7 @@
         return self._replica.position
 
     def take(self, delta: Delta, source: str) -> None:
-        """Apply changes (ReplicaKeeper)."""
+        """Apply changes (PlatformListener)."""
         previous = self.revision
         changed = self._replica.merge(delta)
         if previous > UNKNOWN and previous.era < self.revision.era:
@@ -94,15 +94,15 @@
             self._announce()
 
     def platform_away(self) -> None:
-        """Record that the platform can't be read (ReplicaKeeper)."""
+        """Record that the platform can't be read (PlatformListener)."""
         self._fleet.platform_away(self._now_ms())
 
     def platform_back(self) -> None:
-        """Record that the platform can be read (ReplicaKeeper)."""
+        """Record that the platform can be read (PlatformListener)."""
         self._fleet.platform_back(self._now_ms())
 
     def platform_followed(self, following: bool) -> None:
-        """Record that following began or ended here (ReplicaKeeper)."""
+        """Record that following began or ended here (PlatformListener)."""
         self.following = following
         era, number = self.revision
         log_event("platform_followed", following=following, era=era, revision=number)
