--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
@@ -20,9 +20,9 @@
     Attributes:
         is_own: whether this sidecar is active.
         is_held: whether a peer of the zone is active.
-        spread: number of sidecars for each active one. While no sidecar can fill the
-            role, all of them try, each less often by this factor: an outage must not
-            multiply the calls.
+        spread: number of sidecars for each active one. While no
+            sidecar can fill the role, all of them try, each less often by this factor:
+            an outage must not multiply the calls.
     """
 
     def __init__(self, *, own_ip: str, holders: int, step_ms: float):
