--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
@@ -99,7 +99,7 @@
         self.table: RouteTable | None = None
         self.instances: dict[str, Instance] = {}
         self._decoder = decoder
-        self._report = report
+        self._report_error = report
         self._is_isolated = is_isolated
         self._expired: dict[str, _ExpiredRegistration] = {}
         self._by_service: dict[str, list[Instance]] = {}
@@ -249,7 +249,7 @@
     def _apply_instance(self, instance_id: str, entry: Entry, now_ms: float) -> None:
         if entry.value is None:
             if self._may_return(instance_id, now_ms):
-                until_ms = self._returns_until_ms(now_ms)
+                until_ms = self._return_window_end_ms(now_ms)
                 held = _HeldRemoval(revision=entry.revision, until_ms=until_ms)
                 self._held_removals.setdefault(instance_id, held)
             else:
@@ -258,7 +258,7 @@
         try:
             instance = self._decoder.parse_instance(instance_id, entry.value)
         except InvalidFieldsError as error:
-            self._report(error)
+            self._report_error(error)
             self.instances.pop(instance_id, None)
             self._held_removals.pop(instance_id, None)
             return
@@ -270,14 +270,14 @@
             # A restarted server counts as the latest one at its address.
             self._first_revisions.pop(instance_id, None)
         self._record_first_revision(instance_id, entry.revision)
-        self._add_instance(self._unless_departed(instance, entry.revision, now_ms))
+        self._add_instance(self._with_departure(instance, entry.revision, now_ms))
 
     def _add_instance(self, instance: Instance) -> None:
         self._removed_ids.pop(instance.id, None)
         self._expired.pop(instance.id, None)
         self.instances[instance.id] = instance
 
-    def _unless_departed(
+    def _with_departure(
         self, instance: Instance, revision: Revision, now_ms: float
     ) -> Instance:
         """Return an instance, as leaving if a restored store lists it after it left."""
@@ -318,9 +318,9 @@
         known = self.instances.get(instance_id)
         if known is None or known.leaving:
             return False
-        return now_ms < self._returns_until_ms(now_ms)
+        return now_ms < self._return_window_end_ms(now_ms)
 
-    def _returns_until_ms(self, now_ms: float) -> float:
+    def _return_window_end_ms(self, now_ms: float) -> float:
         """Return the time until which registrations that expired in an outage return.
 
         The time counts from the end of the outage, not from each removal: a late
@@ -360,7 +360,7 @@
             try:
                 self._parsed_table = value, self._decoder.parse_route_table(value)
             except InvalidFieldsError as error:
-                self._report(error)
+                self._report_error(error)
                 return None
         return self._parsed_table[1]
 
@@ -372,7 +372,7 @@
         longer exist. An address has one server at a time, the one registered last.
         """
         at_address: dict[tuple[str, int], tuple[int, Instance]] = {}
-        for first_revision, instance in self._usable():
+        for first_revision, instance in self._usable_instances():
             address = (instance.ip, instance.port)
             known = at_address.get(address)
             # A registration that a restored store has lost is held for a while. It came
@@ -385,7 +385,7 @@
             if not instance.leaving:
                 self._by_service.setdefault(instance.service, []).append(instance)
 
-    def _usable(self) -> Iterator[tuple[Revision, Instance]]:
+    def _usable_instances(self) -> Iterator[tuple[Revision, Instance]]:
         """Yield instances of configured services, each with its first revision.
 
         Failure: an entry of another writer names a service that doesn't exist and the
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -63,7 +63,8 @@
         links: links to the other sidecars.
         view: updated with the digests.
         reports: builds the report of this host.
-        data: the platform's data, which peers also receive from each other.
+        data: the platform's data; the messages carry its position, so that peers can
+            request the changes that they lack.
         suspects: suspect requests, which are forwarded to peers as well.
         is_near_limit: returns whether the usage of an organisation must be published
             to the hosts.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
@@ -20,8 +20,8 @@
 
 ANSWERED_PAUSE_S = 3.0
 """Pause after a reply: the registration is gone, most likely for good, and each call to
-the platform is billed. A server that left for good costs one call every three seconds
-instead of seven."""
+the platform is billed. With the shorter pause, a server that left for good would cost
+seven calls in three seconds instead of one."""
 
 CHECK_PAUSE_S = 0.1
 """Pause between checks for a missing registration: the interval of the other periodic
@@ -58,7 +58,7 @@
         self.is_isolated = False
         self._find_missing = missing
         self._store = store
-        self._changed = changed
+        self._on_change = changed
 
     async def run(self) -> None:
         """Look up the registration whenever it is missing, until cancelled."""
@@ -99,4 +99,4 @@
             isolated=is_isolated,
             instance=instance_id,
         )
-        self._changed()
+        self._on_change()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -51,7 +51,7 @@
         self.following = False
         self.restores = 0
         self._fleet = fleet
-        self._changed = changed
+        self._on_change = changed
         self._announce = announce
         self._replica = Replica(routes=fleet)
         self._loop = asyncio.get_running_loop()
@@ -89,7 +89,7 @@
         table = self._fleet.table
         if table is not None and table.version != version:
             log_event("routes_in_force", level="warning", version=table.version)
-        self._changed()
+        self._on_change()
         if source == PLATFORM_SOURCE:
             self._announce()
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -134,8 +134,8 @@
     Args:
         store: client of the platform's store.
         keeper: receives the changes.
-        duty: role of this sidecar. While it isn't active, a peer follows the platform
-            and sends the changes.
+        duty: decides whether this sidecar is active. While it isn't, a peer follows the
+            platform and sends the changes.
         rng: random source of the pauses.
     """
 
@@ -164,12 +164,12 @@
                 await self._stand_by()
                 continue
             try:
-                await self._step()
+                await self._read_or_watch()
             except HistoryGoneError:
                 await self._handle_lost_history()
             except PlatformUnavailableError as error:
                 self._record_failure(error)
-                await self._pause(self._pause_s())
+                await self._pause(self._retry_pause_s())
 
     @property
     def _is_needed(self) -> bool:
@@ -202,7 +202,7 @@
         if self._role.is_held:
             self._record_return("peers")
 
-    async def _step(self) -> None:
+    async def _read_or_watch(self) -> None:
         if self._is_complete and self._store.era <= self._listener.revision.era:
             delta = await self._watch()
         else:
@@ -264,6 +264,6 @@
             self._is_unreachable = True
             log_event("platform_away", level="warning", reason=error.reason)
 
-    def _pause_s(self) -> float:
+    def _retry_pause_s(self) -> float:
         pause_s = self._rng.uniform(*RETRY_S) * self._failures
         return min(pause_s, MAX_RETRY_S) * self._role.spread
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
@@ -13,7 +13,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-def steady_ms() -> float:
+def monotonic_ms() -> float:
     """Return the monotonic time of the event loop's clock."""
     return time.monotonic() * 1000
 
@@ -27,22 +27,22 @@
 
     Args:
         boot_ms: clock that continues while the host is suspended.
-        steady_ms: clock that stops meanwhile.
+        monotonic_ms: clock that stops meanwhile.
     """
 
     def __init__(
         self,
         *,
         boot_ms: Callable[[], float] = boot_ms,
-        steady_ms: Callable[[], float] = steady_ms,
+        monotonic_ms: Callable[[], float] = monotonic_ms,
     ):
         self._boot_ms = boot_ms
-        self._steady_ms = steady_ms
-        self._offset_ms = boot_ms() - steady_ms()
+        self._monotonic_ms = monotonic_ms
+        self._offset_ms = boot_ms() - monotonic_ms()
 
     def look(self) -> float:
         """Return the length of the pause since the last check; 0 if there was none."""
-        offset_ms = self._boot_ms() - self._steady_ms()
+        offset_ms = self._boot_ms() - self._monotonic_ms()
         paused_ms = offset_ms - self._offset_ms
         self._offset_ms = offset_ms
         return paused_ms if paused_ms >= MIN_STANDSTILL_MS else 0.0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
@@ -183,10 +183,10 @@
             counts=serialize_counts(
                 sum_counts(parse_counts(each.counts) for each in summaries)
             ),
-            uses=serialize_uses(self._near_limits(summaries)),
+            uses=serialize_uses(self._usage_near_limits(summaries)),
         )
 
-    def _near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
+    def _usage_near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
         """Return the usage of organisations near their limit; others have no effect."""
         total = sum_uses(parse_uses(each.uses) for each in summaries)
         near = {
--- a/packages/sassafraswinch-sidecar/tests/test_standstill.py
+++ b/packages/sassafraswinch-sidecar/tests/test_standstill.py
@@ -8,18 +8,18 @@
 
     def __init__(self):
         self.boot_ms = 50_000.0
-        self.steady_ms = 7_000.0
+        self.monotonic_ms = 7_000.0
 
     def run(self, for_ms):
         self.boot_ms += for_ms
-        self.steady_ms += for_ms
+        self.monotonic_ms += for_ms
 
     def suspend(self, for_ms):
         self.boot_ms += for_ms
 
     def new_detector(self):
         return Standstill(
-            boot_ms=lambda: self.boot_ms, steady_ms=lambda: self.steady_ms
+            boot_ms=lambda: self.boot_ms, monotonic_ms=lambda: self.monotonic_ms
         )
 
 
