--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
@@ -39,8 +39,7 @@
     included, means that the registration is gone: the server may be leaving.
 
     Args:
-        missing: returns the instance of this host whose registration is missing, if
-            any.
+        missing: returns this host's instance if its registration is missing.
         store: store in which the registration is looked up.
         changed: called when ``is_isolated`` changes.
 
