--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
@@ -8,20 +8,20 @@
 from sassafraswinch.errors import InvalidFieldsError
 from sassafraswinch_sidecar.departures import Departures
 from sassafraswinch_sidecar.instances import Instance
-from sassafraswinch_sidecar.replica import MAX_REMOVED, Entry, Replica
+from sassafraswinch_sidecar.replica import MAX_REMOVED_KEYS, Entry, Replica
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
 from sassafraswinch_sidecar.routes import RouteTable
 
-RETURN_MS = 2_200.0
+RETURN_WINDOW_MS = 2_200.0
 """Time after a platform outage in which registrations that expired during it come
 back; the platform promises about 2 s."""
 
-LAPSED_MEMORY_MS = 60_000.0
+EXPIRED_RETENTION_MS = 60_000.0
 """Time for which a removed instance is kept in case its host reports that it can't
 reach the platform. The host detects that within two seconds; the rest allows for links
 that come up later."""
 
-EXPIRY_MS = 2_500.0
+MIN_EXPIRY_OUTAGE_MS = 2_500.0
 """Shortest outage in which registrations expire: they live for several heartbeats."""
 
 
@@ -83,7 +83,7 @@
 
     Args:
         decoder: decodes the platform's items.
-        report: called with the error of each invalid item.
+        report_error: called with the error of each invalid item.
         is_isolated: returns whether the host at an address reports that it can't reach
             the platform, in which case the missing registration of its server proves
             nothing.
@@ -93,13 +93,13 @@
         self,
         *,
         decoder: Decoder,
-        report: Callable[[InvalidFieldsError], None],
+        report_error: Callable[[InvalidFieldsError], None],
         is_isolated: Callable[[str], bool] = lambda ip: False,
     ):
         self.table: RouteTable | None = None
         self.instances: dict[str, Instance] = {}
         self._decoder = decoder
-        self._report_error = report
+        self._report_error = report_error
         self._is_isolated = is_isolated
         self._expired: dict[str, _ExpiredRegistration] = {}
         self._by_service: dict[str, list[Instance]] = {}
@@ -129,7 +129,7 @@
         """Return the sorted host addresses of an availability zone."""
         return self._by_zone.get(availability_zone, [])
 
-    def at(self, ip: str) -> list[Instance]:
+    def instances_at(self, ip: str) -> list[Instance]:
         """Return the instances at an address, leaving ones included."""
         return [found for found in self.instances.values() if found.ip == ip]
 
@@ -145,13 +145,13 @@
         expired = self._expired.get(instance_id)
         return instance_id in self._removed_ids and not (expired and expired.in_use)
 
-    def lapsed_at(self, ip: str) -> Instance | None:
+    def expired_instance_at(self, ip: str) -> Instance | None:
         """Return the latest instance at an address whose registration expired.
 
         Returns None if an instance is registered at the address. An instance that gave
         leave notice doesn't count as expired.
         """
-        if self.at(ip):
+        if self.instances_at(ip):
             return None
         found = [each for each in self._expired.values() if each.instance.ip == ip]
         latest = max(found, key=lambda each: each.first_revision, default=None)
@@ -162,26 +162,26 @@
         known_ms = now_ms - self._known_at_ms.get(instance.id, now_ms)
         return max(0.0, instance.cold_ms - known_ms)
 
-    def platform_away(self, now_ms: float) -> None:
+    def record_outage(self, now_ms: float) -> None:
         """Record that the platform can't be read."""
         if self._outage_since_ms is None:
             self._outage_since_ms = now_ms
 
-    def platform_back(self, now_ms: float) -> None:
+    def record_outage_end(self, now_ms: float) -> None:
         """Record that the platform can be read."""
         if self._is_outage_long(now_ms):
-            self._hold_until_ms = now_ms + RETURN_MS
+            self._hold_until_ms = now_ms + RETURN_WINDOW_MS
         self._outage_since_ms = None
 
-    def store_restored(self, now_ms: float) -> None:
+    def record_store_restore(self, now_ms: float) -> None:
         """Record that the platform's store was restored from an older copy.
 
         Failure: servers that registered after the copy was taken have no registration,
         and every request that needs them is refused until they have registered again.
         """
-        self._hold_until_ms = now_ms + RETURN_MS
+        self._hold_until_ms = now_ms + RETURN_WINDOW_MS
 
-    def apply(self, entries: Iterable[Entry], now_ms: float) -> None:
+    def apply_entries(self, entries: Iterable[Entry], now_ms: float) -> None:
         """Apply changed entries of the replica."""
         for entry in entries:
             instance_id = self._decoder.instance_id(entry.key)
@@ -217,7 +217,9 @@
             if now_ms >= held.until_ms
         ]
         if due:
-            live = {self._decoder.instance_id(entry.key) for entry in replica.live()}
+            live = {
+                self._decoder.instance_id(entry.key) for entry in replica.live_entries()
+            }
             for instance_id in due:
                 held = self._held_removals.pop(instance_id)
                 if instance_id not in live:
@@ -237,11 +239,11 @@
         changed = False
         for instance_id, expired in list(self._expired.items()):
             if self._is_isolated(expired.instance.ip):
-                expired.used_until_ms = now_ms + RETURN_MS
+                expired.used_until_ms = now_ms + RETURN_WINDOW_MS
             in_use = now_ms < expired.used_until_ms
             changed = changed or in_use != expired.in_use
             expired.in_use = in_use
-            if not in_use and now_ms - expired.since_ms >= LAPSED_MEMORY_MS:
+            if not in_use and now_ms - expired.since_ms >= EXPIRED_RETENTION_MS:
                 del self._expired[instance_id]
         if changed:
             self._rebuild_indexes()
@@ -284,11 +286,11 @@
         expired = self._expired.get(instance.id)
         if expired is not None and expired.in_use:
             # Its own host reports that the server is running.
-            self._departures.forget(instance)
-        if not self._departures.accept(instance, revision, now_ms):
+            self._departures.discard_departure(instance)
+        if not self._departures.accept_registration(instance, revision, now_ms):
             return replace(instance, leaving=True)
         if instance.leaving:
-            self._departures.note(instance, revision)
+            self._departures.record_departure(instance, revision)
         return instance
 
     def _record_first_revision(self, instance_id: str, revision: Revision) -> None:
@@ -305,7 +307,7 @@
 
     def _is_outage_long(self, now_ms: float) -> bool:
         since_ms = self._outage_since_ms
-        return since_ms is not None and now_ms - since_ms >= EXPIRY_MS
+        return since_ms is not None and now_ms - since_ms >= MIN_EXPIRY_OUTAGE_MS
 
     def _may_return(self, instance_id: str, now_ms: float) -> bool:
         """Return whether a removal may only be an expiry during an outage.
@@ -327,13 +329,13 @@
         removal may be that of a server that leaves without notice.
         """
         if self._is_outage_long(now_ms):
-            return now_ms + RETURN_MS
+            return now_ms + RETURN_WINDOW_MS
         return self._hold_until_ms
 
     def _remove(self, instance_id: str, revision: Revision, now_ms: float) -> None:
         instance = self.instances.pop(instance_id, None)
         if instance is not None:
-            self._departures.note(instance, revision)
+            self._departures.record_departure(instance, revision)
         self._known_at_ms.pop(instance_id, None)
         first_revision = self._first_revisions.pop(instance_id, UNKNOWN)
         if instance is not None and not instance.leaving:
@@ -341,7 +343,7 @@
                 instance=instance, first_revision=first_revision, since_ms=now_ms
             )
         self._removed_ids[instance_id] = None
-        if len(self._removed_ids) > MAX_REMOVED:
+        if len(self._removed_ids) > MAX_REMOVED_KEYS:
             del self._removed_ids[next(iter(self._removed_ids))]
 
     def _apply_table(self, value: bytes) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -26,17 +26,17 @@
     serialize_message,
 )
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
-from sassafraswinch_sidecar.zone_gatherer import (
-    GATHER_STEP_MS,
-    GATHERERS,
+from sassafraswinch_sidecar.zone_aggregator import (
+    AGGREGATOR_TAKEOVER_STEP_MS,
+    AGGREGATORS_PER_ZONE,
+    ZoneAggregator,
     ZoneContacts,
-    ZoneGatherer,
-    bare_digest,
+    empty_digest,
     round_pause_ms,
 )
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
-MIN_PAUSE_S = 0.05
+MIN_ROUND_PAUSE_S = 0.05
 """Shortest pause between two rounds, used when there are changes: of the platform's
 data, which come in bursts, or of hosts and zones that were unknown before.
 
@@ -94,8 +94,12 @@
         self._data = data
         self._suspects = suspects
         self._now_ms = now_ms
-        self._role = ZoneDuty(own_ip=own_ip, holders=GATHERERS, step_ms=GATHER_STEP_MS)
-        self._aggregator = ZoneGatherer(
+        self._role = ZoneRole(
+            own_ip=own_ip,
+            active_sidecars=AGGREGATORS_PER_ZONE,
+            step_ms=AGGREGATOR_TAKEOVER_STEP_MS,
+        )
+        self._aggregator = ZoneAggregator(
             availability_zone=availability_zone, is_near_limit=is_near_limit
         )
         self._contacts = ZoneContacts()
@@ -104,7 +108,7 @@
         self._changed = asyncio.Event()
 
     @property
-    def gathers(self) -> bool:
+    def is_aggregating(self) -> bool:
         """Whether this sidecar is an active aggregator of its zone."""
         return self._is_aggregating
 
@@ -112,34 +116,34 @@
         """Take part in the exchange until cancelled."""
         while True:
             round_ms = self._run_round()
-            await asyncio.sleep(MIN_PAUSE_S)
+            await asyncio.sleep(MIN_ROUND_PAUSE_S)
             try:
-                async with asyncio.timeout(round_ms / 1000 - MIN_PAUSE_S):
+                async with asyncio.timeout(round_ms / 1000 - MIN_ROUND_PAUSE_S):
                     await self._changed.wait()
             except TimeoutError:
                 pass
             self._changed.clear()
 
-    def has_news(self) -> None:
+    def publish_change(self) -> None:
         """Publish a change of the platform's data, or of this sidecar, at once."""
         if self._is_aggregating:
             self._changed.set()
             return
-        aggregators = self._view.gatherers(self._now_ms())
+        aggregators = self._view.aggregators(self._now_ms())
         for link in self._links.accepted:
             if link.peer_ip in aggregators:
                 self._suspects.tell(link)
                 link.send(self._report_for(link.peer_ip))
 
-    def has_suspects(self) -> None:
+    def forward_suspects(self) -> None:
         """Forward suspects received from a peer, if this sidecar is an aggregator."""
         if self._is_aggregating:
             self._changed.set()
 
-    def greet(self) -> None:
+    def announce_host(self) -> None:
         """Announce this host to the sidecars that are aggregators by default."""
         self._changed.set()
-        for ip in self._fleet.hosts_of(self._zone)[:GATHERERS]:
+        for ip in self._fleet.hosts_of(self._zone)[:AGGREGATORS_PER_ZONE]:
             self._links.greet(ip)
 
     def dialled_message(self, ip: str, message: Message) -> None:
@@ -147,15 +151,15 @@
         now_ms = self._now_ms()
         link = self._links.peers[ip].link
         link.replied()
-        self._data.ask_if_behind(parse_position(message), link)
+        self._data.request_if_behind(parse_position(message), link)
         if isinstance(message, HostReport):
-            if self._aggregator.heard(ip, message, now_ms):
+            if self._aggregator.record_report(ip, message, now_ms):
                 self._changed.set()
             return
         zone = self._contacts.zone_of(ip)
         if zone is not None:
-            self._contacts.answered(zone, ip, message.gatherers, now_ms)
-        if message.summary is not None and self._aggregator.heard_zone(
+            self._contacts.record_reply(zone, ip, message.gatherers, now_ms)
+        if message.summary is not None and self._aggregator.record_summary(
             message.summary, now_ms
         ):
             self._changed.set()
@@ -167,13 +171,13 @@
             self._handle_digest(link, message)
         else:
             link.send(self._summary_reply())
-        self._data.ask_if_behind(parse_position(message), link)
+        self._data.request_if_behind(parse_position(message), link)
 
     def _handle_digest(self, link: PeerLink, digest: FleetDigest) -> None:
         now_ms = self._now_ms()
-        self._view.heard_gatherer(link.peer_ip, now_ms)
+        self._view.record_aggregator(link.peer_ip, now_ms)
         if digest.whole and self._view.source(now_ms) == link.peer_ip:
-            self._view.take(digest, now_ms)
+            self._view.apply_digest(digest, now_ms)
         link.send(self._report_for(link.peer_ip))
 
     def _report_for(self, ip: str) -> HostReport:
@@ -182,7 +186,7 @@
     def _summary_reply(self) -> SummaryReply:
         return SummaryReply(
             **position_fields(self._data.position),
-            gatherers=self._view.gatherers(self._now_ms()),
+            gatherers=self._view.aggregators(self._now_ms()),
             summary=self._summary if self._is_aggregating else None,
         )
 
@@ -191,13 +195,13 @@
         now_ms = self._now_ms()
         members = self._members()
         round_ms = round_pause_ms(len(members))
-        aggregators = self._view.gatherers(now_ms)
+        aggregators = self._view.aggregators(now_ms)
         listed = self._fleet.hosts_of(self._zone)
         peers = {
             ip: ip in aggregators for ip in {*listed, *aggregators} - {self._own_ip}
         }
-        self._role.decide(peers, now_ms)
-        self._set_aggregating(self._role.is_own and bool(listed))
+        self._role.update_role(peers, now_ms)
+        self._set_aggregating(self._role.is_active and bool(listed))
         if self._is_aggregating:
             self._poll_members(members, now_ms, round_ms)
         return round_ms
@@ -209,7 +213,7 @@
         log_event("gathering", level="warning", gathers=is_aggregating, zone=self._zone)
         if not is_aggregating:
             self._links.keep(())
-            self._view.forget_gatherer(self._own_ip)
+            self._view.remove_aggregator(self._own_ip)
 
     def _members(self) -> set[str]:
         """Return the other hosts of this zone: listed, linked here, or reporting."""
@@ -219,27 +223,31 @@
             if link.availability_zone == self._zone
         }
         members = linked.union(
-            self._fleet.hosts_of(self._zone), self._aggregator.answering()
+            self._fleet.hosts_of(self._zone), self._aggregator.replying_hosts()
         )
         return members - {self._own_ip}
 
     def _poll_members(self, members: set[str], now_ms: float, round_ms: float) -> None:
         zones = self._fleet.zones()
         others = {zone: ips for zone, ips in zones.items() if zone != self._zone}
-        contacts = self._contacts.choose(others, now_ms, round_ms)
+        contacts = self._contacts.choose_contacts(others, now_ms, round_ms)
         self._links.keep(itertools.chain(members, contacts))
-        self._aggregator.forget(now_ms, round_ms)
-        self._aggregator.heard(self._own_ip, self._reports.report(relies=True), now_ms)
+        self._aggregator.evict_expired(now_ms, round_ms)
+        self._aggregator.record_report(
+            self._own_ip, self._reports.report(relies=True), now_ms
+        )
         self._summary = self._aggregator.summary()
         position = self._data.position
         digest = self._aggregator.digest(self._summary, position, now_ms)
-        self._view.heard_gatherer(self._own_ip, now_ms)
-        self._view.take(digest, now_ms)
+        self._view.record_aggregator(self._own_ip, now_ms)
+        self._view.apply_digest(digest, now_ms)
         self._send_suspects(itertools.chain(members, contacts))
         full = serialize_message(digest)
-        empty = serialize_message(bare_digest(position))
+        empty = serialize_message(empty_digest(position))
         for ip in members:
-            self._links.poll(ip, full if self._aggregator.relies(ip) else empty)
+            self._links.poll(
+                ip, full if self._aggregator.needs_full_digest(ip) else empty
+            )
         request = serialize_message(SummaryRequest(**position_fields(position)))
         for ip in contacts:
             self._links.poll(ip, request)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -8,7 +8,7 @@
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
-    parse_uses,
+    parse_usage,
 )
 from sassafraswinch_sidecar.placement import PeerLoad
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -17,18 +17,18 @@
     ZoneLoads,
 )
 from sassafraswinch_sidecar.repeat_budget import Totals
-from sassafraswinch_sidecar.zone_gatherer import FOLLOWING, ISOLATED, LEAVING
+from sassafraswinch_sidecar.zone_aggregator import FOLLOWING, ISOLATED, LEAVING
 
-VIEW_LIFE_MS = 2_000.0
+MAX_VIEW_AGE_MS = 2_000.0
 """Age at which a reported load, or the reported demand, is no longer used. Aggregators
 send digests several times a second; a lost aggregator is replaced within a second."""
 
-MISSING_LIFE_MS = 500.0
+MAX_UNLISTED_AGE_MS = 500.0
 """Age limit for the load of a host that the digest no longer lists. The host lost power
 or is cut off, and the aggregators have already waited for it. An aggregator that has
 just become active lists few hosts in its first rounds, which are over by then."""
 
-GATHERER_LIFE_MS = 900.0
+AGGREGATOR_TIMEOUT_MS = 900.0
 """Time without a digest after which an aggregator counts as lost: three of its rounds,
 and longer than a busy host pauses."""
 
@@ -53,40 +53,40 @@
         self._usage = FleetUse()
         self._received_ms = -math.inf
 
-    def heard_gatherer(self, ip: str, now_ms: float) -> None:
+    def record_aggregator(self, ip: str, now_ms: float) -> None:
         """Record a digest from an aggregator of this zone."""
         self._aggregators[ip] = now_ms
 
-    def forget_gatherer(self, ip: str) -> None:
+    def remove_aggregator(self, ip: str) -> None:
         """Remove an aggregator, so that the view is no longer taken from it."""
         self._aggregators.pop(ip, None)
 
-    def gatherers(self, now_ms: float) -> list[str]:
+    def aggregators(self, now_ms: float) -> list[str]:
         """Return the sorted addresses of the active aggregators of this zone."""
         received = self._aggregators.items()
-        return sorted(ip for ip, at in received if now_ms - at < GATHERER_LIFE_MS)
+        return sorted(ip for ip, at in received if now_ms - at < AGGREGATOR_TIMEOUT_MS)
 
     def source(self, now_ms: float) -> str | None:
         """Return the address of the aggregator that the view is taken from."""
-        active = self.gatherers(now_ms)
+        active = self.aggregators(now_ms)
         if self._own_ip in active:
             return self._own_ip
         return active[0] if active else None
 
-    def take(self, digest: FleetDigest, now_ms: float) -> None:
+    def apply_digest(self, digest: FleetDigest, now_ms: float) -> None:
         """Apply a full digest of the source."""
         for zone in digest.zones:
             self._apply_loads(zone, now_ms - zone.age_ms)
         listed = {ip for zone in digest.zones for ip in zone.hosts.ips}
         for ip in self._listed - listed:
             load = self._loads[ip]
-            missing_ms = now_ms - VIEW_LIFE_MS + MISSING_LIFE_MS
+            missing_ms = now_ms - MAX_VIEW_AGE_MS + MAX_UNLISTED_AGE_MS
             load.told_ms = min(load.told_ms, missing_ms)
         self._listed = listed
         self._demand = parse_demand(digest.demand)
         hosts = sum(len(zone.hosts.ips) for zone in digest.zones)
         self._totals = parse_counts(digest.counts), hosts
-        self._usage = parse_uses(digest.uses)
+        self._usage = parse_usage(digest.uses)
         self._received_ms = now_ms
 
     def demand(self, now_ms: float) -> list[Claim]:
@@ -94,15 +94,17 @@
 
         Empty if no recent digest has reported it.
         """
-        return self._demand if now_ms - self._received_ms < VIEW_LIFE_MS else []
+        return self._demand if now_ms - self._received_ms < MAX_VIEW_AGE_MS else []
 
     def totals(self, now_ms: float) -> Totals:
         """Return the requests and retries of all sidecars, this one included."""
-        return self._totals if now_ms - self._received_ms < VIEW_LIFE_MS else ({}, 0)
+        return self._totals if now_ms - self._received_ms < MAX_VIEW_AGE_MS else ({}, 0)
 
-    def uses(self, now_ms: float) -> FleetUse:
+    def usage(self, now_ms: float) -> FleetUse:
         """Return the usage of organisations, as last reported."""
-        return self._usage if now_ms - self._received_ms < VIEW_LIFE_MS else FleetUse()
+        return (
+            self._usage if now_ms - self._received_ms < MAX_VIEW_AGE_MS else FleetUse()
+        )
 
     def age_ms(self, now_ms: float) -> float:
         """Return the time since the last full digest was applied."""
@@ -115,11 +117,11 @@
     def recent_load(self, ip: str, now_ms: float) -> PeerLoad | None:
         """Return the load of the server at an address if the report is recent."""
         load = self._loads.get(ip)
-        if load is None or now_ms - load.told_ms >= VIEW_LIFE_MS:
+        if load is None or now_ms - load.told_ms >= MAX_VIEW_AGE_MS:
             return None
         return load
 
-    def told(self, ip: str, load: ServerLoad, now_ms: float) -> PeerLoad:
+    def record_load(self, ip: str, load: ServerLoad, now_ms: float) -> PeerLoad:
         """Record a load received from the host itself, which is newer than a digest."""
         known = self._loads.get(ip)
         if known is None:
@@ -127,16 +129,16 @@
         known.report(load, now_ms)
         return known
 
-    def stood_still(self, stood_ms: float) -> None:
+    def add_paused_time(self, paused_ms: float) -> None:
         """Add the length of a process pause, which the clock didn't count, to all ages.
 
         Args:
-            stood_ms: length of the pause.
+            paused_ms: length of the pause.
         """
-        self._received_ms -= stood_ms
+        self._received_ms -= paused_ms
         for load in self._loads.values():
-            load.told_ms -= stood_ms
-        self._aggregators = {ip: at - stood_ms for ip, at in self._aggregators.items()}
+            load.told_ms -= paused_ms
+        self._aggregators = {ip: at - paused_ms for ip, at in self._aggregators.items()}
 
     def _apply_loads(self, zone: ZoneLoads, at_ms: float) -> None:
         for ip, in_flight, queued, limit, flags in _host_states(zone):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -18,7 +18,7 @@
 from sassafraswinch_sidecar.relay_wire import position_fields
 from sassafraswinch_sidecar.repeat_budget import Counted, RepeatBudget
 
-SUMS_LIFE_MS = 40.0
+MAX_TOTALS_AGE_MS = 40.0
 """Time for which the same totals are sent to all aggregators: a part of the pause
 between their rounds."""
 
@@ -85,16 +85,16 @@
     def _current_totals(self) -> _Totals:
         """Return the data to be totalled over hosts, built once for all aggregators."""
         now_ms = self._now_ms()
-        if self._totals is None or now_ms - self._totals[0] >= SUMS_LIFE_MS:
+        if self._totals is None or now_ms - self._totals[0] >= MAX_TOTALS_AGE_MS:
             totals = _Totals(
                 demand=serialize_demand(self._admission.demand()),
                 counts=serialize_counts(self._budget.counted(now_ms)),
-                uses=serialize_uses(self._rates.report(now_ms)),
+                uses=serialize_usage(self._rates.report(now_ms)),
             )
             self._totals = now_ms, totals
         return self._totals[1]
 
-    def reply(self, sequence: int) -> HeartbeatReply:
+    def heartbeat_reply(self, sequence: int) -> HeartbeatReply:
         """Return the reply to a heartbeat, or an unsolicited announcement.
 
         Args:
@@ -149,7 +149,7 @@
     return {each.service_name: Counted(each.sent, each.repeated) for each in received}
 
 
-def serialize_uses(usage: FleetUse) -> OrganisationUses:
+def serialize_usage(usage: FleetUse) -> OrganisationUses:
     """Serialize the requested and admitted usage of organisations."""
     return OrganisationUses(
         names=list(usage.uses),
@@ -160,7 +160,7 @@
     )
 
 
-def parse_uses(received: OrganisationUses | None) -> FleetUse:
+def parse_usage(received: OrganisationUses | None) -> FleetUse:
     """Parse the usage of organisations; empty if the peer didn't send it."""
     if received is None:
         return FleetUse()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/isolation_detector.py
@@ -10,11 +10,11 @@
     PlatformUnavailableError,
 )
 
-ASK_TIMEOUT_S = 0.7
+LOOKUP_TIMEOUT_S = 0.7
 """Time limit of a lookup. The platform replies within milliseconds, and takes sixty
 times as long when it is slow."""
 
-ASK_PAUSE_S = 0.4
+UNANSWERED_PAUSE_S = 0.4
 """Pause between lookups while the platform doesn't reply. Its return must be noticed
 well before the end of the time in which registrations may come back."""
 
@@ -28,7 +28,7 @@
 checks."""
 
 
-class OwnEntry:
+class IsolationDetector:
     """Checks whether the server's registration expired because this host is isolated.
 
     Load pattern: some hosts can't reach the platform for a while, and neither can the
@@ -39,9 +39,9 @@
     included, means that the registration is gone: the server may be leaving.
 
     Args:
-        missing: returns this host's instance if its registration is missing.
+        find_missing: returns this host's instance if its registration is missing.
         store: store in which the registration is looked up.
-        changed: called when ``is_isolated`` changes.
+        on_change: called when ``is_isolated`` changes.
 
     Attributes:
         is_isolated: whether the registration is missing and the platform doesn't reply.
@@ -50,14 +50,14 @@
     def __init__(
         self,
         *,
-        missing: Callable[[], Instance | None],
+        find_missing: Callable[[], Instance | None],
         store: PlatformStore,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ):
         self.is_isolated = False
-        self._find_missing = missing
+        self._find_missing = find_missing
         self._store = store
-        self._on_change = changed
+        self._on_change = on_change
 
     async def run(self) -> None:
         """Look up the registration whenever it is missing, until cancelled."""
@@ -69,7 +69,7 @@
                 continue
             replies = await self._platform_replies(instance)
             self._set_isolated(not replies, instance.id)
-            await self._pause(ANSWERED_PAUSE_S if replies else ASK_PAUSE_S)
+            await self._pause(ANSWERED_PAUSE_S if replies else UNANSWERED_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
         """Wait, but no longer than the registration is missing."""
@@ -80,8 +80,8 @@
 
     async def _platform_replies(self, instance: Instance) -> bool:
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
-                await self._store.lists(instance.id)
+            async with asyncio.timeout(LOOKUP_TIMEOUT_S):
+                await self._store.has_instance(instance.id)
         except TimeoutError:
             return False
         except PlatformUnavailableError as error:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pause_detector.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-MIN_STANDSTILL_MS = 200.0
+MIN_DETECTED_PAUSE_MS = 200.0
 """Shortest pause that is reported: well above the jitter of two clock readings, and
 shorter than callers wait."""
 
@@ -18,7 +18,7 @@
     return time.monotonic() * 1000
 
 
-class Standstill:
+class PauseDetector:
     """Compares two clocks, of which one continues while the host is suspended.
 
     Failure: a host is suspended for seconds. Its event loop continues as if no time had
@@ -40,9 +40,9 @@
         self._monotonic_ms = monotonic_ms
         self._offset_ms = boot_ms() - monotonic_ms()
 
-    def look(self) -> float:
+    def check_pause(self) -> float:
         """Return the length of the pause since the last check; 0 if there was none."""
         offset_ms = self._boot_ms() - self._monotonic_ms()
         paused_ms = offset_ms - self._offset_ms
         self._offset_ms = offset_ms
-        return paused_ms if paused_ms >= MIN_STANDSTILL_MS else 0.0
+        return paused_ms if paused_ms >= MIN_DETECTED_PAUSE_MS else 0.0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -31,7 +31,7 @@
 
     Args:
         fleet: updated with the changes.
-        changed: called after each change.
+        on_change: called after each change.
         announce: sends this sidecar's position to peers, and whether it follows the
             platform, so that those that rely on it notice a change or its loss at once.
 
@@ -45,13 +45,13 @@
         self,
         *,
         fleet: Fleet,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         announce: Callable[[], None],
     ):
         self.following = False
         self.restores = 0
         self._fleet = fleet
-        self._on_change = changed
+        self._on_change = on_change
         self._announce = announce
         self._replica = Replica(routes=fleet)
         self._loop = asyncio.get_running_loop()
@@ -67,7 +67,7 @@
         """Position of this sidecar's replica."""
         return self._replica.position
 
-    def take(self, delta: Delta, source: str) -> None:
+    def apply_delta(self, delta: Delta, source: str) -> None:
         """Apply changes (PlatformListener)."""
         previous = self.revision
         changed = self._replica.merge(delta)
@@ -76,7 +76,7 @@
         if not changed:
             return
         version = self._fleet.table.version if self._fleet.table else None
-        self._fleet.apply(changed, self._now_ms())
+        self._fleet.apply_entries(changed, self._now_ms())
         log_event(
             "platform_data_changed",
             level="warning",
@@ -93,15 +93,15 @@
         if source == PLATFORM_SOURCE:
             self._announce()
 
-    def platform_away(self) -> None:
+    def record_outage(self) -> None:
         """Record that the platform can't be read (PlatformListener)."""
-        self._fleet.platform_away(self._now_ms())
+        self._fleet.record_outage(self._now_ms())
 
-    def platform_back(self) -> None:
+    def record_outage_end(self) -> None:
         """Record that the platform can be read (PlatformListener)."""
-        self._fleet.platform_back(self._now_ms())
+        self._fleet.record_outage_end(self._now_ms())
 
-    def platform_followed(self, following: bool) -> None:
+    def record_following(self, following: bool) -> None:
         """Record that following began or ended here (PlatformListener)."""
         self.following = following
         era, number = self.revision
@@ -112,20 +112,22 @@
         """Remove instances whose registrations didn't come back after an outage."""
         self._fleet.tick(self._replica, now_ms)
 
-    def exchange(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Reply to a peer's request for changes, or apply its reply."""
         if isinstance(message, ReplicaRequest):
-            link.send(serialize_delta(self._replica.since(parse_question(message))))
+            link.send(
+                serialize_delta(self._replica.changes_since(parse_question(message)))
+            )
         elif isinstance(message, ReplicaReply):
             self._requested_ms = 0.0
-            self.take(parse_delta(message), f"peer-{link.peer_ip}")
+            self.apply_delta(parse_delta(message), f"peer-{link.peer_ip}")
 
-    def ask_if_behind(self, reported: Position, link: PeerLink) -> None:
+    def request_if_behind(self, reported: Position, link: PeerLink) -> None:
         """Request the changes that a peer has and this sidecar lacks."""
         now_ms = self._now_ms()
         position = self.position
         if (
-            not position.lacks(reported)
+            not position.is_behind(reported)
             or now_ms - self._requested_ms < REQUEST_AGAIN_MS
         ):
             return
@@ -143,7 +145,7 @@
             former_era=previous.era,
             former_revision=previous.number,
         )
-        self._fleet.store_restored(self._now_ms())
+        self._fleet.record_store_restore(self._now_ms())
         self._announce()
 
     def _now_ms(self) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -8,45 +8,45 @@
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.replica import Delta
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
 PLATFORM_SOURCE = "platform"
 """Source name of changes that come from the platform itself, also used in logs."""
 
-WATCH_MS = 1_500
+WATCH_TIMEOUT_MS = 1_500
 """Longest wait of one watch. It bounds the time for which a silent connection, or a
 store that was restored from an older copy, goes unnoticed; each call is billed."""
 
-RETURN_WATCH_MS = 20
+FIRST_WATCH_TIMEOUT_MS = 20
 """Wait of the first watch after a failure, or after peers have followed the platform:
 it shows at once that the platform can be read. A long watch would be answered at the
 next change, perhaps seconds later. Until then the platform would count as unreachable,
 and peers would become active as well."""
 
-GATHER_S = (0.25, 0.6)
+BURST_PAUSE_S = (0.25, 0.6)
 """Pause after a watch that returned changes. They come in bursts, as when a service is
 released, and each call is billed. Together with the rounds of aggregators, by which the
 other sidecars receive a change within a second, it stays below the two seconds that are
 allowed."""
 
-RETRY_S = (0.15, 0.4)
+RETRY_PAUSE_S = (0.15, 0.4)
 """Random pause after a failed call, so that not all hosts retry at the same moment."""
 
-MAX_RETRY_S = 1.5
+MAX_RETRY_PAUSE_S = 1.5
 """Longest pause after failures for a sidecar that is alone: changes must be in force
 within two seconds of the platform's return. Where several share a zone, together they
 call as often as one, and the first that succeeds informs the others."""
 
-WATCHERS = 1
+WATCHERS_PER_ZONE = 1
 """Sidecars of a zone that follow the platform in normal operation. Each call is billed.
 If the active one is lost, its zone receives changes from the aggregators of the other
 zones within a second, until the next one takes over."""
 
-WATCH_STEP_MS = 50.0
+WATCHER_TAKEOVER_STEP_MS = 50.0
 """Delay of each further sidecar in taking over when watchers are missing: a call to the
 platform and the announcement of its result take a few milliseconds."""
 
-STANDBY_S = 0.1
+STANDBY_CHECK_PAUSE_S = 0.1
 """Pause between checks whether this sidecar has become active: the interval of the
 other periodic decisions."""
 
@@ -85,7 +85,7 @@
             PlatformUnavailableError: the store returned no usable data.
         """
 
-    async def lists(self, instance_id: str) -> bool:
+    async def has_instance(self, instance_id: str) -> bool:
         """Return whether an instance is currently registered.
 
         Raises:
@@ -108,23 +108,23 @@
         """
 
 
-class ReplicaKeeper(Protocol):
+class PlatformListener(Protocol):
     """Receiver of the platform's changes and state."""
 
     @property
     def revision(self) -> Revision:
         """Revision up to which all changes are known."""
 
-    def take(self, delta: Delta, source: str) -> None:
+    def apply_delta(self, delta: Delta, source: str) -> None:
         """Apply changes."""
 
-    def platform_away(self) -> None:
+    def record_outage(self) -> None:
         """Record that the platform can't be read."""
 
-    def platform_back(self) -> None:
+    def record_outage_end(self) -> None:
         """Record that the platform can be read, by this sidecar or by a peer."""
 
-    def platform_followed(self, following: bool) -> None:
+    def record_following(self, following: bool) -> None:
         """Record that this sidecar began or ceased to follow the platform."""
 
 
@@ -133,8 +133,8 @@
 
     Args:
         store: client of the platform's store.
-        keeper: receives the changes.
-        duty: decides whether this sidecar is active. While it isn't, a peer follows the
+        listener: receives the changes.
+        role: decides whether this sidecar is active. While it isn't, a peer follows the
             platform and sends the changes.
         rng: random source of the pauses.
     """
@@ -143,13 +143,13 @@
         self,
         *,
         store: PlatformStore,
-        keeper: ReplicaKeeper,
-        duty: ZoneDuty,
+        listener: PlatformListener,
+        role: ZoneRole,
         rng: random.Random,
     ):
         self._store = store
-        self._listener = keeper
-        self._role = duty
+        self._listener = listener
+        self._role = role
         self._rng = rng
         self._is_complete = False
         self._is_unreachable = False
@@ -174,7 +174,7 @@
     @property
     def _is_needed(self) -> bool:
         """Whether to call the platform: this sidecar is active, or has no data yet."""
-        return self._role.is_own or self._listener.revision == UNKNOWN
+        return self._role.is_active or self._listener.revision == UNKNOWN
 
     async def _stand_by(self) -> None:
         """Make no calls while peers follow the platform."""
@@ -183,7 +183,7 @@
         self._is_complete = True  # Peers send all changes.
         while not self._is_needed:
             self._check_peers()
-            await asyncio.sleep(STANDBY_S)
+            await asyncio.sleep(STANDBY_CHECK_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
         """Wait, but only while this sidecar has to call the platform."""
@@ -191,7 +191,7 @@
         end_s = loop.time() + seconds
         while (remaining_s := end_s - loop.time()) > 0 and self._is_needed:
             self._check_peers()
-            await asyncio.sleep(min(remaining_s, STANDBY_S))
+            await asyncio.sleep(min(remaining_s, STANDBY_CHECK_PAUSE_S))
 
     def _check_peers(self) -> None:
         """Treat the platform as reachable while a peer follows it.
@@ -199,7 +199,7 @@
         Failure: a sidecar that the platform refuses treats it as unreachable, and holds
         each removal of a server that its peers send, as an expiry during the outage.
         """
-        if self._role.is_held:
+        if self._role.has_active_peer:
             self._record_return("peers")
 
     async def _read_or_watch(self) -> None:
@@ -211,9 +211,9 @@
         self._record_return(PLATFORM_SOURCE)
         self._set_following(True)
         has_changes = delta.revision > self._listener.revision
-        self._listener.take(delta, PLATFORM_SOURCE)
-        if has_changes and not delta.whole:
-            await asyncio.sleep(self._rng.uniform(*GATHER_S))
+        self._listener.apply_delta(delta, PLATFORM_SOURCE)
+        if has_changes and not delta.is_full:
+            await asyncio.sleep(self._rng.uniform(*BURST_PAUSE_S))
 
     async def _read(self) -> Delta:
         delta = await self._store.read()
@@ -226,7 +226,7 @@
 
     async def _watch(self) -> Delta:
         after = self._listener.revision
-        wait_ms = WATCH_MS if self._following else RETURN_WATCH_MS
+        wait_ms = WATCH_TIMEOUT_MS if self._following else FIRST_WATCH_TIMEOUT_MS
         delta = await self._store.watch(after, wait_ms)
         if delta.revision.era != after.era:
             raise HistoryGoneError
@@ -240,30 +240,30 @@
         self._is_complete = False
         self._lost_histories += 1
         if self._lost_histories > 1:
-            await self._pause(self._rng.uniform(*RETRY_S))
+            await self._pause(self._rng.uniform(*RETRY_PAUSE_S))
 
     def _record_return(self, source: str) -> None:
         if self._is_unreachable:
             self._is_unreachable = False
             era, number = self._listener.revision
             log_event("platform_back", source=source, era=era, revision=number)
-        self._listener.platform_back()
+        self._listener.record_outage_end()
 
     def _set_following(self, following: bool) -> None:
         if following != self._following:
             self._following = following
-            self._listener.platform_followed(following)
+            self._listener.record_following(following)
 
     def _record_failure(self, error: PlatformUnavailableError) -> None:
         self._failures += 1
         self._set_following(False)
-        if self._role.is_held:
+        if self._role.has_active_peer:
             return
-        self._listener.platform_away()
+        self._listener.record_outage()
         if not self._is_unreachable:
             self._is_unreachable = True
             log_event("platform_away", level="warning", reason=error.reason)
 
     def _retry_pause_s(self) -> float:
-        pause_s = self._rng.uniform(*RETRY_S) * self._failures
-        return min(pause_s, MAX_RETRY_S) * self._role.spread
+        pause_s = self._rng.uniform(*RETRY_PAUSE_S) * self._failures
+        return min(pause_s, MAX_RETRY_PAUSE_S) * self._role.sidecars_per_active
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
@@ -13,7 +13,7 @@
 
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
-MAX_REMOVED = 4_096
+MAX_REMOVED_KEYS = 4_096
 """Removed keys that are kept for peers that lag; a peer that lags further receives the
 full replica. Covers several days of server replacements at 560 hosts."""
 
@@ -39,12 +39,12 @@
 
     Attributes:
         revision: all changes up to it are in the entries or known to the receiver.
-        whole: whether the delta is full, so that keys missing from it are removed.
+        is_full: whether the delta is full, so that keys missing from it are removed.
         entries: the changed keys.
     """
 
     revision: Revision
-    whole: bool
+    is_full: bool
     entries: tuple[Entry, ...]
 
 
@@ -95,7 +95,7 @@
         if not self._is_applicable(delta):
             return [entry for entry in delta.entries if self._apply_routes(entry)]
         changed = [entry for entry in delta.entries if self._apply_entry(entry)]
-        if delta.whole and delta.revision >= self.revision:
+        if delta.is_full and delta.revision >= self.revision:
             listed = {entry.key for entry in delta.entries}
             changed += self._remove_unlisted(listed, delta.revision)
             # A full delta doesn't list the keys removed before it, so a peer that lags
@@ -104,7 +104,7 @@
         self.revision = max(self.revision, delta.revision)
         return changed
 
-    def since(self, position: Position) -> Delta:
+    def changes_since(self, position: Position) -> Delta:
         """Return the changes that a replica at a position lacks."""
         after = position.revision
         # An era begins with a full delta, so replicas of older eras receive a full one.
@@ -116,16 +116,16 @@
             return entry.value is not None if is_full else entry.revision > after
 
         entries = tuple(filter(is_missing, self._entries.values()))
-        return Delta(revision=self.revision, whole=is_full, entries=entries)
+        return Delta(revision=self.revision, is_full=is_full, entries=entries)
 
-    def live(self) -> Iterable[Entry]:
+    def live_entries(self) -> Iterable[Entry]:
         """Return the entries of keys that aren't removed."""
         return (e for e in self._entries.values() if e.value is not None)
 
     def _is_applicable(self, delta: Delta) -> bool:
         if delta.revision.era == self.revision.era:
             return True
-        return delta.whole and delta.revision.era > self.revision.era
+        return delta.is_full and delta.revision.era > self.revision.era
 
     def _apply_entry(self, entry: Entry) -> bool:
         if self._routes.is_route_table(entry.key):
@@ -156,7 +156,7 @@
     def _remove_unlisted(self, listed: set[str], revision: Revision) -> list[Entry]:
         gone = [
             Entry(key=entry.key, revision=revision, value=None)
-            for entry in self.live()
+            for entry in self.live_entries()
             if entry.key not in listed
             and entry.revision <= revision
             and not self._routes.is_route_table(entry.key)
@@ -171,7 +171,7 @@
 
     def _evict_oldest_removal(self) -> None:
         removed = [e for e in self._entries.values() if e.value is None]
-        if len(removed) <= MAX_REMOVED:
+        if len(removed) <= MAX_REMOVED_KEYS:
             return
         oldest = min(removed, key=lambda entry: entry.revision)
         self._purged_revision = max(self._purged_revision, oldest.revision)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
@@ -17,10 +17,10 @@
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
-    parse_uses,
+    parse_usage,
     serialize_counts,
     serialize_demand,
-    serialize_uses,
+    serialize_usage,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     FleetDigest,
@@ -33,11 +33,11 @@
 from sassafraswinch_sidecar.repeat_budget import sum_counts
 from sassafraswinch_sidecar.revisions import Position
 
-GATHERERS = 2
+AGGREGATORS_PER_ZONE = 2
 """Active aggregators of a zone. With one, its loss would leave the zone without a view
 until the loss is noticed."""
 
-GATHER_STEP_MS = 100.0
+AGGREGATOR_TAKEOVER_STEP_MS = 100.0
 """Delay of each further sidecar in taking over when aggregators are missing: dialling
 a zone and announcing the new aggregator takes tens of milliseconds."""
 
@@ -50,8 +50,8 @@
 """Hosts that an aggregator polls per second. In large zones the pause grows, so that
 the cost stays near a hundredth of a core."""
 
-LIFE_ROUNDS = 3.5
-MIN_LIFE_MS = 800.0
+MAX_SILENT_ROUNDS = 3.5
+MIN_EVICTION_TIMEOUT_MS = 800.0
 """Rounds, and minimum time, without a reply after which a host or a zone is evicted:
 one reply may be lost, and a busy host may pause for a moment."""
 
@@ -59,9 +59,9 @@
 """Bits of a host's state on the wire."""
 
 
-def life_ms(round_ms: float) -> float:
+def eviction_timeout_ms(round_ms: float) -> float:
     """Return the time without a reply after which a host or a zone is evicted."""
-    return max(LIFE_ROUNDS * round_ms, MIN_LIFE_MS)
+    return max(MAX_SILENT_ROUNDS * round_ms, MIN_EVICTION_TIMEOUT_MS)
 
 
 def round_pause_ms(hosts: int) -> float:
@@ -86,7 +86,7 @@
         return now_ms - self.at_ms
 
 
-class ZoneGatherer:
+class ZoneAggregator:
     """Latest reports of one zone's hosts and summaries of the other zones.
 
     Args:
@@ -106,7 +106,7 @@
         self._reports: dict[str, _Received[HostReport]] = {}
         self._summaries: dict[str, _Received[ZoneSummary]] = {}
 
-    def heard(self, ip: str, report: HostReport, now_ms: float) -> bool:
+    def record_report(self, ip: str, report: HostReport, now_ms: float) -> bool:
         """Record the report of a host of this zone, replacing its former one.
 
         Returns:
@@ -116,7 +116,7 @@
         self._reports[ip] = _Received(now_ms, report)
         return is_new
 
-    def heard_zone(self, summary: ZoneSummary, now_ms: float) -> bool:
+    def record_summary(self, summary: ZoneSummary, now_ms: float) -> bool:
         """Record the summary of another zone, replacing its former one.
 
         Returns:
@@ -128,19 +128,21 @@
         hosts = len(summary.loads.hosts.ips)
         return known is None or hosts > len(known.content.loads.hosts.ips)
 
-    def relies(self, ip: str) -> bool:
+    def needs_full_digest(self, ip: str) -> bool:
         """Return whether a host needs the full digest; an unknown host does."""
         received = self._reports.get(ip)
         return received is None or received.content.relies
 
-    def answering(self) -> Iterable[str]:
+    def replying_hosts(self) -> Iterable[str]:
         """Return the hosts of this zone that replied in the last rounds."""
         return self._reports.keys()
 
-    def forget(self, now_ms: float, round_ms: float) -> None:
+    def evict_expired(self, now_ms: float, round_ms: float) -> None:
         """Evict the hosts and zones that no longer reply."""
-        self._reports = _recent(self._reports, now_ms, life_ms(round_ms))
-        self._summaries = _recent(self._summaries, now_ms, life_ms(round_ms))
+        self._reports = _recent(self._reports, now_ms, eviction_timeout_ms(round_ms))
+        self._summaries = _recent(
+            self._summaries, now_ms, eviction_timeout_ms(round_ms)
+        )
 
     def summary(self) -> ZoneSummary:
         """Return the summary of this zone."""
@@ -151,8 +153,8 @@
             loads=ZoneLoads(self._zone, 0, _host_loads(reports)),
             demand=serialize_demand(merge_claims(demands)),
             counts=serialize_counts(sum_counts(counts)),
-            uses=serialize_uses(
-                sum_uses(parse_uses(report.uses) for report in reports.values())
+            uses=serialize_usage(
+                sum_uses(parse_usage(report.uses) for report in reports.values())
             ),
         )
 
@@ -183,12 +185,12 @@
             counts=serialize_counts(
                 sum_counts(parse_counts(each.counts) for each in summaries)
             ),
-            uses=serialize_uses(self._usage_near_limits(summaries)),
+            uses=serialize_usage(self._usage_near_limits(summaries)),
         )
 
     def _usage_near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
         """Return the usage of organisations near their limit; others have no effect."""
-        total = sum_uses(parse_uses(each.uses) for each in summaries)
+        total = sum_uses(parse_usage(each.uses) for each in summaries)
         near = {
             name: usage
             for name, usage in total.uses.items()
@@ -197,7 +199,7 @@
         return FleetUse(near, total.hosts, total.unknown_ms)
 
 
-def bare_digest(position: Position) -> FleetDigest:
+def empty_digest(position: Position) -> FleetDigest:
     """Return the digest for hosts that take their view from another aggregator."""
     return FleetDigest(
         **position_fields(position), whole=False, zones=[], demand=[], counts=[]
@@ -216,7 +218,7 @@
         self._contacts: dict[str, str] = {}
         self._replied_ms: dict[str, float] = {}
 
-    def choose(
+    def choose_contacts(
         self, zones: Mapping[str, list[str]], now_ms: float, round_ms: float
     ) -> list[str]:
         """Return the address to poll for each zone.
@@ -231,13 +233,13 @@
             replied_ms = self._replied_ms.setdefault(zone, now_ms)
             if contact not in ips:
                 self._set_contact(zone, ips[0], now_ms)
-            elif now_ms - replied_ms > life_ms(round_ms):
+            elif now_ms - replied_ms > eviction_timeout_ms(round_ms):
                 self._set_contact(
                     zone, ips[(ips.index(contact) + 1) % len(ips)], now_ms
                 )
         return [self._contacts[zone] for zone in zones]
 
-    def answered(
+    def record_reply(
         self, zone: str, ip: str, aggregators: Iterable[str], now_ms: float
     ) -> None:
         """Record a reply, and switch to an aggregator of the zone.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
@@ -33,7 +33,7 @@
         self._view = view
         self._load_of = load_of
 
-    def following(self) -> Mapping[str, bool]:
+    def following_by_peer(self) -> Mapping[str, bool]:
         """Return whether each peer that can be relied on follows the platform.
 
         Hosts that haven't been reported yet count as not following. Failure: all hosts
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_duty.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_role.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 
-class ZoneDuty:
+class ZoneRole:
     """Role that a few sidecars of a zone fill, decided from the state of the peers.
 
     There is no consensus protocol. A sidecar is active unless enough peers with lower
@@ -13,28 +13,28 @@
 
     Args:
         own_ip: address of this host.
-        holders: sidecars of a zone that are active in normal operation.
+        active_sidecars: sidecars of a zone that are active in normal operation.
         step_ms: delay of each further sidecar in taking over when active ones are
             missing.
 
     Attributes:
-        is_own: whether this sidecar is active.
-        is_held: whether a peer of the zone is active.
-        spread: number of sidecars for each active one. While no
+        is_active: whether this sidecar is active.
+        has_active_peer: whether a peer of the zone is active.
+        sidecars_per_active: number of sidecars for each active one. While no
             sidecar can fill the role, all of them try, each less often by this factor:
             an outage must not multiply the calls.
     """
 
-    def __init__(self, *, own_ip: str, holders: int, step_ms: float):
-        self.is_own = True
-        self.is_held = False
-        self.spread = 1.0
+    def __init__(self, *, own_ip: str, active_sidecars: int, step_ms: float):
+        self.is_active = True
+        self.has_active_peer = False
+        self.sidecars_per_active = 1.0
         self._own_ip = own_ip
-        self._active_sidecars = holders
+        self._active_sidecars = active_sidecars
         self._step_ms = step_ms
         self._missing_since_ms: float | None = None
 
-    def decide(self, peers: Mapping[str, bool], now_ms: float) -> None:
+    def update_role(self, peers: Mapping[str, bool], now_ms: float) -> None:
         """Update the role from the state of the peers.
 
         Args:
@@ -43,13 +43,13 @@
             now_ms: monotonic time.
         """
         earlier = [ip for ip in peers if ip < self._own_ip]
-        self.is_held = any(peers.values())
-        self.spread = max(1.0, (len(peers) + 1) / self._active_sidecars)
+        self.has_active_peer = any(peers.values())
+        self.sidecars_per_active = max(1.0, (len(peers) + 1) / self._active_sidecars)
         if sum(peers[ip] for ip in earlier) >= self._active_sidecars:
             self._missing_since_ms = None
-            self.is_own = False
+            self.is_active = False
             return
         if self._missing_since_ms is None:
             self._missing_since_ms = now_ms
         delay_ms = max(0, len(earlier) - self._active_sidecars + 1) * self._step_ms
-        self.is_own = now_ms - self._missing_since_ms >= delay_ms
+        self.is_active = now_ms - self._missing_since_ms >= delay_ms
--- a/packages/sassafraswinch-sidecar/tests/test_fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/test_fleet.py
@@ -2,7 +2,7 @@
 
 import json
 
-from sassafraswinch_sidecar.fleet import EXPIRY_MS, RETURN_MS, Fleet
+from sassafraswinch_sidecar.fleet import MIN_EXPIRY_OUTAGE_MS, RETURN_WINDOW_MS, Fleet
 from sassafraswinch_sidecar.replica import Delta, Entry, Replica
 from sassafraswinch_sidecar.revisions import Revision
 from sidecar_standins.fleet import INSTANCE, ROUTES, MemoryDecoder
@@ -20,7 +20,7 @@
         self.isolated = set()
         self.fleet = Fleet(
             decoder=MemoryDecoder(),
-            report=self.errors.append,
+            report_error=self.errors.append,
             is_isolated=self.isolated.__contains__,
         )
         self.replica = Replica(routes=self.fleet)
@@ -36,8 +36,8 @@
         self.revision += 1
         revision = Revision(0, self.revision)
         entry = Entry(key=key, revision=revision, value=value)
-        delta = Delta(revision=revision, whole=False, entries=(entry,))
-        self.fleet.apply(self.replica.merge(delta), now_ms)
+        delta = Delta(revision=revision, is_full=False, entries=(entry,))
+        self.fleet.apply_entries(self.replica.merge(delta), now_ms)
 
     def ids(self):
         return [found.id for found in self.fleet.of_service("archiv")]
@@ -51,23 +51,25 @@
     harness = Harness()
     harness.put("a", 0.0)
     harness.put("b", 0.0, ip="10.0.0.2")
-    harness.fleet.platform_away(1_000.0)
-    harness.fleet.platform_back(6_000.0)
+    harness.fleet.record_outage(1_000.0)
+    harness.fleet.record_outage_end(6_000.0)
     harness.remove("a", 6_010.0)
     harness.remove("b", 6_010.0)
     assert sorted(harness.ids()) == ["a", "b"]
     harness.put("a", 7_000.0)
-    harness.fleet.tick(harness.replica, 6_010.0 + RETURN_MS)
+    harness.fleet.tick(harness.replica, 6_010.0 + RETURN_WINDOW_MS)
     assert harness.ids() == ["a"]
 
 
 def test_removal_from_a_peer_during_a_long_outage_takes_effect_after_the_same_time():
     harness = Harness()
     harness.put("a", 0.0)
-    harness.fleet.platform_away(1_000.0)
-    harness.remove("a", 1_000.0 + EXPIRY_MS)
+    harness.fleet.record_outage(1_000.0)
+    harness.remove("a", 1_000.0 + MIN_EXPIRY_OUTAGE_MS)
     assert harness.ids() == ["a"]
-    harness.fleet.tick(harness.replica, 1_000.0 + EXPIRY_MS + RETURN_MS)
+    harness.fleet.tick(
+        harness.replica, 1_000.0 + MIN_EXPIRY_OUTAGE_MS + RETURN_WINDOW_MS
+    )
     assert harness.ids() == []
 
 
@@ -77,8 +79,8 @@
     """
     harness = Harness()
     harness.put("a", 0.0)
-    harness.fleet.platform_away(1_000.0)
-    harness.fleet.platform_back(1_500.0)
+    harness.fleet.record_outage(1_000.0)
+    harness.fleet.record_outage_end(1_500.0)
     harness.remove("a", 1_510.0)
     assert harness.ids() == []
     assert harness.fleet.is_leaving("a")
@@ -88,9 +90,9 @@
     """Guards against holding a server that left without notice for a full window."""
     harness = Harness()
     harness.put("a", 0.0)
-    harness.fleet.platform_away(1_000.0)
-    harness.fleet.platform_back(6_000.0)
-    removed_ms = 6_000.0 + RETURN_MS - 100.0
+    harness.fleet.record_outage(1_000.0)
+    harness.fleet.record_outage_end(6_000.0)
+    removed_ms = 6_000.0 + RETURN_WINDOW_MS - 100.0
     harness.remove("a", removed_ms)
     harness.fleet.tick(harness.replica, removed_ms + DRAIN_MS)
     assert harness.ids() == []
@@ -99,10 +101,10 @@
 def test_leaving_instance_is_not_held():
     harness = Harness()
     harness.put("a", 0.0, leaving=True)
-    harness.fleet.platform_away(1_000.0)
-    harness.fleet.platform_back(6_000.0)
+    harness.fleet.record_outage(1_000.0)
+    harness.fleet.record_outage_end(6_000.0)
     harness.remove("a", 6_010.0)
-    assert harness.fleet.at("10.0.0.1") == []
+    assert harness.fleet.instances_at("10.0.0.1") == []
 
 
 def test_new_lifetime_at_an_address_supersedes_the_old_one():
@@ -118,7 +120,7 @@
 def test_cold_time_counts_from_the_registration():
     harness = Harness()
     harness.put("a", 1_000.0, cold_ms=3_000.0)
-    (found,) = harness.fleet.at("10.0.0.1")
+    (found,) = harness.fleet.instances_at("10.0.0.1")
     assert harness.fleet.cold_left_ms(found, 2_000.0) == 2_000.0
     assert harness.fleet.cold_left_ms(found, 9_000.0) == 0.0
 
@@ -200,8 +202,8 @@
     harness.remove("cut", 5_000.0)
     assert harness.ids() == []
     assert harness.fleet.is_leaving("cut")
-    assert harness.fleet.lapsed_at("10.0.0.1").id == "cut"
-    assert harness.fleet.lapsed_at("10.0.0.2") is None
+    assert harness.fleet.expired_instance_at("10.0.0.1").id == "cut"
+    assert harness.fleet.expired_instance_at("10.0.0.2") is None
 
     harness.isolated.add("10.0.0.1")
     harness.isolated.add("10.0.0.2")
@@ -214,7 +216,7 @@
     harness.put("cut", 14_000.0)
     harness.fleet.tick(harness.replica, 20_000.0)
     assert harness.ids() == ["cut"]
-    assert harness.fleet.lapsed_at("10.0.0.1") is None
+    assert harness.fleet.expired_instance_at("10.0.0.1") is None
 
 
 def test_server_that_is_not_registered_again_after_isolation_gets_no_more_work():
@@ -228,9 +230,9 @@
     harness.isolated.add("10.0.0.1")
     harness.fleet.tick(harness.replica, 5_700.0)
     harness.isolated.clear()
-    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_MS - 1)
+    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_WINDOW_MS - 1)
     assert harness.ids() == ["cut"]
-    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_MS)
+    harness.fleet.tick(harness.replica, 5_700.0 + RETURN_WINDOW_MS)
     assert harness.ids() == []
     assert harness.fleet.is_leaving("cut")
 
@@ -243,4 +245,4 @@
     harness.isolated.add("10.0.0.1")
     harness.fleet.tick(harness.replica, 6_100.0)
     assert harness.ids() == ["new"]
-    assert harness.fleet.lapsed_at("10.0.0.1") is None
+    assert harness.fleet.expired_instance_at("10.0.0.1") is None
--- a/packages/sassafraswinch-sidecar/tests/test_fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_fleet_exchange.py
@@ -25,7 +25,7 @@
 
 
 def aggregators(fleet):
-    return [node for node in fleet.nodes if node.sidecar._exchange.gathers]
+    return [node for node in fleet.nodes if node.sidecar._exchange.is_aggregating]
 
 
 def demand_at(node):
@@ -57,7 +57,9 @@
     lost, remaining = fleet.nodes[:2], fleet.nodes[2:]
     for node in lost:
         await node.kill()
-    await until(lambda: all(node.sidecar._exchange.gathers for node in remaining))
+    await until(
+        lambda: all(node.sidecar._exchange.is_aggregating for node in remaining)
+    )
     got = await fleet.call(remaining[0], target="/approve/1", method="POST")
     assert got.status == 200
     for node in lost:
@@ -77,5 +79,5 @@
     for number in range(20):
         await fleet.call(node, request_id=f"r-{number}")
     await until(lambda: "orders" in demand_at(fleet.nodes[0]))
-    await until(lambda: not node.sidecar._exchange.gathers)
+    await until(lambda: not node.sidecar._exchange.is_aggregating)
     assert node.sidecar._view.age_ms(node.sidecar._now_ms()) < 2_000.0
--- a/packages/sassafraswinch-sidecar/tests/test_own_entry.py
+++ b/packages/sassafraswinch-sidecar/tests/test_isolation_detector.py
@@ -5,7 +5,10 @@
 
 import pytest
 
-from sassafraswinch_sidecar.own_entry import ASK_TIMEOUT_S, OwnEntry
+from sassafraswinch_sidecar.isolation_detector import (
+    LOOKUP_TIMEOUT_S,
+    IsolationDetector,
+)
 from sassafraswinch_sidecar.platform_reader import PlatformUnavailableError
 from sidecar_standins.instances import new_instance
 
@@ -19,7 +22,7 @@
         self.answer = True
         self.lookups = 0
 
-    async def lists(self, instance_id):
+    async def has_instance(self, instance_id):
         self.lookups += 1
         if self.answer is None:
             await asyncio.Event().wait()
@@ -33,10 +36,10 @@
         self.store = StubStore()
         self.missing = None
         self.states = []
-        self.detector = OwnEntry(
-            missing=lambda: self.missing,
+        self.detector = IsolationDetector(
+            find_missing=lambda: self.missing,
             store=self.store,
-            changed=lambda: self.states.append(self.detector.is_isolated),
+            on_change=lambda: self.states.append(self.detector.is_isolated),
         )
 
 
@@ -66,11 +69,11 @@
     with running_harness() as harness:
         harness.store.answer = silence
         harness.missing = new_instance(1)
-        await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
+        await asyncio.sleep(LOOKUP_TIMEOUT_S + 0.5)
         assert harness.states == [True]
         await asyncio.sleep(10.0)
         harness.store.answer = False
-        await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
+        await asyncio.sleep(LOOKUP_TIMEOUT_S + 0.5)
         assert harness.states == [True, False]
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_standstill.py
+++ b/packages/sassafraswinch-sidecar/tests/test_pause_detector.py
@@ -1,6 +1,6 @@
 """Tests of the detection of process pauses."""
 
-from sassafraswinch_sidecar.standstill import Standstill
+from sassafraswinch_sidecar.pause_detector import PauseDetector
 
 
 class Clocks:
@@ -18,7 +18,7 @@
         self.boot_ms += for_ms
 
     def new_detector(self):
-        return Standstill(
+        return PauseDetector(
             boot_ms=lambda: self.boot_ms, monotonic_ms=lambda: self.monotonic_ms
         )
 
@@ -27,15 +27,15 @@
     clocks = Clocks()
     detector = clocks.new_detector()
     clocks.run(5_000.0)
-    assert detector.look() == 0.0
+    assert detector.check_pause() == 0.0
     clocks.suspend(3_000.0)
     clocks.run(100.0)
-    assert detector.look() == 3_000.0
-    assert detector.look() == 0.0
+    assert detector.check_pause() == 3_000.0
+    assert detector.check_pause() == 0.0
 
 
 def test_jitter_between_clock_readings_is_no_pause():
     clocks = Clocks()
     detector = clocks.new_detector()
     clocks.suspend(20.0)
-    assert detector.look() == 0.0
+    assert detector.check_pause() == 0.0
--- a/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
+++ b/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
@@ -4,16 +4,16 @@
 import random
 
 from sassafraswinch_sidecar.platform_reader import (
-    RETRY_S,
-    RETURN_WATCH_MS,
-    WATCH_MS,
+    FIRST_WATCH_TIMEOUT_MS,
+    RETRY_PAUSE_S,
+    WATCH_TIMEOUT_MS,
     HistoryGoneError,
     PlatformReader,
     PlatformUnavailableError,
 )
 from sassafraswinch_sidecar.replica import Delta
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
 
 class ScriptedStore:
@@ -42,7 +42,7 @@
             raise answer
         revision = answer if isinstance(answer, Revision) else Revision(0, answer)
         self.era = revision.era
-        return Delta(revision=revision, whole=call == "read", entries=())
+        return Delta(revision=revision, is_full=call == "read", entries=())
 
 
 def call_arguments(revision):
@@ -63,14 +63,14 @@
         self._started_s = asyncio.get_running_loop().time()
 
     async def read(self):
-        return Delta(revision=UNKNOWN, whole=True, entries=())
+        return Delta(revision=UNKNOWN, is_full=True, entries=())
 
     async def watch(self, after, wait_ms):
         self.watches += 1
         while self._change_count() <= after.number:
             await asyncio.sleep(self.gap_s / 4)
         self.reported = self._change_count()
-        return Delta(revision=Revision(0, self.reported), whole=False, entries=())
+        return Delta(revision=Revision(0, self.reported), is_full=False, entries=())
 
     def _change_count(self):
         elapsed_s = asyncio.get_running_loop().time() - self._started_s
@@ -85,27 +85,29 @@
         self.states = []
         self.followed = []
 
-    def take(self, delta, source):
+    def apply_delta(self, delta, source):
         self.revision = max(self.revision, delta.revision)
 
-    def platform_away(self):
+    def record_outage(self):
         self.states.append("away")
 
-    def platform_back(self):
+    def record_outage_end(self):
         self.states.append("back")
 
-    def platform_followed(self, following):
+    def record_following(self, following):
         self.followed.append(following)
 
 
 def new_reader(store, listener, role):
-    return PlatformReader(store=store, keeper=listener, duty=role, rng=random.Random(1))
+    return PlatformReader(
+        store=store, listener=listener, role=role, rng=random.Random(1)
+    )
 
 
 async def follow(*answers):
     store, listener = ScriptedStore(*answers), RecordingListener()
     reader = new_reader(
-        store, listener, ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, listener, ZoneRole(own_ip="10.0.0.1", active_sidecars=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
@@ -126,7 +128,9 @@
     """
     store = BurstStore(changes=12, gap_s=0.02)
     reader = new_reader(
-        store, RecordingListener(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store,
+        RecordingListener(),
+        ZoneRole(own_ip="10.0.0.1", active_sidecars=2, step_ms=50.0),
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
@@ -166,15 +170,17 @@
     """
     down = PlatformUnavailableError(reason="reset")
     store, listener = await follow(4, down, 4)
-    assert store.waits_ms[0] == WATCH_MS
-    assert store.waits_ms[1] == RETURN_WATCH_MS
-    assert store.waits_ms[2] == WATCH_MS
+    assert store.waits_ms[0] == WATCH_TIMEOUT_MS
+    assert store.waits_ms[1] == FIRST_WATCH_TIMEOUT_MS
+    assert store.waits_ms[2] == WATCH_TIMEOUT_MS
     assert listener.states == ["back", "away", "back"]
 
 
 def role_of(own_ip, **peers):
-    role = ZoneDuty(own_ip=own_ip, holders=2, step_ms=50.0)
-    role.decide({f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0)
+    role = ZoneRole(own_ip=own_ip, active_sidecars=2, step_ms=50.0)
+    role.update_role(
+        {f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0
+    )
     return role
 
 
@@ -209,12 +215,12 @@
         while listener.followed != [True, False]:
             await asyncio.sleep(0.01)
         store.answers = [4]
-        role.decide({}, 1_000)
+        role.update_role({}, 1_000)
         while listener.followed != [True, False, True]:
             await asyncio.sleep(0.01)
     task.cancel()
     assert store.calls[:2] == ["read", ("watch", 4)]
-    assert store.waits_ms[0] == RETURN_WATCH_MS
+    assert store.waits_ms[0] == FIRST_WATCH_TIMEOUT_MS
 
 
 async def test_refused_sidecar_does_not_count_the_platform_as_unreachable():
@@ -280,4 +286,4 @@
     task = asyncio.create_task(reader.run())
     await asyncio.sleep(0.5)
     task.cancel()
-    assert store.calls.count("read") <= 2 + 0.5 / RETRY_S[0]
+    assert store.calls.count("read") <= 2 + 0.5 / RETRY_PAUSE_S[0]
--- a/packages/sassafraswinch-sidecar/tests/test_replica.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica.py
@@ -29,11 +29,11 @@
 
 
 def delta_of(number, *entries, is_full=False, era=0):
-    return Delta(revision=Revision(era, number), whole=is_full, entries=entries)
+    return Delta(revision=Revision(era, number), is_full=is_full, entries=entries)
 
 
 def values(replica):
-    return {found.key: found.revision.number for found in replica.live()}
+    return {found.key: found.revision.number for found in replica.live_entries()}
 
 
 def test_later_change_wins_whatever_the_order():
@@ -65,7 +65,7 @@
     behind.merge(delta_of(2, entry("a", 2), is_full=True))
     fresh.merge(delta_of(1, is_full=True))
     fresh.merge(delta_of(4, entry("a", 4, None)))
-    behind.merge(fresh.since(behind.position))
+    behind.merge(fresh.changes_since(behind.position))
     assert values(behind) == {}
     assert behind.revision == Revision(0, 4)
 
@@ -90,7 +90,7 @@
     for _ in range(2):
         for left in replicas:
             for right in replicas:
-                left.merge(right.since(left.position))
+                left.merge(right.changes_since(left.position))
     assert values(replicas[0]) == values(replicas[1]) == values(replicas[2])
     revisions = {replica.revision for replica in replicas}
     assert len(revisions) == 1
@@ -130,10 +130,10 @@
     restored, behind = new_replica(), new_replica()
     behind.merge(delta_of(9, entry("a", 4), entry("b", 9), is_full=True))
     restored.merge(delta_of(5, entry("a", 4, era=1), is_full=True, era=1))
-    assert behind.position.lacks(restored.position)
-    assert not restored.position.lacks(behind.position)
-    restored.merge(behind.since(restored.position))
-    behind.merge(restored.since(behind.position))
+    assert behind.position.is_behind(restored.position)
+    assert not restored.position.is_behind(behind.position)
+    restored.merge(behind.changes_since(restored.position))
+    behind.merge(restored.changes_since(behind.position))
     assert values(behind) == values(restored) == {"a": 4}
     assert behind.position == restored.position
 
@@ -145,11 +145,11 @@
     restored = delta_of(5, entry(ROUTES, 3, b"7", era=1), is_full=True, era=1)
     assert current.merge(restored) == []
     fresh.merge(restored)
-    assert fresh.position.lacks(current.position)
-    fresh.merge(current.since(fresh.position))
+    assert fresh.position.is_behind(current.position)
+    fresh.merge(current.changes_since(fresh.position))
     assert fresh.routes_version == current.routes_version == 8
     assert current.merge(delta_of(6, is_full=True, era=2)) == []
-    assert current.since(new_replica().position).entries[0].value == b"8"
+    assert current.changes_since(new_replica().position).entries[0].value == b"8"
 
 
 def test_invalid_routes_are_not_sent_to_peers():
@@ -157,7 +157,7 @@
     replica = new_replica()
     replica.merge(delta_of(3, entry(ROUTES, 3, b"7"), is_full=True))
     assert replica.merge(delta_of(4, entry(ROUTES, 4, b"odd"))) == []
-    sent = replica.since(new_replica().position)
+    sent = replica.changes_since(new_replica().position)
     assert [found.value for found in sent.entries] == [b"7"]
 
 
@@ -166,7 +166,7 @@
     isolated, restored = new_replica(), new_replica()
     isolated.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), is_full=True))
     restored.merge(delta_of(5, entry(ROUTES, 3, b"7", era=1), is_full=True, era=1))
-    assert restored.position.lacks(isolated.position)
-    changed = restored.merge(isolated.since(restored.position))
+    assert restored.position.is_behind(isolated.position)
+    changed = restored.merge(isolated.changes_since(restored.position))
     assert [found.value for found in changed] == [b"8"]
     assert restored.revision == Revision(1, 5)
--- a/packages/sassafraswinch-sidecar/tests/test_replica_machine.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica_machine.py
@@ -15,7 +15,9 @@
 
 def servers(replica):
     """Return the values of the servers that aren't removed, by key."""
-    return {each.key: each.value for each in replica.live() if each.key != ROUTES}
+    return {
+        each.key: each.value for each in replica.live_entries() if each.key != ROUTES
+    }
 
 
 class NumberedRoutes:
@@ -108,7 +110,7 @@
     def synchronise(self, host, source, peer, late):
         """Read the full store, watch it, or request changes from a peer."""
         if source == "ask":
-            delta = self.hosts[peer].since(self.hosts[host].position)
+            delta = self.hosts[peer].changes_since(self.hosts[host].position)
             self.send(host, delta, late)
             assert late or self.is_up_to_date(host, peer)
         elif host not in self.isolated:
@@ -122,12 +124,12 @@
         """Return the reply to a watch that sends only a number, without an era."""
         after = self.hosts[host].revision.number
         found = (e for e in self.items.values() if e.revision.number > after)
-        return Delta(revision=self.revision, whole=False, entries=tuple(found))
+        return Delta(revision=self.revision, is_full=False, entries=tuple(found))
 
     def is_up_to_date(self, host, peer):
         """Return whether a host has all data of a peer that isn't behind it."""
         own, other = self.hosts[host], self.hosts[peer]
-        if own.position.lacks(other.position):
+        if own.position.is_behind(other.position):
             return False
         return own.revision > other.revision or servers(own) == servers(other)
 
@@ -155,20 +157,20 @@
 
     def full_delta(self):
         live = tuple(e for e in self.items.values() if e.value is not None)
-        return Delta(revision=self.revision, whole=True, entries=live)
+        return Delta(revision=self.revision, is_full=True, entries=live)
 
     def teardown(self):
         """One host reads the store; the others receive all changes from a peer."""
         self.write_again()
         first, second, third = self.hosts
         first.merge(self.full_delta())
-        second.merge(first.since(second.position))
-        third.merge(second.since(third.position))
+        second.merge(first.changes_since(second.position))
+        third.merge(second.changes_since(third.position))
         expected = {
             key: value for key, value in self.written.items() if value is not None
         }
         for host in self.hosts:
-            assert {entry.key: entry.value for entry in host.live()} == expected
+            assert {entry.key: entry.value for entry in host.live_entries()} == expected
             assert host.position == first.position
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from sassafraswinch_sidecar.departures import EXPIRED_BY_MS
-from sassafraswinch_sidecar.fleet import RETURN_MS, Fleet
+from sassafraswinch_sidecar.departures import REGISTRATION_EXPIRY_MS
+from sassafraswinch_sidecar.fleet import RETURN_WINDOW_MS, Fleet
 from sassafraswinch_sidecar.replica import Delta, Entry, Replica
 from sassafraswinch_sidecar.revisions import Revision
 from sidecar_standins.fleet import INSTANCE, MemoryDecoder, running_fleet, until
@@ -14,7 +14,7 @@
     """A fleet that follows a store, which can be restored from an older copy."""
 
     def __init__(self):
-        self.fleet = Fleet(decoder=MemoryDecoder(), report=print)
+        self.fleet = Fleet(decoder=MemoryDecoder(), report_error=print)
         self.replica = Replica(routes=self.fleet)
         self.revision = Revision(0, 0)
         self.items: dict[str, Entry] = {}
@@ -43,7 +43,7 @@
         }
         live = tuple(e for e in self.items.values() if e.value is not None)
         self._apply_delta(
-            Delta(revision=self.revision, whole=True, entries=live), now_ms
+            Delta(revision=self.revision, is_full=True, entries=live), now_ms
         )
 
     def ids(self):
@@ -59,15 +59,15 @@
         entry = Entry(key=key, revision=self.revision, value=value)
         self.items[key] = entry
         self._apply_delta(
-            Delta(revision=self.revision, whole=False, entries=(entry,)), now_ms
+            Delta(revision=self.revision, is_full=False, entries=(entry,)), now_ms
         )
 
     def _apply_delta(self, delta, now_ms):
         era = self.replica.revision.era
         changed = self.replica.merge(delta)
         if self.replica.revision.era > era:
-            self.fleet.store_restored(now_ms)
-        self.fleet.apply(changed, now_ms)
+            self.fleet.record_store_restore(now_ms)
+        self.fleet.apply_entries(changed, now_ms)
 
 
 @pytest.fixture
@@ -87,7 +87,7 @@
     harness.remove("a", 3_000.0)
     assert harness.tick(9_000.0) == []
     harness.restore(copy, 9_100.0)
-    assert harness.tick(9_100.0 + 2 * EXPIRED_BY_MS) == []
+    assert harness.tick(9_100.0 + 2 * REGISTRATION_EXPIRY_MS) == []
 
 
 def test_server_that_left_and_was_removed_gets_no_more_requests(harness):
@@ -103,7 +103,7 @@
     assert harness.fleet.is_leaving("a")
     assert harness.fleet.is_leaving("b")
     harness.remove("a", 6_000.0)
-    assert harness.tick(2_100.0 + EXPIRED_BY_MS) == []
+    assert harness.tick(2_100.0 + REGISTRATION_EXPIRY_MS) == []
 
 
 def test_removed_server_that_registers_again_is_used(harness):
@@ -123,8 +123,8 @@
     copy = harness.copy()
     harness.remove("a", 10.0)
     harness.restore(copy, 100.0)
-    assert harness.tick(100.0 + EXPIRED_BY_MS - 1) == []
-    assert harness.tick(100.0 + EXPIRED_BY_MS) == ["a"]
+    assert harness.tick(100.0 + REGISTRATION_EXPIRY_MS - 1) == []
+    assert harness.tick(100.0 + REGISTRATION_EXPIRY_MS) == ["a"]
 
 
 def test_doubted_server_with_an_invalid_registration_is_not_used(harness):
@@ -134,7 +134,7 @@
     harness.remove("a", 10.0)
     harness.restore(copy, 100.0)
     harness.write(INSTANCE + "a", b'{"fault": true}', 200.0)
-    assert harness.tick(100.0 + EXPIRED_BY_MS) == []
+    assert harness.tick(100.0 + REGISTRATION_EXPIRY_MS) == []
 
 
 def test_next_lifetime_of_a_server_that_left_is_used(harness):
@@ -156,14 +156,14 @@
     harness.restore(copy, 100.0)
     assert harness.ids() == ["a", "b", "c"]
     harness.put("b", 1_500.0, ip="10.0.0.2")
-    assert harness.tick(100.0 + RETURN_MS) == ["a", "b"]
+    assert harness.tick(100.0 + RETURN_WINDOW_MS) == ["a", "b"]
 
 
 def test_removal_long_after_the_restore_takes_effect_at_once(harness):
     """Guards against requests to a server whose removal is taken for data loss."""
     harness.put("a", 0.0)
     harness.restore(harness.copy(), 100.0)
-    harness.remove("a", 100.0 + RETURN_MS)
+    harness.remove("a", 100.0 + RETURN_WINDOW_MS)
     assert harness.ids() == []
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
@@ -7,12 +7,12 @@
 
 from sassafraswinch.organisation_rates import FleetUse, Use
 from sassafraswinch_sidecar.fleet_view import (
-    GATHERER_LIFE_MS,
-    MISSING_LIFE_MS,
-    VIEW_LIFE_MS,
+    AGGREGATOR_TIMEOUT_MS,
+    MAX_UNLISTED_AGE_MS,
+    MAX_VIEW_AGE_MS,
     FleetView,
 )
-from sassafraswinch_sidecar.host_reports import parse_uses, serialize_uses
+from sassafraswinch_sidecar.host_reports import parse_usage, serialize_usage
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     HostReport,
     RouteDemand,
@@ -20,13 +20,13 @@
     ServerLoad,
 )
 from sassafraswinch_sidecar.revisions import Position, Revision
-from sassafraswinch_sidecar.zone_gatherer import (
+from sassafraswinch_sidecar.zone_aggregator import (
     MAX_POLLS_PER_S,
     PAUSE_MS,
+    ZoneAggregator,
     ZoneContacts,
-    ZoneGatherer,
-    bare_digest,
-    life_ms,
+    empty_digest,
+    eviction_timeout_ms,
     round_pause_ms,
 )
 
@@ -36,7 +36,7 @@
 
 
 def new_aggregator(zone):
-    return ZoneGatherer(
+    return ZoneAggregator(
         availability_zone=zone, is_near_limit=lambda name, use: use.spent >= 20
     )
 
@@ -61,10 +61,10 @@
     local, remote = (new_aggregator(zone) for zone in ZONES)
     for zone, aggregator in zip(ZONES, (local, remote), strict=True):
         for ip in IPS[zone]:
-            aggregator.heard(ip, new_report(), 0.0)
-    local.heard_zone(remote.summary(), 100.0)
+            aggregator.record_report(ip, new_report(), 0.0)
+    local.record_summary(remote.summary(), 100.0)
     view = FleetView(own_ip=IPS["brno-a"][2])
-    view.take(local.digest(local.summary(), POSITION, 200.0), 200.0)
+    view.apply_digest(local.digest(local.summary(), POSITION, 200.0), 200.0)
     (claim,) = view.demand(200.0)
     assert (claim.kind, claim.rate_per_s) == ("orders", 30.0)
     assert math.isclose(claim.needs["archiv"], 0.2)
@@ -72,8 +72,8 @@
     assert (counts["archiv"].requests, counts["archiv"].repeats, hosts) == (60, 6, 6)
     assert view.recent_load(IPS["brno-b"][0], 200.0).in_flight == 10
     # A report received 100 ms ago in another zone is 100 ms older here.
-    assert view.recent_load(IPS["brno-b"][0], 100.0 + VIEW_LIFE_MS) is None
-    assert view.recent_load(IPS["brno-a"][0], 100.0 + VIEW_LIFE_MS) is not None
+    assert view.recent_load(IPS["brno-b"][0], 100.0 + MAX_VIEW_AGE_MS) is None
+    assert view.recent_load(IPS["brno-a"][0], 100.0 + MAX_VIEW_AGE_MS) is not None
 
 
 def test_digest_holds_organisations_near_their_limit():
@@ -81,28 +81,30 @@
     reported = FleetUse({"large": Use(4.0, 7), "small": Use(0.5, 1)}, 1, 250.0)
     for zone, aggregator in zip(ZONES, (local, remote), strict=True):
         for ip in IPS[zone]:
-            aggregator.heard(ip, new_report(uses=serialize_uses(reported)), 0.0)
-    local.heard_zone(remote.summary(), 100.0)
+            aggregator.record_report(
+                ip, new_report(uses=serialize_usage(reported)), 0.0
+            )
+    local.record_summary(remote.summary(), 100.0)
     view = FleetView(own_ip=IPS["brno-a"][2])
-    view.take(local.digest(local.summary(), POSITION, 200.0), 200.0)
-    assert view.uses(200.0) == FleetUse({"large": Use(24.0, 42)}, 6, 1_500.0)
-    assert view.uses(200.0 + VIEW_LIFE_MS) == FleetUse()
+    view.apply_digest(local.digest(local.summary(), POSITION, 200.0), 200.0)
+    assert view.usage(200.0) == FleetUse({"large": Use(24.0, 42)}, 6, 1_500.0)
+    assert view.usage(200.0 + MAX_VIEW_AGE_MS) == FleetUse()
 
 
 def test_hosts_without_usage_of_organisations_are_not_counted_in_the_total():
     aggregator = new_aggregator("brno-a")
-    aggregator.heard("10.0.0.1", new_report(), 0.0)
-    assert parse_uses(aggregator.summary().uses) == FleetUse()
+    aggregator.record_report("10.0.0.1", new_report(), 0.0)
+    assert parse_usage(aggregator.summary().uses) == FleetUse()
 
 
 def test_load_received_from_the_host_itself_is_newer_than_any_digest():
     aggregator = new_aggregator("brno-a")
-    aggregator.heard("10.0.0.1", new_report(requests=3, leaving=True), 0.0)
+    aggregator.record_report("10.0.0.1", new_report(requests=3, leaving=True), 0.0)
     view = FleetView(own_ip="10.0.0.9")
-    view.told("10.0.0.1", ServerLoad(in_flight=7, queued=0, limit=20), 100.0)
-    view.take(aggregator.digest(aggregator.summary(), POSITION, 100.0), 100.0)
+    view.record_load("10.0.0.1", ServerLoad(in_flight=7, queued=0, limit=20), 100.0)
+    view.apply_digest(aggregator.digest(aggregator.summary(), POSITION, 100.0), 100.0)
     assert view.load("10.0.0.1").in_flight == 7
-    view.take(aggregator.digest(aggregator.summary(), POSITION, 200.0), 200.0)
+    view.apply_digest(aggregator.digest(aggregator.summary(), POSITION, 200.0), 200.0)
     assert view.load("10.0.0.1").in_flight == 3
     assert view.load("10.0.0.1").leaving
 
@@ -113,32 +115,34 @@
     """
     aggregator = new_aggregator("brno-a")
     view = FleetView(own_ip="10.0.0.9")
-    aggregator.heard("10.0.0.1", new_report(), 0.0)
-    view.take(aggregator.digest(aggregator.summary(), POSITION, 0.0), 0.0)
-    lost_ms = life_ms(PAUSE_MS)
-    aggregator.forget(lost_ms, PAUSE_MS)
-    view.take(aggregator.digest(aggregator.summary(), POSITION, lost_ms), lost_ms)
+    aggregator.record_report("10.0.0.1", new_report(), 0.0)
+    view.apply_digest(aggregator.digest(aggregator.summary(), POSITION, 0.0), 0.0)
+    lost_ms = eviction_timeout_ms(PAUSE_MS)
+    aggregator.evict_expired(lost_ms, PAUSE_MS)
+    view.apply_digest(
+        aggregator.digest(aggregator.summary(), POSITION, lost_ms), lost_ms
+    )
     assert view.recent_load("10.0.0.1", lost_ms) is not None
-    assert view.recent_load("10.0.0.1", lost_ms + MISSING_LIFE_MS) is None
+    assert view.recent_load("10.0.0.1", lost_ms + MAX_UNLISTED_AGE_MS) is None
 
 
 def test_view_is_taken_from_one_aggregator_until_it_is_lost():
     view = FleetView(own_ip="10.0.0.9")
-    view.heard_gatherer("10.0.0.2", 0.0)
-    view.heard_gatherer("10.0.0.1", 0.0)
+    view.record_aggregator("10.0.0.2", 0.0)
+    view.record_aggregator("10.0.0.1", 0.0)
     assert view.source(1.0) == "10.0.0.1"
-    view.heard_gatherer("10.0.0.2", GATHERER_LIFE_MS)
-    assert view.source(GATHERER_LIFE_MS) == "10.0.0.2"
-    view.heard_gatherer("10.0.0.9", GATHERER_LIFE_MS)
-    assert view.source(GATHERER_LIFE_MS) == "10.0.0.9"
+    view.record_aggregator("10.0.0.2", AGGREGATOR_TIMEOUT_MS)
+    assert view.source(AGGREGATOR_TIMEOUT_MS) == "10.0.0.2"
+    view.record_aggregator("10.0.0.9", AGGREGATOR_TIMEOUT_MS)
+    assert view.source(AGGREGATOR_TIMEOUT_MS) == "10.0.0.9"
 
 
 def test_hosts_that_use_another_aggregator_receive_an_empty_digest():
     aggregator = new_aggregator("brno-a")
-    assert aggregator.relies("10.0.0.1")
-    aggregator.heard("10.0.0.1", new_report(relies=False), 0.0)
-    assert not aggregator.relies("10.0.0.1")
-    assert not bare_digest(POSITION).whole
+    assert aggregator.needs_full_digest("10.0.0.1")
+    aggregator.record_report("10.0.0.1", new_report(relies=False), 0.0)
+    assert not aggregator.needs_full_digest("10.0.0.1")
+    assert not empty_digest(POSITION).whole
 
 
 def test_process_pause_makes_the_view_older():
@@ -146,11 +150,11 @@
     correction, reports from before would count as recent.
     """
     view = FleetView(own_ip="10.0.0.9")
-    view.told("10.0.0.1", ServerLoad(7, 0, 20), 0.0)
-    view.take(bare_digest(POSITION), 0.0)
-    view.stood_still(VIEW_LIFE_MS)
+    view.record_load("10.0.0.1", ServerLoad(7, 0, 20), 0.0)
+    view.apply_digest(empty_digest(POSITION), 0.0)
+    view.add_paused_time(MAX_VIEW_AGE_MS)
     assert view.recent_load("10.0.0.1", 1.0) is None
-    assert view.age_ms(1.0) > VIEW_LIFE_MS
+    assert view.age_ms(1.0) > MAX_VIEW_AGE_MS
 
 
 def test_rounds_of_large_zones_are_further_apart():
@@ -161,9 +165,9 @@
 def test_contact_that_is_no_aggregator_returns_the_address_of_one():
     contacts = ZoneContacts()
     zones = {"brno-b": ["10.1.0.0", "10.1.0.1", "10.1.0.2"]}
-    assert contacts.choose(zones, 0.0, 250.0) == ["10.1.0.0"]
-    contacts.answered("brno-b", "10.1.0.0", ["10.1.0.2"], 10.0)
-    assert contacts.choose(zones, 250.0, 250.0) == ["10.1.0.2"]
+    assert contacts.choose_contacts(zones, 0.0, 250.0) == ["10.1.0.0"]
+    contacts.record_reply("brno-b", "10.1.0.0", ["10.1.0.2"], 10.0)
+    assert contacts.choose_contacts(zones, 250.0, 250.0) == ["10.1.0.2"]
 
 
 def test_lost_contact_is_replaced_by_the_next_host():
@@ -172,8 +176,11 @@
     """
     contacts = ZoneContacts()
     zones = {"brno-b": ["10.1.0.0", "10.1.0.1", "10.1.0.2"]}
-    step_ms = life_ms(250.0) + 1
-    chosen = [contacts.choose(zones, number * step_ms, 250.0)[0] for number in range(4)]
+    step_ms = eviction_timeout_ms(250.0) + 1
+    chosen = [
+        contacts.choose_contacts(zones, number * step_ms, 250.0)[0]
+        for number in range(4)
+    ]
     assert chosen == ["10.1.0.0", "10.1.0.1", "10.1.0.2", "10.1.0.0"]
 
 
@@ -200,16 +207,16 @@
     def report(self, zone, host, requests, times):
         ip = IPS[zone][host]
         for _ in range(times):
-            self.aggregators[zone].heard(ip, new_report(requests), self.now_ms)
+            self.aggregators[zone].record_report(ip, new_report(requests), self.now_ms)
         self.reported[ip] = (self.now_ms, requests)
 
     @rule(zone=st.sampled_from(ZONES), times=st.integers(1, 3))
     def exchange(self, zone, times):
         other = ZONES[1 - ZONES.index(zone)]
-        self.aggregators[other].forget(self.now_ms, PAUSE_MS)
+        self.aggregators[other].evict_expired(self.now_ms, PAUSE_MS)
         summary = self.aggregators[other].summary()
         for _ in range(times):
-            self.aggregators[zone].heard_zone(summary, self.now_ms)
+            self.aggregators[zone].record_summary(summary, self.now_ms)
         self.summarised_ms[zone] = self.now_ms
 
     @rule(step_ms=st.integers(1, 600))
@@ -219,9 +226,9 @@
     @invariant()
     def totals_count_each_host_once(self):
         for zone, aggregator in self.aggregators.items():
-            aggregator.forget(self.now_ms, PAUSE_MS)
+            aggregator.evict_expired(self.now_ms, PAUSE_MS)
             view = FleetView(own_ip="10.9.9.9")
-            view.take(
+            view.apply_digest(
                 aggregator.digest(aggregator.summary(), POSITION, self.now_ms),
                 self.now_ms,
             )
@@ -230,16 +237,23 @@
             own = self.recent_requests(IPS[zone], self.now_ms)
             assert hosts <= sum(len(ips) for ips in IPS.values())
             assert sum(own) <= total <= sum(own) + 3 * 50
-            if self.now_ms - self.summarised_ms.get(zone, -math.inf) >= self.life_ms:
+            if (
+                self.now_ms - self.summarised_ms.get(zone, -math.inf)
+                >= self.eviction_timeout_ms
+            ):
                 assert (total, hosts) == (sum(own), len(own))
 
     @property
-    def life_ms(self):
-        return life_ms(PAUSE_MS)
+    def eviction_timeout_ms(self):
+        return eviction_timeout_ms(PAUSE_MS)
 
     def recent_requests(self, ips, now_ms):
         reported = [self.reported[ip] for ip in ips if ip in self.reported]
-        return [requests for at, requests in reported if now_ms - at < self.life_ms]
+        return [
+            requests
+            for at, requests in reported
+            if now_ms - at < self.eviction_timeout_ms
+        ]
 
 
 TestAggregation = AggregationMachine.TestCase
--- a/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
@@ -29,7 +29,7 @@
 def peers(loads):
     view = FleetView(own_ip=OWN_IP)
     for number in (2, 3, 9):
-        view.told(f"10.0.0.{number}", ServerLoad(0, 0, 8), 0.0)
+        view.record_load(f"10.0.0.{number}", ServerLoad(0, 0, 8), 0.0)
     return ZonePeers(
         own_ip=OWN_IP,
         availability_zone="brno-a",
@@ -43,14 +43,14 @@
     loads["10.0.0.2"] = PeerLoad(following=True)
     loads["10.0.0.3"] = PeerLoad(following=True, leaving=True)
     loads["10.0.0.9"] = PeerLoad(following=True)
-    assert peers.following() == {"10.0.0.2": True, "10.0.0.4": False}
+    assert peers.following_by_peer() == {"10.0.0.2": True, "10.0.0.4": False}
 
 
 def test_reported_host_that_cannot_be_reached_is_excluded(peers):
     """A watcher loses power. If it were still counted, the zone would receive no
     changes until its registration expires.
     """
-    assert peers.following() == {"10.0.0.4": False}
+    assert peers.following_by_peer() == {"10.0.0.4": False}
 
 
 def test_hosts_that_have_not_been_reported_yet_count_as_peers(peers):
@@ -58,6 +58,6 @@
     counted itself as the only one, all of them would follow the platform.
     """
     peers._view = FleetView(own_ip=OWN_IP)
-    assert peers.following() == dict.fromkeys(
+    assert peers.following_by_peer() == dict.fromkeys(
         ["10.0.0.2", "10.0.0.3", "10.0.0.4"], False
     )
--- a/packages/sassafraswinch-sidecar/tests/test_zone_duty.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_role.py
@@ -2,19 +2,19 @@
 
 from hypothesis import given, strategies as st
 
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
-WATCHERS, STEP_MS = 2, 50.0
+WATCHERS_PER_ZONE, STEP_MS = 2, 50.0
 IPS = [f"10.0.0.{number}" for number in range(1, 10)]
 
 
 def new_role(own_ip):
-    return ZoneDuty(own_ip=own_ip, holders=WATCHERS, step_ms=STEP_MS)
+    return ZoneRole(own_ip=own_ip, active_sidecars=WATCHERS_PER_ZONE, step_ms=STEP_MS)
 
 
 def decided_role(own_ip, peers, now_ms=0.0):
     role = new_role(own_ip)
-    role.decide(peers, now_ms)
+    role.update_role(peers, now_ms)
     return role
 
 
@@ -29,27 +29,27 @@
     following = dict.fromkeys(visible, False)
     for number in range(rounds):
         for ip, role in roles.items():
-            role.decide(
+            role.update_role(
                 {peer: following[peer] for peer in visible[ip]}, number * STEP_MS
             )
-            following[ip] = role.is_own
+            following[ip] = role.is_active
     return {ip for ip, follows in following.items() if follows}
 
 
 def test_two_sidecars_of_a_zone_are_active_and_the_others_stand_by():
     visible = {ip: set(IPS) - {ip} for ip in IPS}
-    assert settled_watchers(visible) == set(IPS[:WATCHERS])
+    assert settled_watchers(visible) == set(IPS[:WATCHERS_PER_ZONE])
     role = decided_role(IPS[5], {ip: ip in IPS[:3] for ip in IPS if ip != IPS[5]})
-    assert not role.is_own
+    assert not role.is_active
 
 
 def test_sidecar_that_reaches_no_peer_is_active_at_once():
     """A host is isolated from all others, but not from the platform."""
     role = decided_role(IPS[8], dict.fromkeys(IPS[:8], True))
-    assert not role.is_own
-    role.decide({}, 1.0)
-    assert role.is_own
-    assert not role.is_held
+    assert not role.is_active
+    role.update_role({}, 1.0)
+    assert role.is_active
+    assert not role.has_active_peer
 
 
 def test_lost_watchers_are_replaced_one_at_a_time():
@@ -59,8 +59,8 @@
     taken_over_ms = {}
     for now_ms in range(0, 1_000, 10):
         for ip, role in roles.items():
-            role.decide({p: f for p, f in peers.items() if p != ip}, now_ms)
-            if role.is_own:
+            role.update_role({p: f for p, f in peers.items() if p != ip}, now_ms)
+            if role.is_active:
                 taken_over_ms.setdefault(ip, now_ms)
                 peers[ip] = True
     assert set(taken_over_ms) == set(IPS[2:4])
@@ -69,9 +69,9 @@
 
 def test_all_sidecars_try_less_often_while_the_platform_is_unreachable():
     role = decided_role(IPS[8], dict.fromkeys(IPS[:8], False))
-    role.decide(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
-    assert role.is_own
-    assert role.spread == len(IPS) / WATCHERS
+    role.update_role(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
+    assert role.is_active
+    assert role.sidecars_per_active == len(IPS) / WATCHERS_PER_ZONE
 
 
 @given(st.lists(st.sets(st.sampled_from(IPS)), min_size=len(IPS), max_size=len(IPS)))
@@ -80,4 +80,4 @@
     visible = {ip: view - {ip} for ip, view in zip(IPS, views, strict=True)}
     following = settled_watchers(visible)
     for ip in set(IPS) - following:
-        assert len(visible[ip] & following) >= WATCHERS
+        assert len(visible[ip] & following) >= WATCHERS_PER_ZONE
