--- a/packages/sassafraswinch-sidecar/tests/conftest.py
+++ b/packages/sassafraswinch-sidecar/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Event loops and the log of the sidecar's tests."""
+"""Fixtures of the sidecar tests: event loops and the log stream."""
 
 import asyncio
 import io
@@ -10,7 +10,7 @@
 
 ASYNCIO = {"asyncio": asyncio.new_event_loop}
 SIDECAR = {"sidecar": new_event_loop}
-"""What sidecars run on: libuv differs from asyncio's loop in how sockets end."""
+"""The event loop of sidecars; libuv closes sockets differently than asyncio's loop."""
 
 LOOPS_BY_MODULE = {
     "test_crashing_requests": SIDECAR,
@@ -20,16 +20,16 @@
 
 
 def pytest_asyncio_loop_factories(config, item):
-    """Run the tests of sockets on the loops that matter to them."""
+    """Select the event loops for the tests of a module; socket tests run on both."""
     return LOOPS_BY_MODULE.get(item.path.stem, ASYNCIO)
 
 
 @pytest.fixture
 def log_stream():
-    """The lines that are logged, in the format of a sidecar."""
+    """Return a stream of the logged lines, in the format of a sidecar."""
     stream = io.StringIO()
     configure_logs(level="info", stream=stream)
-    # The log keeps what was told before it had a destination; other tests leave some.
+    # The log buffers events until it is configured; discard those of other tests.
     stream.seek(0)
     stream.truncate()
     yield stream
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/__init__.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the sidecar's tests."""
+"""Test doubles for the sidecar tests."""
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/backend.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/backend.py
@@ -1,4 +1,4 @@
-"""A backend server whose every answer a test can choose."""
+"""Fake backend server with a configurable response to each request."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 @dataclass
 class Seen:
-    """A request that arrived."""
+    """A received request."""
 
     method: bytes
     target: bytes
@@ -30,7 +30,7 @@
     signed: bool = True,
     request_id: bytes | None = None,
 ) -> bytes:
-    """Return the bytes of an answer."""
+    """Return the bytes of a response."""
     signature = b"X-Signature: s.1\r\n" if signed else b""
     return (
         b"HTTP/1.1 %d Any\r\nX-Request-Id: %b\r\n%b%bContent-Length: %d\r\n\r\n%b"
@@ -46,14 +46,16 @@
 
 
 def serve_as(instance_id: str) -> "Behaviour":
-    """Return the behaviour of an instance, which refuses requests for others."""
+    """Return the behaviour of an instance that refuses requests for other instances."""
 
     def behave(connection: "Connection", seen: Seen) -> None:
         if seen.headers[b"x-expected-instance"] == instance_id.encode():
             connection.transport.write(answer(seen))
             return
-        told = b"X-Instance: %b\r\n" % instance_id.encode()
-        connection.transport.write(answer(seen, status=421, fields=told, signed=False))
+        own_id = b"X-Instance: %b\r\n" % instance_id.encode()
+        connection.transport.write(
+            answer(seen, status=421, fields=own_id, signed=False)
+        )
 
     return behave
 
@@ -95,11 +97,11 @@
 
 
 Behaviour = Callable[[Connection, Seen], None]
-"""Gives a request its answer, or none."""
+"""Responds to a request, or leaves it unanswered."""
 
 
 class Backend:
-    """Listens at an address; ``behaviour`` says what each request gets."""
+    """Backend server on a socket; ``behaviour`` handles each request."""
 
     def __init__(self):
         self.seen: list[Seen] = []
@@ -109,11 +111,11 @@
 
     @staticmethod
     def serve(connection: Connection, seen: Seen) -> None:
-        """Answer at once."""
+        """Respond at once."""
         connection.transport.write(answer(seen))
 
     async def open(self, ip: str, port: int = 0) -> int:
-        """Listen at a port, by default at any free one, and return it."""
+        """Listen on a port, by default any free one, and return it."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Connection(self), ip, port)
         return self.server.sockets[0].getsockname()[1]
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -1,4 +1,4 @@
-"""A few sidecars on loopback addresses, with a platform in memory."""
+"""Test fleet: sidecars and backend servers on loopback with an in-memory platform."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 class MemoryDecoder:
-    """Reads the values that ``MemoryStore`` holds: JSON of the fields."""
+    """Decodes the values of ``MemoryStore``: JSON objects of the fields."""
 
     def instance_id(self, key):
         return key[len(INSTANCE) :] if key.startswith(INSTANCE) else None
@@ -36,31 +36,31 @@
         return key == ROUTES
 
     def parse_instance(self, instance_id, value):
-        read = json.loads(value)
-        if "fault" in read:
+        fields = json.loads(value)
+        if "fault" in fields:
             error = InvalidFieldError(source=instance_id, field="fault", reason="wrong")
             raise InvalidFieldsError("instance", [error])
-        return Instance(id=instance_id, **read)
+        return Instance(id=instance_id, **fields)
 
     def parse_route_table(self, value):
-        read = json.loads(value)
-        if "fault" in read:
+        fields = json.loads(value)
+        if "fault" in fields:
             error = InvalidFieldError(source=ROUTES, field="fault", reason="is wrong")
             raise InvalidFieldsError("routes", [error])
         return RouteTable(
-            version=read["version"],
+            version=fields["version"],
             routes=tuple(
                 Route(**route | {"shares": tuple(Share(**s) for s in route["shares"])})
-                for route in read["routes"]
+                for route in fields["routes"]
             ),
-            limits=RequestLimits(**read.get("limits", {})),
-            known_services=frozenset(read.get("known_services", ())),
-            organisations=read_organisations(read.get("organisations")),
+            limits=RequestLimits(**fields.get("limits", {})),
+            known_services=frozenset(fields.get("known_services", ())),
+            organisations=read_organisations(fields.get("organisations")),
         )
 
 
 def read_organisations(listed):
-    """Read organisations as ``organisation`` writes them; None where there are none."""
+    """Decode organisations in the form of ``organisation``; None stays None."""
     if listed is None:
         return None
     entries = [
@@ -79,7 +79,7 @@
 
 @dataclass
 class Node:
-    """A sidecar with its backend server and its view of the platform."""
+    """A sidecar with its backend server and the platform's store."""
 
     ip: str
     service: str
@@ -102,7 +102,7 @@
         self.task = asyncio.create_task(self.sidecar.run())
 
     async def kill(self) -> None:
-        """End without a word, as a killed process does."""
+        """Stop without draining, as a killed process does."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         for link in [*self.sidecar._links.accepted]:
@@ -126,7 +126,7 @@
 
 @dataclass
 class TestFleet:
-    """Sidecars, and a shortcut for requests of callers."""
+    """The nodes of a test and their store."""
 
     __test__ = False
 
@@ -142,7 +142,7 @@
 
 @dataclass
 class Got:
-    """What a caller got."""
+    """A response that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -168,7 +168,7 @@
 
 
 async def read_answer(reader) -> Got:
-    """Read one answer."""
+    """Read one response."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.split(": ", 1) for line in head[1:] if line)
     headers = {name.lower(): value for name, value in headers.items()}
@@ -177,7 +177,7 @@
 
 
 async def call(address, **options) -> Got:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection and return the response."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(request_bytes(**options))
     try:
@@ -187,28 +187,28 @@
         writer.close()
 
 
-_GIVEN_PORTS: set[int] = set()
+_USED_PORTS: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a port that is free on all loopback addresses, and never given twice.
+    """Return a port that is free on all loopback addresses, each port at most once.
 
-    Failure: the kernel gives a port that was looked at and closed to the next listener
-    that asks for any. A backend server then listened at the port of the links, and the
-    sidecars' greetings ended its parser.
+    Failure: the kernel assigns a port that was probed and closed to the next listener
+    that requests any port. A backend server then listened on the link port, and the
+    Hello messages of sidecars made its parser fail.
     """
     while True:
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind(("0.0.0.0", 0))
             port = probe.getsockname()[1]
-        if port not in _GIVEN_PORTS:
-            _GIVEN_PORTS.add(port)
+        if port not in _USED_PORTS:
+            _USED_PORTS.add(port)
             return port
 
 
 def route(name, prefix, service, **fields) -> dict:
-    """Return a route as ``MemoryDecoder`` reads it."""
+    """Return a route in the form that ``MemoryDecoder`` decodes."""
     return {
         "name": name,
         "host": "shop.example",
@@ -223,7 +223,7 @@
 
 
 def organisation(name, *api_keys, priority=None, limit=None) -> dict:
-    """Return an organisation as ``MemoryDecoder`` reads it."""
+    """Return an organisation in the form that ``MemoryDecoder`` decodes."""
     return {
         "name": name,
         "api_keys": list(api_keys),
@@ -233,7 +233,7 @@
 
 
 async def put_routes(store: MemoryStore, version: int, **fields) -> None:
-    """Write a version of the routes, with a route of its own that others lack."""
+    """Write a version of the routes, with one route that only this version has."""
     routes = [
         route("orders", "/orders/", "archiv"),
         route("approve", "/approve/", "schvaleni", idempotent=False),
@@ -243,7 +243,7 @@
 
 
 async def until(condition, *, seconds=10.0) -> None:
-    """Wait for a condition."""
+    """Wait until a condition is true."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.01)
@@ -288,6 +288,6 @@
 
 
 def sees_all(node: Node, fleet: TestFleet) -> bool:
-    """Return whether a node may send to all others and has routes in force."""
-    seen = [node.sidecar._loads.of(each.ip) is not None for each in fleet.nodes]
-    return node.sidecar.is_ready and all(seen)
+    """Return whether a node is ready and may send requests to all nodes."""
+    loads_known = [node.sidecar._loads.of(each.ip) is not None for each in fleet.nodes]
+    return node.sidecar.is_ready and all(loads_known)
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/instances.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/instances.py
@@ -1,4 +1,4 @@
-"""Instances of backend servers, as a platform would tell them."""
+"""Factories of backend server instances and their values in the store."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 def instance_value(**fields):
-    """Return an instance's value in the store, as ``MemoryDecoder`` reads it."""
+    """Return an instance's value in the store, in the form of ``MemoryDecoder``."""
     value = {
         "service": "archiv",
         "ip": "10.0.0.1",
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, and as hosts see it that may be cut off."""
+"""In-memory store of the platform, and per-host clients that can be disconnected."""
 
 import asyncio
 import json
@@ -12,22 +12,22 @@
 from sassafraswinch_sidecar.revisions import Revision
 
 INSTANCE = "instance/"
-"""Prefix of the keys of backend servers."""
+"""Prefix of the keys of backend server registrations."""
 
 AWAY_S = 0.7
-"""Time for which the store is away before it comes back from a copy."""
+"""Duration of the outage before the store is restored from a copy."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoreCopy:
-    """What a store held at one moment."""
+    """A copy of a store's entries at one revision."""
 
     entries: dict[str, Entry]
     revision: Revision
 
 
 class MemoryStore:
-    """The platform's store: one revision, watches, and outages on demand."""
+    """The platform's store, with watches, and outages that tests start and end."""
 
     def __init__(self):
         self.entries: dict[str, Entry] = {}
@@ -48,11 +48,11 @@
             self.changed.notify_all()
 
     def copy(self) -> "StoreCopy":
-        """Return what the store holds now."""
+        """Return a copy of the current entries."""
         return StoreCopy(entries=dict(self.entries), revision=self.revision)
 
     async def restore(self, copy: "StoreCopy") -> None:
-        """Be away for a moment, and come back from an older copy."""
+        """Be unavailable for ``AWAY_S``, then serve an older copy in a new era."""
         await self.set_down(True)
         await asyncio.sleep(AWAY_S)
         era = self.era + 1
@@ -65,8 +65,8 @@
 
     async def read(self) -> Delta:
         self._check()
-        live = (e for e in self.entries.values() if e.value is not None)
-        return Delta(revision=self.revision, whole=True, entries=tuple(live))
+        live_entries = (e for e in self.entries.values() if e.value is not None)
+        return Delta(revision=self.revision, whole=True, entries=tuple(live_entries))
 
     async def lists(self, instance_id: str) -> bool:
         self._check()
@@ -74,7 +74,7 @@
         return entry is not None and entry.value is not None
 
     async def watch(self, after: Revision, wait_ms: int) -> Delta:
-        """Return the changes, as a server does that is told the number alone."""
+        """Return the changes after a revision number, whatever its era."""
         self._check()
         number = after.number
         if number > self.revision.number:
@@ -87,8 +87,12 @@
         except TimeoutError:
             return Delta(revision=self.revision, whole=False, entries=())
         self._check()
-        found = (e for e in self.entries.values() if e.revision.number > number)
-        return Delta(revision=self.revision, whole=False, entries=tuple(found))
+        changed_entries = (
+            e for e in self.entries.values() if e.revision.number > number
+        )
+        return Delta(
+            revision=self.revision, whole=False, entries=tuple(changed_entries)
+        )
 
     async def set_down(self, down: bool) -> None:
         self.down = down
@@ -101,7 +105,7 @@
 
 
 class HostStore:
-    """The store as one host sees it, which may be cut off from it.
+    """The store as one host reaches it, unless it is in ``MemoryStore.cut_off``.
 
     Attributes:
         era: the era of the latest answer (PlatformStore).
--- a/packages/sassafraswinch-sidecar/tests/test_checked_structs.py
+++ b/packages/sassafraswinch-sidecar/tests/test_checked_structs.py
@@ -1,4 +1,4 @@
-"""Structs that check what comes from outside."""
+"""Tests of the validation of external data against structs."""
 
 from typing import Annotated
 
@@ -21,7 +21,7 @@
 
 
 class Thing(msgspec.Struct):
-    """A struct with a field of each sort."""
+    """A struct with required, constrained, nested and optional fields."""
 
     name: str
     count: Annotated[int, Meta(ge=1)]
@@ -34,13 +34,13 @@
     return {error.field: error.reason for error in caught.value.exceptions}
 
 
-def test_fields_become_the_struct_and_others_are_ignored():
+def test_undeclared_fields_of_json_are_ignored():
     text = b'{"name": "a", "count": 2, "parts": [{"size": 3}], "new": true}'
     read = parse_struct(Thing, text, source="there")
     assert read == Thing(name="a", count=2, parts=[Part(size=3)])
 
 
-def test_every_wrong_field_is_named_by_its_place():
+def test_each_invalid_field_is_named_by_its_path():
     text = b'{"count": 0, "parts": [{"size": 3}, {}]}'
     found = faults_of(lambda: parse_struct(Thing, text, source="there"))
     assert found["name"] == "missing"
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b"{", b"\xff", b"[" * 100_000])
-def test_text_that_holds_no_fields_is_a_fault_of_the_whole(text):
+def test_text_without_fields_is_a_fault_of_the_whole_text(text):
     found = faults_of(lambda: parse_struct(Thing, text, source="there"))
     assert list(found) == [WHOLE_TEXT]
 
 
-def test_unknown_field_of_a_file_is_a_fault():
+def test_unknown_field_of_a_settings_file_is_a_fault():
     raw = {"name": "a", "count": 1, "cuont": 2}
     found = faults_of(lambda: convert_struct(Thing, raw, source="there"))
     assert list(found) == ["cuont"]
--- a/packages/sassafraswinch-sidecar/tests/test_event_loop.py
+++ b/packages/sassafraswinch-sidecar/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of the sidecar's process."""
+"""Tests of the event loop of the sidecar process."""
 
 import asyncio
 import os
@@ -7,7 +7,7 @@
 
 
 def test_loop_opens_no_io_uring():
-    """A host refuses io_uring, and ends the process that asks for it."""
+    """A host may forbid io_uring and end a process that requests it."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         opened = runner.run(_descriptors())
     assert opened
--- a/packages/sassafraswinch-sidecar/tests/test_http_client_loop.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_client_loop.py
@@ -1,4 +1,4 @@
-"""The HTTP client on the event loop that sidecars run on."""
+"""Tests of the HTTP client on the event loop of sidecars."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER by which closing resets the connection."""
+"""Value of SO_LINGER with which closing the socket resets the connection."""
 
 
 def serve_once(listener, reset):
@@ -25,8 +25,8 @@
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
 
-async def end_of(reset):
-    """Return how a request ends whose answer ends with its connection."""
+async def result_of_request(reset):
+    """Return the result of a request whose response ends with its connection."""
     loop = asyncio.get_running_loop()
     done = loop.create_future()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -41,7 +41,7 @@
         )
         while serving.is_alive():
             await asyncio.sleep(0)
-            # Its bytes and its end arrive while this process is busy elsewhere.
+            # Blocks the loop, so that the bytes and the close arrive together.
             time.sleep(0.02)
         try:
             async with asyncio.timeout(5):
@@ -51,12 +51,12 @@
 
 
 @pytest.mark.parametrize("loop_factory", [new_event_loop, asyncio.new_event_loop])
-def test_answer_that_is_reset_on_its_way_is_not_complete(loop_factory):
-    """A server crashes while it writes an answer without a length. Its last bytes and
-    the reset arrive together, and libuv tells that as an orderly end: the caller gets
-    the part of the body as if it were all of it.
+def test_reset_response_is_not_complete(loop_factory):
+    """A server crashes while it writes a response without a length. Its last bytes and
+    the reset arrive together, which libuv reports as end of file: the caller would get
+    the partial body as if it were complete.
     """
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        assert runner.run(end_of(reset=True)) is Fault.RESET
+        assert runner.run(result_of_request(reset=True)) is Fault.RESET
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        assert runner.run(end_of(reset=False)).body == b"part of the body"
+        assert runner.run(result_of_request(reset=False)).body == b"part of the body"
--- a/packages/sassafraswinch-sidecar/tests/test_peer_links.py
+++ b/packages/sassafraswinch-sidecar/tests/test_peer_links.py
@@ -1,4 +1,4 @@
-"""When peers are dialled, and what waits for a link, on a paused clock."""
+"""Tests of dialling and of requests that wait for a link, on a simulated clock."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class Listener:
-    """Takes what comes back unsent, and wants all that waits."""
+    """Records unsent requests; all waiting requests but ``unwanted`` are pending."""
 
     def __init__(self):
         self.returned = []
@@ -48,7 +48,7 @@
 
 
 class Dialler:
-    """Stands for the network: connections hang, as those to a host without power."""
+    """Fake network: connection attempts hang unless ``answers`` is set."""
 
     def __init__(self, monkeypatch):
         self.dialled_at_s = []
@@ -63,7 +63,7 @@
 
 
 class Link:
-    """A link to the peer, as far as its owner looks at it."""
+    """Fake of ``PeerLink`` with the members that ``PeerLinks`` uses."""
 
     def __init__(self, incarnation=9):
         self.peer_ip = PEER
@@ -108,10 +108,10 @@
     )
 
 
-async def test_peer_that_greets_is_dialled_at_once(monkeypatch):
-    """All hosts lose power. The first one that is up dials the others before they are:
-    the packets are lost, and without a new attempt the links would come up a second
-    later than they could.
+async def test_peer_is_dialled_at_once_after_its_handshake(monkeypatch):
+    """All hosts lose power. The first one that is up dials the others before they
+    listen. Its SYN packets are lost, and without a new attempt the links would be
+    established a second later than possible.
     """
     network = Dialler(monkeypatch)
     links = new_links()
@@ -124,9 +124,9 @@
     await links.close()
 
 
-async def test_connection_that_awaits_its_greeting_is_left_alone(monkeypatch):
-    """Both dial each other at once. A second connection would replace the first, and
-    the requests on it would count as lost.
+async def test_connection_that_awaits_its_handshake_is_not_replaced(monkeypatch):
+    """Two hosts dial each other at once. A second connection would replace the first,
+    and the requests on it would count as lost.
     """
     network = Dialler(monkeypatch)
     network.answers = True
@@ -139,9 +139,9 @@
     await links.close()
 
 
-async def test_link_to_a_former_incarnation_is_given_up(monkeypatch):
-    """A host loses power and is back within the second after which silence is noticed.
-    Its greeting tells that nobody answers on the link to the process that was there.
+async def test_link_to_a_former_incarnation_is_closed(monkeypatch):
+    """A host loses power and restarts before the link timeout of one second. Its Hello
+    shows that the link to its former process is dead.
     """
     network = Dialler(monkeypatch)
     links = new_links()
@@ -158,7 +158,7 @@
     await links.close()
 
 
-async def test_peer_that_stays_away_is_dialled_now_and_then(monkeypatch):
+async def test_unreachable_peer_is_dialled_periodically(monkeypatch):
     network = Dialler(monkeypatch)
     links = new_links()
     links.keep([PEER])
@@ -191,10 +191,10 @@
     await links.close()
 
 
-async def test_request_whose_link_does_not_come_up_goes_elsewhere(monkeypatch):
-    """A host loses power, and its server is still listed. A request that waited for
-    the link until it is given up would be late wherever it went then; it was never
-    written, so it may go to any other server, and the next ones don't wait there.
+async def test_request_is_returned_if_its_link_is_not_established(monkeypatch):
+    """A host loses power, and its server is still registered. A request that waits
+    until dialling times out would be late on any other server. It was never written, so
+    it is returned early for another server, and later requests don't wait for the host.
     """
     network = Dialler(monkeypatch)
     links = new_links()
@@ -209,9 +209,9 @@
     await links.close()
 
 
-async def test_nothing_is_written_to_a_quiet_link_before_a_sign_of_life(monkeypatch):
-    """An idle connection fell silent for good. An approval that is written to it is
-    lost, and can't be sent again, for it may have run.
+async def test_request_on_a_quiet_link_waits_for_a_heartbeat_reply(monkeypatch):
+    """An idle connection has gone silent for good. A non-idempotent request that is
+    written to it is lost and can't be retried, since it may have run.
     """
     Dialler(monkeypatch)
     links = new_links()
@@ -225,7 +225,7 @@
     await links.close()
 
 
-async def test_quiet_link_that_answers_carries_what_waited(monkeypatch):
+async def test_heartbeat_reply_sends_the_waiting_requests(monkeypatch):
     Dialler(monkeypatch)
     links = new_links()
     links._peer(PEER).link = link = Link()
@@ -242,12 +242,12 @@
     await links.close()
 
 
-async def test_greeting_that_outruns_the_dialling_leaves_its_connection_open(
+async def test_handshake_before_the_end_of_dialling_keeps_the_connection_open(
     monkeypatch,
 ):
-    """A peer's greeting is read before the dialling has returned. Cancelled then, the
-    dialling closed the connection; the link looked open, each write on it was an error,
-    and the process ended.
+    """A peer's Hello is read before create_connection has returned. If the dialling
+    task is cancelled then, the connection is closed while the link looks open; each
+    write on it raises an error, which ends the process.
     """
     network = Dialler(monkeypatch)
     links = new_links()
--- a/packages/sassafraswinch-sidecar/tests/test_planned_stop.py
+++ b/packages/sassafraswinch-sidecar/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""How a stopping sidecar spends its time, on a paused clock."""
+"""Tests of the graceful shutdown of a sidecar, on a simulated clock."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 DRAIN_MS = 6_000.0
 
 
-async def stop(in_flight):
-    """Stop; return when new requests were refused and when the process may end."""
+async def drain(in_flight):
+    """Drain; return the times when new requests were refused and when it ended."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     refused_s = []
@@ -24,16 +24,16 @@
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("busy_s", [0.0, 2.0])
-async def test_idle_process_serves_on_until_callers_have_gone_elsewhere(busy_s):
-    """A host is stopped. The platform asks twice, a second apart, before it sends the
-    callers elsewhere; until then refusals would meet each of them.
+async def test_idle_process_serves_until_callers_have_moved_elsewhere(busy_s):
+    """A host is stopped. The platform needs two failed readiness probes, one second
+    apart, to send callers elsewhere; refusals before that would reach all of them.
     """
-    refused_s, ended_s = await stop(lambda spent_s: spent_s < busy_s)
+    refused_s, ended_s = await drain(lambda spent_s: spent_s < busy_s)
     assert 3.0 < refused_s < 3.6
     assert refused_s <= ended_s < refused_s + QUIET_MS / 1000 + 0.2
 
 
 @pytest.mark.looptime
-async def test_process_ends_before_it_is_killed_whatever_is_in_flight():
-    _, ended_s = await stop(lambda spent_s: True)
+async def test_process_ends_before_it_is_killed_despite_requests_in_flight():
+    _, ended_s = await drain(lambda spent_s: True)
     assert 4.8 < ended_s < 5.4
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole path over loopback: callers, sidecars, backend servers, platform."""
+"""End-to-end tests of sidecars on loopback with callers, servers and a platform."""
 
 import asyncio
 
@@ -23,10 +23,10 @@
         yield started
 
 
-async def test_request_reaches_another_host_and_its_answer_comes_back_whole(fleet):
-    entry = fleet.of("schvaleni")[0]
+async def test_request_is_served_by_another_host_with_complete_response(fleet):
+    ingress = fleet.of("schvaleni")[0]
     got = await fleet.call(
-        entry,
+        ingress,
         method="PUT",
         target="/orders/7?x=1",
         body=b"order",
@@ -43,12 +43,12 @@
     assert b"te" not in seen.headers
 
 
-async def test_unknown_route_is_told_apart_from_no_routes(fleet):
-    entry = fleet.nodes[0]
-    assert (await fleet.call(entry, target="/nowhere/")).status == 404
+async def test_unknown_route_gets_404(fleet):
+    ingress = fleet.nodes[0]
+    assert (await fleet.call(ingress, target="/nowhere/")).status == 404
 
 
-async def test_chunked_request_is_forwarded_whole(fleet):
+async def test_chunked_request_is_forwarded_completely(fleet):
     address = fleet.nodes[0].settings.address("outbound")
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     head = request_bytes(method="POST", fields="Transfer-Encoding: chunked\r\n")
@@ -60,9 +60,9 @@
     assert seen.body == b"abcde"
 
 
-async def test_request_with_two_framings_is_refused_not_forwarded(fleet):
-    """A caller hides a second request in the body of a first one. Two readers that
-    choose different framings would see different requests.
+async def test_request_with_conflicting_framing_is_refused(fleet):
+    """Request smuggling: a second request is hidden in the body of the first. Two HTTP
+    parsers that choose different framings would read different requests.
     """
     address = fleet.nodes[0].settings.address("outbound")
     reader, writer = await asyncio.open_connection(address.ip, address.port)
@@ -74,9 +74,9 @@
     assert not [s for node in fleet.nodes for s in node.backend.seen]
 
 
-async def test_answer_to_another_request_reaches_nobody(fleet):
-    """A backend server answers one request twice. The second answer arrives where the
-    next request on that connection expects its own.
+async def test_duplicate_response_to_earlier_request_is_discarded(fleet):
+    """A backend server responds twice to one request. The second response arrives where
+    the next request on that connection expects its own.
     """
     node = fleet.nodes[2]
 
@@ -100,25 +100,30 @@
     ],
     ids=["unsigned", "encoded", "cut off", "garbage", "foreign"],
 )
-async def test_spoiled_answer_to_an_action_is_a_502_and_runs_once(fleet, spoiled):
-    """An approval runs, and its answer is spoiled on the way. The caller must neither
-    get it, nor be told that nothing ran, nor have the approval run again.
+async def test_corrupted_response_to_non_idempotent_request_is_502_without_retry(
+    fleet, spoiled
+):
+    """A non-idempotent approval runs and its response arrives corrupted. The caller
+    must neither receive it nor a response that claims that nothing ran, and the
+    approval must not be retried.
     """
     node = fleet.nodes[2]
 
-    def spoil(connection, seen):
+    def send_corrupted(connection, seen):
         connection.transport.write(spoiled(seen))
         connection.transport.close()
 
-    node.backend.behaviour = spoil
+    node.backend.behaviour = send_corrupted
     got = await fleet.call(node, target="/approve/1", method="POST", body=b"x")
     assert got.status == 502
     assert "retry-after" not in got.headers
     assert len(node.backend.seen) == 1
 
 
-async def test_lost_answer_to_a_lookup_is_repeated_at_another_server(fleet):
-    """Half of a service's servers lose their answers; a lookup may run again."""
+async def test_idempotent_request_with_lost_response_is_retried_elsewhere(fleet):
+    """Half of a service's servers lose their responses. A lookup is idempotent, so it
+    is retried.
+    """
 
     def lose(connection, seen):
         connection.transport.abort()
@@ -132,8 +137,10 @@
     assert len(second.backend.seen) == 3
 
 
-async def test_server_that_proves_it_ran_nothing_lets_an_action_go_elsewhere():
-    """A server sheds an approval in the documented form; another one runs it."""
+async def test_shed_non_idempotent_request_runs_on_another_server():
+    """A server sheds an approval with the header field that proves that it didn't run.
+    Another server runs it.
+    """
     async with running_fleet("schvaleni", "schvaleni", "archiv") as fleet:
         shedding, healthy = fleet.of("schvaleni")
 
@@ -153,9 +160,9 @@
         assert len(healthy.backend.seen) == 3
 
 
-async def test_dead_server_is_a_refusal_with_a_time_to_come_back(fleet):
-    """The only server of a service has crashed; its sidecar lives and proves that
-    nothing ran.
+async def test_crashed_server_gives_503_with_retry_after(fleet):
+    """The only server of a service has crashed. Its sidecar still runs and proves that
+    the request didn't run.
     """
     node = fleet.nodes[2]
     node.backend.close()
@@ -165,10 +172,10 @@
     assert float(got.headers["retry-after"]) > 0
 
 
-async def test_caller_that_leaves_stops_the_lookup_it_waited_for(fleet):
-    """A caller gives up; its lookup must not go on holding a slot of the server."""
-    patient = route("orders", "/orders/", "archiv", timeout_ms=60_000.0)
-    await fleet.store.put(ROUTES, {"version": 2, "routes": [patient]})
+async def test_disconnected_caller_cancels_its_request(fleet):
+    """A caller disconnects; its lookup must not continue to occupy a server slot."""
+    slow_route = route("orders", "/orders/", "archiv", timeout_ms=60_000.0)
+    await fleet.store.put(ROUTES, {"version": 2, "routes": [slow_route]})
     for node in fleet.of("archiv"):
         node.backend.behaviour = lambda connection, seen: None
     await until(lambda: fleet.nodes[2].sidecar._fleet.table.version == 2)
@@ -181,9 +188,9 @@
     await until(lambda: any(backend.closed for backend in backends))
 
 
-async def test_no_answer_by_the_routes_timeout_ends_the_wait(fleet):
-    """A server hangs. The caller gets its final answer when the route's time is over,
-    and isn't told that nothing ran.
+async def test_route_timeout_gives_504(fleet):
+    """A server hangs. The caller gets a final response when the route's timeout ends,
+    one that doesn't claim that nothing ran.
     """
     node = fleet.nodes[2]
     await fleet.store.put(
@@ -200,11 +207,11 @@
     began = asyncio.get_running_loop().time()
     got = await fleet.call(node, target="/approve/1", method="POST", body=b"x")
     assert got.status == 504
-    # The caller itself would have waited for three seconds.
+    # The deadline that the caller sent is three seconds.
     assert 0.3 <= asyncio.get_running_loop().time() - began < 2.5
 
 
-async def test_leaving_instance_gets_no_new_work(fleet):
+async def test_leaving_instance_gets_no_new_requests(fleet):
     first, second = fleet.of("archiv")
     await first.put_instance(fleet.store, leaving=True)
     await until(lambda: len(fleet.nodes[2].sidecar._fleet.of_service("archiv")) == 1)
@@ -215,12 +222,12 @@
     assert not first.backend.seen
 
 
-async def test_restarted_sidecar_learns_all_from_peers_while_the_platform_is_down(
+async def test_restarted_sidecar_gets_platform_data_from_peers_during_outage(
     fleet,
 ):
-    """All knowledge of a sidecar is lost with its process while the platform can't be
-    read. Peers keep dialling it and hand their copy over; it serves again, with the
-    version that was in force.
+    """A sidecar process restarts without its data while the platform can't be read.
+    Peers keep dialling it and send it their replica. It serves again, with the version
+    of the routes that was in force.
     """
     node = fleet.nodes[2]
     await fleet.store.put(
@@ -236,9 +243,10 @@
     assert (await fleet.call(node)).status == 200
 
 
-async def test_request_right_after_a_restart_waits_for_the_first_link(fleet):
-    """A process is killed and back at once; its callers didn't wait. It knows the
-    servers a moment before it has links to them: refusing then would be of no use.
+async def test_request_right_after_restart_waits_for_link(fleet):
+    """A killed sidecar is back at once and receives requests. It knows the servers a
+    moment before its links to them are established; a request must wait for them
+    instead of being refused.
     """
     node = fleet.nodes[2]
     await node.kill()
@@ -252,19 +260,19 @@
     assert (await fleet.call(node)).status == 200
 
 
-async def test_sidecar_shut_out_by_the_platform_hears_of_changes_from_peers(fleet):
-    """The platform turns one host away and serves the others. A server leaves; the
-    host must hear of it all the same.
+async def test_isolated_sidecar_receives_changes_from_peers(fleet):
+    """The platform rejects one host and serves the others. A server leaves; that host
+    must receive the change from its peers.
     """
     node = fleet.nodes[2]
-    shut_out = type(fleet.store)()
-    shut_out.down = True
-    node.sidecar._reader._store = shut_out
+    rejecting_store = type(fleet.store)()
+    rejecting_store.down = True
+    node.sidecar._reader._store = rejecting_store
     await fleet.nodes[0].put_instance(fleet.store, leaving=True)
     await until(lambda: len(node.sidecar._fleet.of_service("archiv")) == 1)
 
 
-async def test_invalid_routes_change_nothing_and_are_reported(fleet, capsys):
+async def test_invalid_routes_leave_current_routes_in_force(fleet, capsys):
     node = fleet.nodes[0]
     await fleet.store.put(ROUTES, {"fault": True})
     await until(lambda: node.sidecar._data.revision == fleet.store.revision)
@@ -272,22 +280,22 @@
     assert (await fleet.call(node)).status == 200
 
 
-async def test_stopping_sidecar_finishes_what_is_under_way_and_is_not_ready(fleet):
-    """A planned stop while a server works on a request: the request gets its answer,
-    the platform is told to send callers elsewhere.
+async def test_stopping_sidecar_finishes_requests_and_is_not_ready(fleet):
+    """A graceful shutdown starts while a server runs a request. The request gets its
+    response, and the readiness probe fails so that callers are sent elsewhere.
     """
     node, other = fleet.nodes[2], fleet.nodes[0]
-    held = []
-    for found in fleet.of("archiv"):
-        found.backend.behaviour = lambda connection, seen: held.append(
+    in_progress = []
+    for archiv_node in fleet.of("archiv"):
+        archiv_node.backend.behaviour = lambda connection, seen: in_progress.append(
             (connection, seen)
         )
     pending = asyncio.create_task(fleet.call(node))
-    await until(lambda: held)
+    await until(lambda: in_progress)
     node.sidecar._stopping.set()
     ready = node.settings.address("ready")
     assert (await call(ready, target="/ready")).status == 503
-    connection, seen = held[0]
+    connection, seen = in_progress[0]
     connection.transport.write(answer(seen))
     got = await pending
     assert (got.status, got.headers["connection"]) == (200, "close")
@@ -295,31 +303,31 @@
     assert (await call(other.settings.address("ready"), target="/ready")).status == 200
 
 
-async def test_calls_of_a_server_are_known_by_their_parent(fleet):
-    """A running request's server calls another service through its own sidecar; the
-    call's slot time counts for the route of the request above it.
+async def test_child_call_is_attributed_to_route_of_parent(fleet):
+    """The server that runs a request calls another service through its own sidecar. The
+    slot time of the child call counts for the route of its parent request.
     """
     node = fleet.nodes[2]
     outbound = node.settings.address("outbound")
     tasks = []
 
-    async def call_on(connection, seen):
-        inner = f"{seen.request_id.decode()}.c1"
-        got = await call(outbound, request_id=inner)
+    async def call_child(connection, seen):
+        child_id = f"{seen.request_id.decode()}.c1"
+        got = await call(outbound, request_id=child_id)
         connection.transport.write(answer(seen, status=got.status))
 
     node.backend.behaviour = lambda connection, seen: tasks.append(
-        asyncio.create_task(call_on(connection, seen))
+        asyncio.create_task(call_child(connection, seen))
     )
     got = await fleet.call(node, target="/approve/1", method="POST", body=b"x")
     assert got.status == 200
-    needs = node.sidecar._admission._routes["approve"].slot_s
-    assert needs.keys() == {"schvaleni", "archiv"}
+    slot_s_by_service = node.sidecar._admission._routes["approve"].slot_s
+    assert slot_s_by_service.keys() == {"schvaleni", "archiv"}
 
 
-async def test_sidecar_without_its_clock_of_decisions_stops_to_be_restarted(fleet):
-    """A fault of the program ends the task that looks at time limits. Requests would
-    hang; the process says what happened and ends, and is started again.
+async def test_failed_background_task_stops_sidecar(fleet):
+    """A programming error ends the task that checks time limits, so requests would
+    hang. The process logs the error and exits, so that it is restarted.
     """
     node = fleet.nodes[0]
 
@@ -339,20 +347,22 @@
     assert 'sassafraswinch_sidecar_answers_total{route="orders",status="200"} 1' in page
 
 
-async def test_entry_that_holds_too_much_refuses_before_any_server_is_asked(fleet):
-    """Callers read their answers slowly until the process holds all that it may. One
-    more answer could be the one for which it is killed.
+async def test_ingress_at_memory_limit_refuses_before_forwarding(fleet):
+    """Callers read their responses slowly until the buffers reach the memory limit. A
+    further response could get the process killed.
     """
-    entry = fleet.nodes[2]
-    entry.sidecar._held.hold(10**9)
-    got = await fleet.call(entry)
+    ingress = fleet.nodes[2]
+    ingress.sidecar._held.hold(10**9)
+    got = await fleet.call(ingress)
     assert got.status == 503
     assert float(got.headers["retry-after"]) > 0
     assert not [seen for node in fleet.nodes for seen in node.backend.seen]
 
 
-async def test_body_goes_on_to_a_host_that_has_room_for_it(fleet):
-    """A host holds all the bytes that it may. Requests with bodies go to another."""
+async def test_request_with_body_avoids_host_at_memory_limit(fleet):
+    """A host has reached its limit of buffered bytes. Requests with a body are sent to
+    another host.
+    """
     full, other = fleet.of("archiv")
     full.sidecar._held.hold(10**9)
     for number in range(3):
@@ -363,18 +373,18 @@
     assert (len(full.backend.seen), len(other.backend.seen)) == (0, 3)
 
 
-async def test_host_that_refuses_since_its_server_leaves_is_not_asked_again(fleet):
-    """A server leaves. Its own sidecar has heard of it, the entry hasn't: the entry is
-    told by the first refusal, and doesn't send it request after request. The server
-    may stay after all, so the word counts for a moment only.
+async def test_host_that_refused_for_leaving_server_is_avoided_briefly(fleet):
+    """A server leaves. Its own sidecar knows this, the ingress sidecar doesn't yet. The
+    first refusal must keep the ingress from sending more requests there, but only for a
+    short time, since the server may stay after all.
     """
     first, second = fleet.of("archiv")
-    entry = fleet.nodes[2].sidecar
+    ingress = fleet.nodes[2].sidecar
     first.sidecar._executor._is_leaving = lambda instance_id: True
-    first_load, second_load = (entry._loads.of(n.ip) for n in (first, second))
+    first_load, second_load = (ingress._loads.of(n.ip) for n in (first, second))
     second_load.refuses_until_ms = float("inf")
     assert (await fleet.call(fleet.nodes[2])).status == 503
-    assert first_load.refuses_until_ms > entry._now_ms()
+    assert first_load.refuses_until_ms > ingress._now_ms()
 
     second_load.refuses_until_ms = 0.0
     first_load.refuses_until_ms = float("inf")
@@ -389,10 +399,10 @@
     assert len(first.backend.seen) == 1
 
 
-def test_ports_of_a_fleet_are_given_once():
-    """A backend server listened at the port of the links, since a port that is looked
-    at and closed is free for the next listener. Greetings of sidecars ended its parser,
-    and a test failed that had nothing to do with it.
+def test_free_ports_are_unique():
+    """A port that was probed and closed is free for the next listener, so a backend
+    server listened on the link port. The Hello messages of sidecars made its parser
+    fail, and an unrelated test failed.
     """
     ports = [free_port() for _ in range(500)]
     assert len(set(ports)) == len(ports)
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
@@ -1,4 +1,4 @@
-"""Which instance of a backend server runs a request, when servers change hands."""
+"""Tests of the instance that a request is sent to when backend servers are replaced."""
 
 import pytest
 
@@ -22,10 +22,10 @@
         assert got.status == 503
 
 
-async def test_restarted_server_is_reached_before_the_platform_knows_its_new_id(fleet):
-    """All hosts lose power. The servers are back under new ids, and for seconds the
-    platform still tells the old ones: each request would be refused by a server that
-    is fine. The server itself tells who it is, and its sidecar has just started.
+async def test_restarted_server_is_reached_before_the_platform_lists_its_new_id(fleet):
+    """All hosts lose power. The servers restart with new instance ids, while the
+    platform still lists the old ones for seconds, so healthy servers refuse each
+    request. The id in such a refusal is trusted, because the sidecar has just started.
     """
     node = fleet.nodes[2]
 
@@ -43,17 +43,17 @@
     assert len(ids) == 4
 
 
-async def test_server_at_a_reused_address_gets_no_request_by_its_word_alone(fleet):
-    """A server ends, and its address goes to a server of another service. The sidecar
-    there has run for long, so its settings may be older than the server: nothing is
-    sent to the new id before the platform tells its service.
+async def test_other_server_at_a_reused_address_gets_no_requests(fleet):
+    """A server exits, and its address is reused by a server of another service. The
+    sidecar there has run for long, so its settings may be older than the server.
+    Nothing is sent to the new id before the platform lists its service.
     """
     node = fleet.nodes[2]
     watch = node.sidecar._executor._watch
     watch._started_ms -= 60_000.0
-    # Its clock stands still: the server's word lasts however long the calls take.
-    stopped_ms = watch._now_ms()
-    watch._now_ms = lambda: stopped_ms
+    # The clock is frozen, so that the reported id doesn't expire during slow calls.
+    frozen_ms = watch._now_ms()
+    watch._now_ms = lambda: frozen_ms
 
     node.backend.behaviour = serve_as("i-other")
     await assert_three_refused(fleet)
@@ -62,12 +62,12 @@
     assert len(node.backend.seen) == 1
 
 
-async def test_second_server_at_an_address_is_not_trusted_even_soon_after_a_start(
+async def test_second_server_at_an_address_is_not_trusted_after_a_sidecar_restart(
     fleet,
 ):
-    """A sidecar has just been restarted by itself when its server ends and the address
-    goes to another service. It has answered for the first server, so the second one's
-    word alone counts for nothing.
+    """A sidecar alone has just restarted when its server exits and the address is
+    reused by another service. The sidecar has already reached the first server, so the
+    id reported by the second one isn't trusted.
     """
     node = fleet.nodes[2]
     got = await fleet.call(fleet.nodes[0], target="/approve/1")
@@ -80,39 +80,45 @@
 
 
 async def test_new_instance_at_the_address_of_an_idle_server_is_served(fleet):
-    """A server leaves while nothing is under way, and another one starts in its place.
-    Nobody notices the change: no connection breaks, and every request for the new
-    instance is refused on the word of the old one, for ever.
+    """A server leaves while no request is in flight, and another one replaces it. No
+    connection breaks, so the change isn't detected, and every request for the new
+    instance would be refused for ever, because of the id that the old one reported.
     """
     node = fleet.nodes[2]
     assert (await fleet.call(fleet.nodes[0], target="/approve/1")).status == 200
     await node.put_instance(fleet.store, name="i-second")
-    found = fleet.nodes[0].sidecar._fleet
-    await until(lambda: [i.id for i in found.of_service("schvaleni")] == ["i-second"])
+    node_fleet = fleet.nodes[0].sidecar._fleet
+    await until(
+        lambda: [i.id for i in node_fleet.of_service("schvaleni")] == ["i-second"]
+    )
     node.sidecar._executor._watch._told_ms -= INSTANCE_WORD_MS
     got = await fleet.call(fleet.nodes[0], target="/approve/1", request_id="r-2")
     assert got.status == 200
-    asked = node.backend.seen[-1].headers[b"x-expected-instance"]
-    assert asked == b"i-second"
+    expected = node.backend.seen[-1].headers[b"x-expected-instance"]
+    assert expected == b"i-second"
 
 
 async def test_newer_instance_at_an_address_replaces_the_older_one(fleet):
     node = fleet.nodes[2]
     await node.put_instance(fleet.store, name="i-second")
-    found = node.sidecar._fleet
-    await until(lambda: [i.id for i in found.of_service("schvaleni")] == ["i-second"])
+    node_fleet = node.sidecar._fleet
+    await until(
+        lambda: [i.id for i in node_fleet.of_service("schvaleni")] == ["i-second"]
+    )
     await node.put_instance(fleet.store)
     await until(lambda: node.sidecar._data.revision == fleet.store.revision)
-    assert [i.id for i in found.of_service("schvaleni")] == ["i-second"]
-    # Counted twice, the same slots would let in twice what the server can run.
-    slots = capacities_of(found.serving(), node.sidecar._loads.of)["schvaleni"].slots
+    assert [i.id for i in node_fleet.of_service("schvaleni")] == ["i-second"]
+    # Counting the slots twice would admit twice the server's capacity.
+    slots = capacities_of(node_fleet.serving(), node.sidecar._loads.of)[
+        "schvaleni"
+    ].slots
     assert slots == node.sidecar._executor.load().limit
 
 
-async def test_server_of_a_host_that_is_cut_off_from_the_platform_is_used(fleet):
-    """One host can't reach the platform. The entry of its server expires, all sidecars
-    hear of that, and the service has no other server. Its sidecar is linked to all and
-    asks the platform in vain, so the others may go on using the server.
+async def test_server_of_a_host_isolated_from_the_platform_is_used(fleet):
+    """One host can't reach the platform. The registration of its server expires on all
+    sidecars, and the service has no other server. Its sidecar has links to all others
+    and reports that it is isolated, so the others continue to use the server.
     """
     node = fleet.nodes[2]
     fleet.store.cut_off.add(node.ip)
@@ -128,9 +134,9 @@
     assert got.status == 503
 
 
-def isolated(node, lapsed):
-    """Return whether a node uses a server that the platform doesn't list."""
-    found = node.sidecar._fleet.of_service(lapsed.service)
-    return [each.ip for each in found] == [lapsed.ip] and not node.sidecar._fleet.at(
-        lapsed.ip
-    )
+def isolated(node, expired_node):
+    """Return whether a node uses a server whose registration has expired."""
+    instances = node.sidecar._fleet.of_service(expired_node.service)
+    return [each.ip for each in instances] == [
+        expired_node.ip
+    ] and not node.sidecar._fleet.at(expired_node.ip)
