--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
@@ -268,15 +268,15 @@
 
     def _new_link(
         self,
-        greeted: Callable[[PeerLink], None],
-        lost: Callable[[PeerLink], None],
+        on_handshake: Callable[[PeerLink], None],
+        on_lost: Callable[[PeerLink], None],
     ) -> PeerLink:
-        dialled = greeted == self._dialled_handshake
+        dialled = on_handshake == self._dialled_handshake
         return PeerLink(
             greeting=self._hello,
-            greeted=greeted,
+            greeted=on_handshake,
             receive=self._dialled_message if dialled else self._accepted_message,
-            lost=lost,
+            lost=on_lost,
             batch=self._batch,
         )
 
