--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
@@ -326,7 +326,7 @@
         task.add_done_callback(self._connecting.discard)
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel a request; its ``done`` won't be called."""
+        """Cancel a request; its callback won't be called."""
         exchange.cancelled = True
         if exchange.connection is not None:
             exchange.connection.abort()
@@ -335,7 +335,7 @@
         """Try to connect; the connection is added to the pool.
 
         Args:
-            timeout_s: time after which the attempt ends as ``Probe.SILENT``.
+            timeout_s: time after which the attempt counts as unanswered.
         """
         try:
             connection = await self._open_within(timeout_s)
