--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
@@ -20,12 +20,13 @@
 """Timeout of a connection attempt on the same host or in the same region; a lost SYN
 packet isn't retransmitted before one second has passed."""
 
-IDLE_MS = 4_000.0
+DEFAULT_IDLE_LIMIT_MS = 4_000.0
 """Idle time after which a connection isn't reused if its server states no keep-alive
 timeout; shorter than the common server default of five seconds."""
 
 IDLE_MARGIN_MS = 1_500.0
-"""Margin before the stated keep-alive timeout; a connection isn't reused within it."""
+"""Time before the end of the stated keep-alive timeout in which a connection isn't
+reused."""
 
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
@@ -78,8 +79,8 @@
     Attributes:
         payload: the serialized request.
         method: the request method.
-        expects: returns whether a response belongs to this request; servers may send
-            a second response to an earlier one.
+        expects: returns whether a response belongs to this request; servers
+            may send a second response to an earlier one.
         done: called once with the response or the fault.
         item: the sender's context of the request, not used by the client.
         connection: the connection that the request was written to.
@@ -127,7 +128,7 @@
         self.usable = True
         self.idle_since_ms = 0.0
         self.rested_ms = 0.0
-        self.idle_limit_ms = IDLE_MS
+        self.idle_limit_ms = DEFAULT_IDLE_LIMIT_MS
         self._reset_parser()
 
     def _reset_parser(self) -> None:
@@ -216,7 +217,7 @@
             self._body_bytes += len(body)
 
     def on_message_begin(self) -> None:
-        """Mark the connection unusable on bytes behind the response (httptools)."""
+        """Mark the connection as unusable if bytes follow the response (httptools)."""
         if self._completed_response is not None:
             self.usable = False
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/line_output.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/line_output.py
@@ -4,11 +4,11 @@
 import os
 
 FLUSH_S = 0.1
-"""Delay by which lines are batched; a system call for each would cost more than it."""
+"""Time for which lines are collected before a write; a system call for each line would
+cost more than the line itself."""
 
 MAX_HELD_BYTES = 256 * 1024
-"""Maximum of text buffered while nobody reads; lines beyond it are dropped and
-counted."""
+"""Text buffered at most while nobody reads; lines beyond it are dropped and counted."""
 
 
 class LineOutput:
@@ -28,7 +28,7 @@
     def __init__(self, *, fd: int):
         self.dropped_lines = 0
         self._fd = fd
-        self._held: list[bytes] = []
+        self._buffered_lines: list[bytes] = []
         self._held_bytes = 0
         self._scheduled_write: asyncio.TimerHandle | None = None
         os.set_blocking(fd, False)
@@ -39,7 +39,7 @@
         if self._held_bytes + len(line) > MAX_HELD_BYTES:
             self.dropped_lines += 1
         else:
-            self._held.append(line)
+            self._buffered_lines.append(line)
             self._held_bytes += len(line)
         return len(text)
 
@@ -66,7 +66,7 @@
         if self.dropped_lines and not self._held_bytes:
             self.write(f"event=lines_dropped count={self.dropped_lines}\n")
             self.dropped_lines = 0
-        text = b"".join(self._held)
+        text = b"".join(self._buffered_lines)
         try:
             written = os.write(self._fd, text) if text else 0
         except BlockingIOError:
@@ -75,7 +75,7 @@
             # The reader of the log is gone; the sidecar continues to serve without it.
             written = len(text)
         remainder = text[written:]
-        self._held = [remainder] if remainder else []
+        self._buffered_lines = [remainder] if remainder else []
         self._held_bytes = len(remainder)
         if remainder and _in_event_loop():
             self.flush()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer.py
@@ -50,7 +50,7 @@
         return self.link is not None and self.link.silent_ms() > SUSPECT_MS
 
     def can_be_sent_to(self, now_ms: float) -> bool:
-        """Return whether the state of the link permits to send a request."""
+        """Return whether the state of the link allows sending a request."""
         return now_ms >= self.avoided_until_ms and not self.is_suspect
 
     @property
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
@@ -78,10 +78,11 @@
         availability_zone: availability zone in the peer's ``Hello``.
         incarnation: incarnation in the peer's ``Hello``.
         fault: reason why the link was closed; empty until then.
-        heard_since_check: whether anything was received since its owner's last check.
+        heard_since_check: whether anything was received since the last check of
+            ``PeerLinks``.
         takes_suspects: whether the peer supports messages on crash suspects.
-        suspects_told: number of the last change of the suspects that was sent to the
-            peer.
+        suspects_told: number of the last change of the suspects that was sent to
+            the peer.
     """
 
     def __init__(
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
@@ -1,6 +1,6 @@
 """Links of a sidecar to its peers: dialling, accepting and supervision.
 
-A link is dialled on demand, when a request goes to the peer, or kept up permanently.
+A link is dialled on demand, when a request goes to the peer, or kept up persistently.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 """Interval of the link checks. A link with requests in flight that received nothing
 since the last check is sent a heartbeat."""
 
-WAIT_MS = 300.0
+MAX_LINK_WAIT_MS = 300.0
 """Longest wait of a request for its link. Dialling or a heartbeat takes milliseconds,
 tens of milliseconds if the host is just starting; after this time another host serves
 the request sooner."""
@@ -45,7 +45,7 @@
 milliseconds, and an unreachable host never answers."""
 
 REDIAL_S = 0.3
-"""Delay before a kept link is dialled again; restarted processes are back soon."""
+"""Delay before a lost persistent link is dialled again; restarts are short."""
 
 STALL_MS = 300.0
 """Delay of a link check above which this process counts as having been suspended."""
@@ -170,7 +170,7 @@
             self._dial(ip, 0.0)
 
     def can_reach(self, ip: str) -> bool:
-        """Return whether the state of a host's link permits to send it a request."""
+        """Return whether the state of a host's link allows sending it a request."""
         peer = self.peers.get(ip)
         return peer is None or peer.can_be_sent_to(self._now_ms())
 
@@ -192,7 +192,7 @@
             self._send_heartbeat(peer.link)
         if peer.timer is None:
             loop = asyncio.get_running_loop()
-            peer.timer = loop.call_later(WAIT_MS / 1000, self._end_wait, peer)
+            peer.timer = loop.call_later(MAX_LINK_WAIT_MS / 1000, self._end_wait, peer)
         return True
 
     def cancel(self, ip: str, call_id: int) -> None:
@@ -245,19 +245,19 @@
             link.expect_reply()
 
     def _end_wait(self, peer: Peer) -> None:
-        """Return the requests of a link that wasn't established in time."""
+        """Give back the requests whose link wasn't usable in time."""
         peer.timer = None
         peer.avoided_until_ms = self._now_ms() + AVOID_MS
         self._return_waiting(peer)
 
     def _send_waiting(self, peer: Peer) -> None:
         """Write the requests that wait for the link."""
-        wanted = (
+        pending = (
             request
             for request in peer.take_waiting(self._now_ms())
             if self._listener.is_wanted(request.call_id)
         )
-        unsent = [request for request in wanted if not self._write(peer, request)]
+        unsent = [request for request in pending if not self._write(peer, request)]
         if unsent:
             self._listener.unsent(unsent)
 
@@ -365,7 +365,7 @@
             self._redial(peer, link)
 
     def _redial(self, peer: Peer, accepted: PeerLink) -> None:
-        """Dial a peer again that has just completed a handshake on its own link.
+        """Dial a peer at once that has just opened a link of its own.
 
         Failure: all hosts lose power and restart within 0.3 s of each other. The first
         host dials the others before they listen, its SYN packets are lost, and it waits
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/planned_stop.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/planned_stop.py
@@ -13,7 +13,7 @@
 QUIET_MS = 300.0
 """Time without requests in flight after which a stopping process ends early."""
 
-LOOK_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 """Interval of the checks of the requests in flight."""
 
 
@@ -33,7 +33,7 @@
     loop = asyncio.get_running_loop()
     began_ms = idle_since_ms = loop.time() * 1000
     while True:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         now_ms = loop.time() * 1000
         elapsed_ms = now_ms - began_ms
         is_refusing = elapsed_ms > drain_ms * SERVE_ON_SHARE
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -68,7 +68,7 @@
 from sassafraswinch_sidecar.zone_duty import ZoneDuty
 from sassafraswinch_sidecar.zone_peers import ZonePeers
 
-TICK_S = 0.1
+PERIODIC_TASK_INTERVAL_S = 0.1
 """Interval of the periodic tasks. They also check the time limits of requests: a timer
 for each request would cost a twentieth of its processor time."""
 
@@ -397,19 +397,19 @@
         """Apply changed platform data: known hosts, slots and the zone role."""
         now_ms = self._now_ms()
         listed = itertools.chain.from_iterable(self._fleet.zones().values())
-        first = not self._known_hosts
+        is_first_update = not self._known_hosts
         self._known_hosts = {*listed, self._settings.ip}
         self._most_sidecars.note(len(self._known_hosts), now_ms)
         for instance in self._fleet.at(self._settings.ip):
             if not instance.leaving:
                 self._executor.set_slots(instance.slots)
         self._update_zone_role(now_ms)
-        if first:
+        if is_first_update:
             self._exchange.greet()
 
     async def _run_periodic_tasks(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(PERIODIC_TASK_INTERVAL_S)
             self._check_process_pause()
             now_ms = self._now_ms()
             self._owner.expire(now_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_settings.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_settings.py
@@ -21,7 +21,7 @@
 
 
 class SidecarSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Schema of the settings file; field names end in the unit of their value.
+    """Schema of the settings file; names of fields with a unit end in it.
 
     Attributes:
         host: name of this host, for logs.
--- a/packages/sassafraswinch-sidecar/tests/test_peer_links.py
+++ b/packages/sassafraswinch-sidecar/tests/test_peer_links.py
@@ -8,8 +8,8 @@
 from sassafraswinch_sidecar.peer_links import (
     AVOID_MS,
     DIAL_TIMEOUT_S,
+    MAX_LINK_WAIT_MS,
     REDIAL_S,
-    WAIT_MS,
     PeerLinks,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -199,7 +199,7 @@
     network = Dialler(monkeypatch)
     links = new_links()
     assert links.request(PEER, new_request(1))
-    await asyncio.sleep(WAIT_MS / 1000 + 0.01)
+    await asyncio.sleep(MAX_LINK_WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
     assert not links.request(PEER, new_request(2))
     await asyncio.sleep(DIAL_TIMEOUT_S + AVOID_MS / 1000)
@@ -219,7 +219,7 @@
     link.quiet = QUIET_MS + 1
     assert links.request(PEER, new_request(1))
     assert [type(message) for message in link.sent] == [Heartbeat]
-    await asyncio.sleep(WAIT_MS / 1000 + 0.01)
+    await asyncio.sleep(MAX_LINK_WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
     assert len(link.sent) == 1
     await links.close()
