--- a/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
@@ -139,4 +139,4 @@
     instances = node.sidecar._fleet.of_service(expired_node.service)
     return [each.ip for each in instances] == [
         expired_node.ip
-    ] and not node.sidecar._fleet.at(expired_node.ip)
+    ] and not node.sidecar._fleet.instances_at(expired_node.ip)
