--- a/packages/sassafraswinch-sidecar/tests/test_peer_links.py
+++ b/packages/sassafraswinch-sidecar/tests/test_peer_links.py
@@ -1,4 +1,4 @@
-"""When peers are dialled, and what waits for a link, on a paused clock."""
+"""Tests of dialling and of requests that wait for a link, on a simulated clock."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from sassafraswinch_sidecar.peer_links import (
     AVOID_MS,
     DIAL_TIMEOUT_S,
+    MAX_LINK_WAIT_MS,
     REDIAL_S,
-    WAIT_MS,
     PeerLinks,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -25,7 +25,7 @@
 
 
 class Listener:
-    """Takes what comes back unsent, and wants all that waits."""
+    """Records unsent requests; all waiting requests but ``unwanted`` are pending."""
 
     def __init__(self):
         self.returned = []
@@ -48,7 +48,7 @@
 
 
 class Dialler:
-    """Stands for the network: connections hang, as those to a host without power."""
+    """Fake network: connection attempts hang unless ``answers`` is set."""
 
     def __init__(self, monkeypatch):
         self.dialled_at_s = []
@@ -63,7 +63,7 @@
 
 
 class Link:
-    """A link to the peer, as far as its owner looks at it."""
+    """Fake of ``PeerLink`` with the members that ``PeerLinks`` uses."""
 
     def __init__(self, incarnation=9):
         self.peer_ip = PEER
@@ -108,49 +108,49 @@
     )
 
 
-async def test_peer_that_greets_is_dialled_at_once(monkeypatch):
-    """All hosts lose power. The first one that is up dials the others before they are:
-    the packets are lost, and without a new attempt the links would come up a second
-    later than they could.
+async def test_peer_is_dialled_at_once_after_its_handshake(monkeypatch):
+    """All hosts lose power. The first one that is up dials the others before they
+    listen. Its SYN packets are lost, and without a new attempt the links would be
+    established a second later than possible.
     """
     network = Dialler(monkeypatch)
     links = new_links()
     links.keep([PEER])
     await asyncio.sleep(0.2)
-    links._accepted_greeted(Link())
+    links._accepted_handshake(Link())
     await asyncio.sleep(0.01)
     assert len(network.dialled_at_s) == 2
     assert network.dialled_at_s[1] - network.dialled_at_s[0] == pytest.approx(0.2)
     await links.close()
 
 
-async def test_connection_that_awaits_its_greeting_is_left_alone(monkeypatch):
-    """Both dial each other at once. A second connection would replace the first, and
-    the requests on it would count as lost.
+async def test_connection_that_awaits_its_handshake_is_not_replaced(monkeypatch):
+    """Two hosts dial each other at once. A second connection would replace the first,
+    and the requests on it would count as lost.
     """
     network = Dialler(monkeypatch)
     network.answers = True
     links = new_links()
     links.keep([PEER])
     await asyncio.sleep(0.01)
-    links._accepted_greeted(Link())
+    links._accepted_handshake(Link())
     await asyncio.sleep(0.1)
     assert len(network.dialled_at_s) == 1
     await links.close()
 
 
-async def test_link_to_a_former_incarnation_is_given_up(monkeypatch):
-    """A host loses power and is back within the second after which silence is noticed.
-    Its greeting tells that nobody answers on the link to the process that was there.
+async def test_link_to_a_former_incarnation_is_closed(monkeypatch):
+    """A host loses power and restarts before the link timeout of one second. Its Hello
+    shows that the link to its former process is dead.
     """
     network = Dialler(monkeypatch)
     links = new_links()
     links.keep([PEER])
     await asyncio.sleep(0.01)
     former = links.peers[PEER].link = Link(incarnation=8)
-    links._accepted_greeted(Link(incarnation=8))
+    links._accepted_handshake(Link(incarnation=8))
     assert former.fault == ""
-    links._accepted_greeted(Link(incarnation=9))
+    links._accepted_handshake(Link(incarnation=9))
     await asyncio.sleep(0.01)
     assert former.fault == "restarted"
     assert list(links.linked()) == []
@@ -158,7 +158,7 @@
     await links.close()
 
 
-async def test_peer_that_stays_away_is_dialled_now_and_then(monkeypatch):
+async def test_unreachable_peer_is_dialled_periodically(monkeypatch):
     network = Dialler(monkeypatch)
     links = new_links()
     links.keep([PEER])
@@ -183,7 +183,7 @@
     links = new_links()
     assert links.request(PEER, new_request(1))
     await asyncio.sleep(0.05)
-    links._dialled_greeted(link := Link())
+    links._dialled_handshake(link := Link())
     (sent,) = link.sent
     assert (sent.call_id, sent.remaining_ms, sent.max_wait_ms) == (1, 950, 150)
     assert links.request(PEER, new_request(2))
@@ -191,15 +191,15 @@
     await links.close()
 
 
-async def test_request_whose_link_does_not_come_up_goes_elsewhere(monkeypatch):
-    """A host loses power, and its server is still listed. A request that waited for
-    the link until it is given up would be late wherever it went then; it was never
-    written, so it may go to any other server, and the next ones don't wait there.
+async def test_request_is_returned_if_its_link_is_not_established(monkeypatch):
+    """A host loses power, and its server is still registered. A request that waits
+    until dialling times out would be late on any other server. It was never written, so
+    it is returned early for another server, and later requests don't wait for the host.
     """
     network = Dialler(monkeypatch)
     links = new_links()
     assert links.request(PEER, new_request(1))
-    await asyncio.sleep(WAIT_MS / 1000 + 0.01)
+    await asyncio.sleep(MAX_LINK_WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
     assert not links.request(PEER, new_request(2))
     await asyncio.sleep(DIAL_TIMEOUT_S + AVOID_MS / 1000)
@@ -209,9 +209,9 @@
     await links.close()
 
 
-async def test_nothing_is_written_to_a_quiet_link_before_a_sign_of_life(monkeypatch):
-    """An idle connection fell silent for good. An approval that is written to it is
-    lost, and can't be sent again, for it may have run.
+async def test_request_on_a_quiet_link_waits_for_a_heartbeat_reply(monkeypatch):
+    """An idle connection has gone silent for good. A non-idempotent request that is
+    written to it is lost and can't be retried, since it may have run.
     """
     Dialler(monkeypatch)
     links = new_links()
@@ -219,13 +219,13 @@
     link.quiet = QUIET_MS + 1
     assert links.request(PEER, new_request(1))
     assert [type(message) for message in link.sent] == [Heartbeat]
-    await asyncio.sleep(WAIT_MS / 1000 + 0.01)
+    await asyncio.sleep(MAX_LINK_WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
     assert len(link.sent) == 1
     await links.close()
 
 
-async def test_quiet_link_that_answers_carries_what_waited(monkeypatch):
+async def test_heartbeat_reply_sends_the_waiting_requests(monkeypatch):
     Dialler(monkeypatch)
     links = new_links()
     links._peer(PEER).link = link = Link()
@@ -242,18 +242,18 @@
     await links.close()
 
 
-async def test_greeting_that_outruns_the_dialling_leaves_its_connection_open(
+async def test_handshake_before_the_end_of_dialling_keeps_the_connection_open(
     monkeypatch,
 ):
-    """A peer's greeting is read before the dialling has returned. Cancelled then, the
-    dialling closed the connection; the link looked open, each write on it was an error,
-    and the process ended.
+    """A peer's Hello is read before create_connection has returned. If the dialling
+    task is cancelled then, the connection is closed while the link looks open; each
+    write on it raises an error, which ends the process.
     """
     network = Dialler(monkeypatch)
     links = new_links()
     links.greet(PEER)
     await asyncio.sleep(0.01)
-    links._dialled_greeted(Link())
+    links._dialled_handshake(Link())
     dialling = links.peers[PEER].dialling
     await asyncio.sleep(0.01)
     assert len(network.dialled_at_s) == 1
