--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/dialect.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/dialect.py
@@ -1,21 +1,21 @@
-"""Names of the header fields that a sidecar reads and sets."""
+"""Names of the HTTP header fields that a sidecar reads and sets."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeaderNames:
-    """Header fields of one deployment, in lower case but for those it sends.
+    """Header names of one deployment, sent as written and compared in lower case.
 
     Attributes:
-        request_id: identifies one request of a caller; echoed in its answer.
-        time_left_ms: milliseconds that the sender of a request will wait.
-        expected_instance: instance id that a request must be run by.
-        not_executed: the backend server proves that it did not run a request.
-        caller_service: service of the host where a request began.
-        signature: marks a backend server's own answer.
-        actual_instance: instance id of a backend server that refuses a request for
-            another one.
+        request_id: id of a caller's request; echoed in the response.
+        time_left_ms: milliseconds for which the sender of a request will wait.
+        expected_instance: id of the instance that must run the request.
+        not_executed: set by a backend server as proof that it did not run a request.
+        caller_service: service of the sidecar that got the request from its caller.
+        signature: set by a backend server on the responses that it made itself.
+        actual_instance: id of the backend server, where it refuses a request for
+            another instance.
         organisation: name of the organisation that sent a request.
     """
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -1,4 +1,4 @@
-"""Runs requests at the backend server beside this sidecar."""
+"""Executor of requests at the backend server on this host."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,28 +34,48 @@
 Reply = Callable[[RelayResponse], None]
 
 TICK_S = 0.02
-"""Grain of the longest waits, which are tens of milliseconds and more."""
+"""Interval of the check for expired queue waits, which last tens of ms or more."""
 
 OVERTIME_MS = 50.0
-"""Time past its limit after which a server's answer is no longer waited for. It
-stops at the limit by itself, and its answer to that is the truer one."""
+"""Time past a request's deadline for which the server's response is still awaited. The
+server stops at the deadline by itself, and its own response says more about the outcome
+than a time-out does."""
 
 OTHER_INSTANCE = "other-instance"
 INSTANCE_LEAVING = "instance-leaving"
 MISDIRECTED_STATUS = 421
 SERVER_FAILURE = 500
-"""Least status of answers that clear no request: its run may have been cut short."""
+"""Lowest status code of a server failure. Such a response doesn't clear a suspect,
+because the run may have been cut short."""
 
-SERVER_ENDED = "server-ended"
+SERVER_EXITED = "server-ended"
 SERVER_RESET = "server-reset"
 
 UNKNOWN_SLOTS = 16
-"""Slots assumed before the platform has told them."""
+"""Slots of the server that are assumed until the platform data lists them."""
 
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """A request that waits for the backend server or runs there."""
+    """A request that is queued for the backend server or runs there.
+
+    Attributes:
+        request: the request as received from its owner.
+        reply: callback that gets the response.
+        owner: with the call id of the request, identifies the execution.
+        deadline_ms: event loop time at which the request times out.
+        place: queue entry; None until the request is queued.
+        exchange: HTTP exchange with the server; None until the request starts.
+        offered: whether the request was written to the server.
+        ended: whether the execution has ended or was cancelled.
+        actual_instance_id: id of the instance that runs in place of the expected one.
+        held_bytes: size of the body, as counted in the memory limit.
+        repeats_spent: whether a child call failed and was not retried because the
+            retry budget was exhausted.
+        server_end: name of the server exit during which the request ran.
+        calls_done: number of finished child calls.
+        slot_ms: slot time of the request and its child calls, by service.
+    """
 
     request: RelayRequest
     reply: Reply
@@ -74,16 +94,16 @@
 
 
 class Executor:
-    """The queue before one backend server, and the requests that run there.
+    """Queues requests for one backend server and runs them there.
 
     Args:
         service: the server's service.
-        client: connections to the server.
-        names: header fields of the deployment.
-        is_leaving: tells whether an instance must get no new work.
-        held: counts the bytes that this process holds.
-        suspects: requests that ended servers.
-        log: lines about single requests.
+        client: HTTP client with the connections to the server.
+        names: header names of the deployment.
+        is_leaving: returns whether an instance must get no new requests.
+        held: memory limit of request and response bodies in this process.
+        suspects: requests that were running when servers crashed.
+        log: request log.
     """
 
     def __init__(
@@ -107,33 +127,33 @@
         self._held = held
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._executions: dict[tuple[object, int], Execution] = {}
-        self._ticking: asyncio.TimerHandle | None = None
+        self._open_executions: dict[tuple[object, int], Execution] = {}
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._suspects = suspects
         self._gate = SuspectGate(
             suspects=suspects,
             running=lambda: (each.request for each in self.running.values()),
         )
-        self._ends = ServerEnds(
+        self._server_exits = ServerEnds(
             suspects=suspects,
             is_leaving=self._leaves,
             log=log,
             now_ms=lambda: self._loop.time() * 1000,
         )
-        self._broken: list[Execution] = []
+        self._broken_executions: list[Execution] = []
         self._watch = BackendWatch(
             client=client,
             service=service,
-            went_down=self._refuse_waiting,
-            looked=self._looked,
+            went_down=self._refuse_queued,
+            looked=self._on_server_checked,
         )
 
     def set_slots(self, slots: int) -> None:
-        """Take the number of requests that the server runs at once."""
+        """Set the number of requests that the server runs concurrently."""
         self.queue.limit = max(1, int(slots * SLOT_SHARE))
 
     def load(self) -> ServerLoad:
-        """Return what peers are told of the server."""
+        """Return the load of the server, as reported to peers."""
         queue = self.queue
         return ServerLoad(
             in_flight=queue.running,
@@ -142,12 +162,12 @@
         )
 
     def submit(self, request: RelayRequest, reply: Reply, owner: object) -> None:
-        """Take a request; ``reply`` is called once unless it is cancelled.
+        """Queue a request; ``reply`` is called once unless the request is cancelled.
 
         Args:
-            request: the request; its time counts from now.
-            reply: gets its end.
-            owner: with the call's number, names it for ``cancel``.
+            request: the request; its remaining time counts from now.
+            reply: callback that gets the response.
+            owner: with the call id, identifies the request in ``cancel``.
         """
         now_ms = self._loop.time() * 1000
         execution = Execution(
@@ -156,11 +176,11 @@
             owner=owner,
             deadline_ms=now_ms + request.remaining_ms,
         )
-        refusal = self._refusal(request)
+        refusal = self._refusal_reason(request)
         if refusal:
             if refusal == OTHER_INSTANCE:
                 execution.actual_instance_id = self._watch.trusted_instance_id()
-            self._end_unrun(execution, refusal)
+            self._end_not_run(execution, refusal)
             return
         execution.place = QueuedRequest(
             execution,
@@ -171,54 +191,54 @@
             request.last,
         )
         if not self.queue.offer(execution.place, now_ms):
-            self._end_unrun(execution, "overloaded")
+            self._end_not_run(execution, "overloaded")
             return
-        self._executions[owner, request.call_id] = execution
+        self._open_executions[owner, request.call_id] = execution
         execution.held_bytes = len(request.body)
         self._held.hold(execution.held_bytes)
-        self._start(now_ms)
-        if self.queue.queued and self._ticking is None:
-            self._ticking = self._loop.call_later(TICK_S, self._tick)
+        self._start_queued(now_ms)
+        if self.queue.queued and self._tick_timer is None:
+            self._tick_timer = self._loop.call_later(TICK_S, self._tick)
 
     def cancel(self, owner: object, call_id: int) -> None:
-        """Nobody waits for a request any more.
+        """Cancel a request whose response is no longer awaited.
 
-        One that must not run twice and has started is left to its end: breaking it
-        off would leave its effect half done.
+        A request that has started and isn't idempotent runs to its end, because
+        aborting it could leave its effect half done.
         """
-        execution = self._executions.get((owner, call_id))
+        execution = self._open_executions.get((owner, call_id))
         if execution is None:
             return
         if self.queue.withdraw(execution.place):
-            self._forget(execution)
+            self._remove(execution)
         elif execution.request.idempotent:
-            self._break_off(execution)
+            self._abort(execution)
 
     def owner_lost(self, owner: object) -> None:
-        """Cancel all requests of an owner that can't be told their ends."""
-        for key_owner, call_id in list(self._executions):
+        """Cancel all requests of an owner that can no longer get their responses."""
+        for key_owner, call_id in list(self._open_executions):
             if key_owner is owner:
                 self.cancel(owner, call_id)
 
     def leave(self) -> None:
-        """Refuse what waits and all that comes; what runs may finish."""
+        """Refuse queued and new requests; running requests may finish."""
         self.leaving = True
         for queued in self.queue.drain():
-            self._end_unrun(queued.item, "leaving")
+            self._end_not_run(queued.item, "leaving")
 
     @property
     def in_flight(self) -> int:
-        """Requests that wait or run."""
-        return len(self._executions)
+        """Number of requests that are queued or running."""
+        return len(self._open_executions)
 
     def close(self) -> None:
         """Stop probing and close idle connections."""
         self._watch.close()
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         self._client.close()
 
-    def _refusal(self, request: RelayRequest) -> str:
+    def _refusal_reason(self, request: RelayRequest) -> str:
         if self.leaving:
             return "leaving"
         if request.service_name != self._service:
@@ -235,91 +255,99 @@
             return "no-memory"
         return self._gate.refusal(request)
 
-    def _start(self, now_ms: float) -> None:
+    def _start_queued(self, now_ms: float) -> None:
         for queued in self.queue.startable(now_ms):
             execution = queued.item
-            # Servers may have ended under it while it waited.
+            # Servers may have crashed while running it since it was queued.
             refusal = self._gate.refusal(execution.request)
             if refusal:
-                self._end_unrun(execution, refusal)
+                self._end_not_run(execution, refusal)
             else:
                 self._run(execution, now_ms)
 
     def _run(self, execution: Execution, now_ms: float) -> None:
         request = execution.request
-        left_ms = execution.deadline_ms - now_ms
-        payload = serialize_request(request, self._names, left_ms)
+        remaining_ms = execution.deadline_ms - now_ms
+        payload = serialize_request(request, self._names, remaining_ms)
         request_id = request.request_id.encode()
-        id_name = self._names.request_id.lower()
+        request_id_name = self._names.request_id.lower()
 
         def is_own(response: HttpResponse) -> bool:
             return any(
-                lowered == id_name and value == request_id
+                lowered == request_id_name and value == request_id
                 for lowered, _, value in response.fields
             )
 
         if self.queue.running == 1:
             self._watch.alive()
         execution.exchange = Exchange(
-            payload, request.method.encode(), is_own, self._exchange_done, execution
+            payload,
+            request.method.encode(),
+            is_own,
+            self._handle_exchange_end,
+            execution,
         )
         self.running[request.request_id] = execution
         self._client.send(execution.exchange, fresh=not request.idempotent)
 
-    def _exchange_done(self, exchange: Exchange, end: HttpResponse | Fault) -> None:
+    def _handle_exchange_end(
+        self, exchange: Exchange, end: HttpResponse | Fault
+    ) -> None:
         execution = exchange.item
         if isinstance(end, HttpResponse):
             self._watch.alive()
-            self._ends.answered()
-            self._answered(execution, end)
+            self._server_exits.answered()
+            self._handle_response(execution, end)
         elif end is Fault.UNREACHABLE:
             self._watch.unreachable()
-            if self._ends.has_given_up:
+            if self._server_exits.has_given_up:
                 self._watch.look()
             self._end(execution, Verdict.NOT_RUN, "server-down")
         else:
-            # The server may have ended: who answers next may be another instance.
+            # The server may have exited: the next response may be another instance's.
             self._watch.is_instance(None)
             execution.offered = True
             if end is Fault.RESET:
-                self._connection_broke(execution)
+                self._handle_broken_connection(execution)
             else:
                 self._end(execution, Verdict.MAY_HAVE_RUN, f"server-{end.value}")
 
-    def _connection_broke(self, execution: Execution) -> None:
-        """End a request once it is known why its connection broke."""
+    def _handle_broken_connection(self, execution: Execution) -> None:
+        """End a request once the cause of its broken connection is known."""
         if self._watch.ended:
-            self._end_with_server(execution)
+            self._end_at_server_exit(execution)
             return
-        self._broken.append(execution)
+        self._broken_executions.append(execution)
         self._watch.look()
 
-    def _looked(self, server_ended: bool) -> None:
-        broken, self._broken = self._broken, []
-        open_ones = [execution for execution in broken if not execution.ended]
-        if server_ended:
-            instance_id = open_ones[0].request.instance_id if open_ones else ""
-            self._ends.begin(instance_id)
-        for execution in open_ones:
-            if server_ended:
-                self._end_with_server(execution)
+    def _on_server_checked(self, server_exited: bool) -> None:
+        broken, self._broken_executions = self._broken_executions, []
+        open_executions = [execution for execution in broken if not execution.ended]
+        if server_exited:
+            instance_id = (
+                open_executions[0].request.instance_id if open_executions else ""
+            )
+            self._server_exits.begin(instance_id)
+        for execution in open_executions:
+            if server_exited:
+                self._end_at_server_exit(execution)
             else:
                 self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_RESET)
 
-    def _end_with_server(self, execution: Execution) -> None:
-        execution.server_end = self._ends.add(execution.request)
-        self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_ENDED)
+    def _end_at_server_exit(self, execution: Execution) -> None:
+        execution.server_end = self._server_exits.add(execution.request)
+        self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_EXITED)
 
     def _leaves(self, instance_id: str) -> bool:
         return self.leaving or self._is_leaving(instance_id)
 
-    def _answered(self, execution: Execution, response: HttpResponse) -> None:
+    def _handle_response(self, execution: Execution, response: HttpResponse) -> None:
         names = self._names
         execution.offered = True
         lowered = {name: value for name, _, value in response.fields}
         if response.status == MISDIRECTED_STATUS:
-            told = lowered.get(names.actual_instance.lower())
-            self._watch.is_instance(told.decode("latin-1") if told else None)
+            actual_id = lowered.get(names.actual_instance.lower())
+            self._watch.is_instance(actual_id.decode("latin-1") if actual_id else None)
             execution.actual_instance_id = self._watch.trusted_instance_id()
             self._end(execution, Verdict.NOT_RUN, OTHER_INSTANCE)
             return
@@ -333,7 +361,7 @@
             self._end(execution, Verdict.MAY_HAVE_RUN, "server-garbled")
             return
         if response.status < SERVER_FAILURE:
-            self._ends.ran_well(execution.request)
+            self._server_exits.ran_well(execution.request)
             self._suspects.answered(execution.request)
         lines = serialize_end_to_end(response.fields, DROPPED)
         self._end(
@@ -345,42 +373,42 @@
             body=response.body,
         )
 
-    def stood_still(self, stood_ms: float) -> None:
-        """Take the time that passed, unknown to the clock, off all time limits."""
-        for execution in self._executions.values():
-            execution.deadline_ms -= stood_ms
-            execution.place.give_up_at_ms -= stood_ms
+    def stood_still(self, paused_ms: float) -> None:
+        """Subtract a process pause that the clock did not count from all deadlines."""
+        for execution in self._open_executions.values():
+            execution.deadline_ms -= paused_ms
+            execution.place.give_up_at_ms -= paused_ms
 
     def expire(self, now_ms: float) -> None:
-        """End the requests whose server has let their time pass."""
+        """Time out the running requests that are past their deadline."""
         overdue_ms = now_ms - OVERTIME_MS
-        late = [
+        overdue = [
             execution
-            for execution in self._executions.values()
+            for execution in self._open_executions.values()
             if execution.exchange is not None and execution.deadline_ms < overdue_ms
         ]
-        for execution in late:
-            self._overtime(execution)
+        for execution in overdue:
+            self._time_out(execution)
 
-    def _overtime(self, execution: Execution) -> None:
+    def _time_out(self, execution: Execution) -> None:
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._ends.gave_up(execution.request)
+        self._server_exits.gave_up(execution.request)
         execution.offered = True
         self._end(execution, Verdict.MAY_HAVE_RUN, "deadline")
         self._watch.overdue(self.queue.hold_ms)
 
-    def _break_off(self, execution: Execution) -> None:
+    def _abort(self, execution: Execution) -> None:
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._ends.gave_up(execution.request)
+        self._server_exits.gave_up(execution.request)
         self._release(execution)
-        self._forget(execution)
-        self._start(self._loop.time() * 1000)
+        self._remove(execution)
+        self._start_queued(self._loop.time() * 1000)
 
-    def _end_unrun(self, execution: Execution, reason: str) -> None:
+    def _end_not_run(self, execution: Execution, reason: str) -> None:
         self._end(execution, Verdict.NOT_RUN, reason)
 
     def _end(
@@ -394,7 +422,7 @@
         body: bytes = b"",
     ) -> None:
         self._release(execution)
-        self._forget(execution)
+        self._remove(execution)
         request = execution.request
         if reason:
             self._log.failed(
@@ -407,7 +435,7 @@
                 queued=self.queue.queued,
                 limit=self.queue.limit,
             )
-        self._start(self._loop.time() * 1000)
+        self._start_queued(self._loop.time() * 1000)
         execution.reply(
             RelayResponse(
                 call_id=request.call_id,
@@ -432,23 +460,23 @@
         held_ms = self.queue.finished(place, self._loop.time() * 1000)
         add_slot_times(execution.slot_ms, {self._service: held_ms})
 
-    def _forget(self, execution: Execution) -> None:
+    def _remove(self, execution: Execution) -> None:
         execution.ended = True
         self._held.release(execution.held_bytes)
         execution.held_bytes = 0
         request = execution.request
-        self._executions.pop((execution.owner, request.call_id), None)
+        self._open_executions.pop((execution.owner, request.call_id), None)
         if self.running.get(request.request_id) is execution:
             del self.running[request.request_id]
 
     def _tick(self) -> None:
-        self._ticking = None
+        self._tick_timer = None
         now_ms = self._loop.time() * 1000
         for queued in self.queue.expired(now_ms):
-            self._end_unrun(queued.item, "queue-timeout")
+            self._end_not_run(queued.item, "queue-timeout")
         if self.queue.queued:
-            self._ticking = self._loop.call_later(TICK_S, self._tick)
+            self._tick_timer = self._loop.call_later(TICK_S, self._tick)
 
-    def _refuse_waiting(self) -> None:
+    def _refuse_queued(self) -> None:
         for queued in self.queue.drain():
-            self._end_unrun(queued.item, "server-down")
+            self._end_not_run(queued.item, "server-down")
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
@@ -1,22 +1,22 @@
-"""How many bytes of requests and answers a process holds, against a bound."""
+"""Memory limit of the request and response bodies that a process holds."""
 
 HELD_SHARE = 0.2
-"""Part of the process's memory that bodies may take. A body exists up to three times
-for a moment: as it was read, in a frame or a request, and in a socket's buffer."""
+"""Share of the process memory that bodies may use. A body can exist up to three times
+for a moment: as received, in a frame or serialized request, and in a socket buffer."""
 
 
 class HeldBytes:
-    """Counts bodies that are being read, wait, or aren't read by their receiver yet.
+    """Counts the bytes of bodies that are being received, queued or sent.
 
-    Failure: many callers send or read long bodies slowly, the process exceeds its
-    memory and is killed with all that runs through it. Requests beyond the bound are
-    refused unread instead, which nobody else notices.
+    Failure: many callers send or read large bodies slowly; the process exceeds its
+    memory and is killed, with all requests that run through it. Requests beyond the
+    limit are refused unread instead, which affects no other request.
 
     Args:
-        most_bytes: the bound.
+        most_bytes: the limit.
 
     Attributes:
-        unsent_bytes: bytes for peers that they haven't read, as measured last.
+        unsent_bytes: bytes in the send buffers of peer links, as last measured.
     """
 
     def __init__(self, *, most_bytes: float):
@@ -26,22 +26,22 @@
 
     @property
     def total_bytes(self) -> int:
-        """All bytes that are held."""
+        """Total number of bytes held."""
         return self._bodies_bytes + self.unsent_bytes
 
     def fits(self, more_bytes: int = 0) -> bool:
-        """Return whether so many bytes more stay within the bound."""
+        """Return whether the limit allows so many more bytes."""
         return self.total_bytes + more_bytes <= self._most_bytes
 
     def hold(self, more_bytes: int) -> None:
-        """Count bytes that are held from now on."""
+        """Add bytes to the count."""
         self._bodies_bytes += more_bytes
 
     def release(self, fewer_bytes: int) -> None:
-        """Count bytes that are no longer held."""
+        """Remove bytes from the count."""
         self._bodies_bytes -= fewer_bytes
 
 
 def most_held_bytes(memory_mb: float) -> float:
-    """Return the bound for a process that may take so much memory."""
+    """Return the limit for a process with the given memory size."""
     return memory_mb * 1_000_000 * HELD_SHARE
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
@@ -1,4 +1,4 @@
-"""Header fields of HTTP/1.1 messages that pass through a sidecar."""
+"""Header fields and status lines of HTTP/1.1 messages forwarded by a sidecar."""
 
 from http import HTTPStatus
 
@@ -6,22 +6,22 @@
 
 Fields = list[tuple[bytes, bytes, bytes]]
 """Header fields in order: name in lower case, name as received, value. Names are
-compared several times on the path of each message, and lowered once."""
+lowered once per message, since each is compared several times."""
 
 DROPPED = HOP_BY_HOP | {b"content-length", b"expect"}
-"""Fields that aren't passed on: those of one connection, and the framing, which each
-sender writes itself. A request with two framings could smuggle another one inside."""
+"""Names of fields that are not forwarded: hop-by-hop fields, and message framing, which
+each sender writes itself. Two conflicting framings would allow request smuggling."""
 
 _REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def serialize_end_to_end(fields: Fields, dropped: frozenset[bytes]) -> bytes:
-    """Write the header lines that are passed on, each with its line end.
+    """Serialize the header lines to forward, each with its line end.
 
     Args:
         fields: fields of the message.
-        dropped: names that aren't passed on, in lower case; those that ``Connection``
-            declares to be of one connection are left out as well.
+        dropped: names that are not forwarded, in lower case; the names listed in
+            ``Connection`` are not forwarded either.
     """
     for lowered, _, value in fields:
         if lowered == b"connection":
@@ -37,10 +37,15 @@
 
 
 def status_line(status: int) -> bytes:
-    """Write the first line of a response."""
+    """Serialize the status line of a response."""
     return b"HTTP/1.1 %d %b\r\n" % (status, _REASONS.get(status, b"Unknown"))
 
 
 def has_body(status: int, method: bytes) -> bool:
-    """Return whether a response carries a body."""
+    """Return whether a response has a body.
+
+    Args:
+        status: status code of the response.
+        method: method of the request.
+    """
     return not (method == b"HEAD" or status in (204, 304) or status < 200)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -1,4 +1,4 @@
-"""Owns the requests that arrive at this host, from their arrival to their answer."""
+"""Owner of the requests received at this host, from arrival to final response."""
 
 import asyncio
 import itertools
@@ -48,27 +48,28 @@
 )
 
 MAX_PLACES = 4
-"""Instances that are asked for one request; refusals by their sidecars before the
-backend server are free, but each takes a way there and back."""
+"""Maximum number of instances that may refuse one request before it reaches a backend
+server. Such a refusal uses no retry budget but costs a network round trip."""
 
 FINAL_MARGIN_MS = 130.0
-"""Time past its limit until which the answer of the executing sidecar is awaited: it
-tells whether the request has run."""
+"""Time past a request's deadline for which the owner still waits for the response of
+the executing sidecar, because that response reports whether the request has run."""
 
 
 SETTLE_MS = 2_000.0
-"""Time after its start in which a sidecar waits for its first links rather than refuse
-for want of them: a killed process is back at once, and its callers come at once."""
+"""Period after start-up in which a request waits for the first links instead of being
+refused for lack of them. A killed process is restarted at once, and its callers
+reconnect immediately."""
 
 SETTLE_PAUSE_S = 0.03
-"""Pause between looks for a link in that time: dialling takes milliseconds."""
+"""Interval between placement attempts in that period; dialling takes milliseconds."""
 
 
 class RelayOwner:
-    """Takes callers' requests, places them, and gives each its one answer.
+    """Accepts callers' requests, places them and sends each exactly one response.
 
-    A request that must not run twice is sent again only after a proof that it hasn't
-    run; others within the repeat budget.
+    A request that isn't idempotent is retried only after a proof that it has not run.
+    All retries are limited by the retry budget.
     """
 
     def __init__(
@@ -108,39 +109,42 @@
         self._held = held
         self._counts = counts
         self._log = log
-        self._repeats = RelayRepeats(budget=budget, now_ms=self._now_ms)
+        self._retry_policy = RelayRepeats(budget=budget, now_ms=self._now_ms)
         self._outcomes = RelayOutcomes(admission=admission, now_ms=self._now_ms)
         self._call_ids = itertools.count(1)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
         self._substitutes = Substitutes()
-        self._by_http: dict[HttpRequest, Relay] = {}
+        self._open_by_http: dict[HttpRequest, Relay] = {}
 
     @property
     def in_flight(self) -> int:
-        """Requests that have no answer yet."""
-        return len(self._by_http)
+        """Number of requests without a final response."""
+        return len(self._open_by_http)
 
     def handle(self, http: HttpRequest, connection: CallerConnection) -> None:
-        """Take a request (RequestHandler)."""
-        taken = self._intake.take(http, connection, closed=self._closed)
-        if not isinstance(taken, Relay):
-            self._answers.refuse(http, connection, taken)
+        """Accept a request (RequestHandler)."""
+        received = self._intake.take(http, connection, closed=self._closed)
+        if not isinstance(received, Relay):
+            self._answers.refuse(http, connection, received)
             return
-        relay = taken
-        self._by_http[http] = relay
+        relay = received
+        self._open_by_http[http] = relay
         if relay.parent is None and not self._admit(relay):
             return
         self._intake.add_headers(relay)
         self._place(relay)
 
     def close(self) -> None:
-        """Take no requests any more; those under way go on."""
+        """Refuse new requests; those in flight continue."""
         self._closed = True
 
     def gone(self, http: HttpRequest) -> None:
-        """The caller has left: stop what is idempotent (RequestHandler)."""
-        relay = self._by_http.get(http)
+        """Cancel a request whose caller has disconnected (RequestHandler).
+
+        The executing sidecar lets a started request that isn't idempotent finish.
+        """
+        relay = self._open_by_http.get(http)
         if relay is None:
             return
         self._counts.ended("caller-left")
@@ -154,21 +158,23 @@
         self._finish(relay)
 
     def expire(self, now_ms: float) -> None:
-        """End the requests whose time has passed without an answer."""
+        """Time out the requests that passed their deadline without a response."""
         overdue_ms = now_ms - FINAL_MARGIN_MS
-        late = [
-            relay for relay in self._by_http.values() if relay.deadline_ms < overdue_ms
+        overdue = [
+            relay
+            for relay in self._open_by_http.values()
+            if relay.deadline_ms < overdue_ms
         ]
-        for relay in late:
-            self._timed_out(relay)
+        for relay in overdue:
+            self._time_out(relay)
 
-    def stood_still(self, stood_ms: float) -> None:
-        """Take the time that callers waited, unknown to the clock, off their limits."""
-        for relay in self._by_http.values():
-            relay.deadline_ms -= stood_ms
+    def stood_still(self, paused_ms: float) -> None:
+        """Subtract a process pause that the clock did not count from all deadlines."""
+        for relay in self._open_by_http.values():
+            relay.deadline_ms -= paused_ms
 
     def response(self, response: RelayResponse, load: PeerLoad | None) -> None:
-        """Take the end of a call from the executing sidecar."""
+        """Process the response of an executing sidecar."""
         if load is not None:
             load.report(response.load, self._now_ms())
         relay = self.relays.pop(response.call_id, None)
@@ -181,52 +187,52 @@
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
         if response.server_end:
             self._suspects.ended(digest_request(relay), response.server_end)
-        self._repeats.learn(relay)
+        self._retry_policy.learn(relay)
         self._outcomes.execution_ended(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
-            self._answered(relay, response)
+            self._handle_answered(relay, response)
         elif response.verdict == Verdict.NOT_RUN:
-            self._not_run(relay, response, load)
+            self._handle_not_run(relay, response, load)
         else:
             relay.may_have_run = True
-            self._may_have_run(relay, response.reason)
+            self._handle_may_have_run(relay, response.reason)
 
     def link_lost(self, ip: str) -> None:
-        """Decide anew on all calls that a lost link carried."""
+        """Retry or fail all requests that were sent over a lost link."""
         for relay in [found for found in self.relays.values() if found.ip == ip]:
             self.relays.pop(relay.call_id, None)
             relay.may_have_run = True
             relay.offers += 1
             relay.offered_to.add(relay.identity)
-            self._may_have_run(relay, "link-lost")
+            self._handle_may_have_run(relay, "link-lost")
 
     def unsent(self, requests: Iterable[RelayRequest]) -> None:
-        """Place requests anew that waited for a link and weren't written to it."""
+        """Place requests again that waited for a link and were not written to it."""
         for request in requests:
             relay = self.relays.pop(request.call_id, None)
             if relay is not None and not relay.ended:
                 self._place(relay)
 
     def _admit(self, relay: Relay) -> bool:
-        if not self._is_within_rate(relay):
+        if not self._check_rate(relay):
             return False
         self._admission.offered(relay.kind, relay.priority)
         if not self._held.fits():
-            # Its answer would be one more that is held for a slow reader.
+            # Its response might have to be buffered for a slow reader.
             self._fail(relay, "no-memory", NOT_RUN_STATUS)
             return False
-        blocking = self._admission.blocking(relay.kind, relay.level)
-        if blocking is None:
-            self._spend(relay)
+        overloaded_service = self._admission.blocking(relay.kind, relay.level)
+        if overloaded_service is None:
+            self._spend_token(relay)
             return True
         self._answers.refuse_overloaded(
-            relay, blocking, self._admission.fits[relay.kind].share
+            relay, overloaded_service, self._admission.fits[relay.kind].share
         )
         self._finish(relay)
         return False
 
-    def _is_within_rate(self, relay: Relay) -> bool:
-        """Return whether a request is within its organisation's rate."""
+    def _check_rate(self, relay: Relay) -> bool:
+        """Return whether a request is within its organisation's rate; refuse it if not."""
         if relay.caller is None:
             return True
         decision = self._rates.ask(relay.caller, self._now_ms())
@@ -237,78 +243,80 @@
         self._finish(relay)
         return False
 
-    def _spend(self, relay: Relay) -> None:
+    def _spend_token(self, relay: Relay) -> None:
         if relay.caller is not None:
             relay.has_token = True
             self._rates.spend(relay.caller, self._now_ms())
 
     def _place(self, relay: Relay) -> None:
-        judged = self._judge(relay)
-        if judged is None:
+        judgement = self._judge(relay)
+        if judgement is None:
             return
         if not self._intake.has_key_in_force(relay):
-            self._end(relay, KEY_CHANGED)
+            self._conclude(relay, KEY_CHANGED)
             return
-        left_ms = relay.deadline_ms - self._now_ms()
+        remaining_ms = relay.deadline_ms - self._now_ms()
         instances = self._fleet.of_service(relay.service)
         instance = None
         refusals = relay.places - relay.offers
-        if left_ms >= MIN_RETRY_LEFT_MS and refusals < MAX_PLACES:
-            instance = self._choose(relay, instances, judged)
-        if instance is None and not relay.tried and self._settling(left_ms):
-            self._loop.call_later(SETTLE_PAUSE_S, self._place_again, relay)
+        if remaining_ms >= MIN_RETRY_LEFT_MS and refusals < MAX_PLACES:
+            instance = self._choose_instance(relay, instances, judgement)
+        if instance is None and not relay.tried and self._is_settling(remaining_ms):
+            self._loop.call_later(SETTLE_PAUSE_S, self._retry_placement, relay)
             return
         if instance is None:
-            self._no_place(relay, len(instances))
+            self._fail_placement(relay, len(instances))
             return
         relay.places += 1
         relay.tried.add(instance.identity)
-        self._send(relay, instance, left_ms)
+        self._send(relay, instance, remaining_ms)
 
-    def _choose(
-        self, relay: Relay, instances: list[Instance], judged: Judgement
+    def _choose_instance(
+        self, relay: Relay, instances: list[Instance], judgement: Judgement
     ) -> Instance | None:
         now_ms = self._now_ms()
-        if judged.standing is not Standing.FREE:
-            return choose_for_suspect(self._placement, relay, instances, now_ms, judged)
+        if judgement.standing is not Standing.FREE:
+            return choose_for_suspect(
+                self._placement, relay, instances, now_ms, judgement
+            )
         answer_bytes = self._outcomes.answer_bytes(relay.route.name)
         return choose_server(self._placement, relay, instances, now_ms, answer_bytes)
 
     def _judge(self, relay: Relay) -> Judgement | None:
-        """Return what a request may do; None where it is held back, and given up."""
-        judged = self._suspects.judge(relay)
-        if judged.standing is not Standing.HELD:
-            return judged
+        """Return how a request may run; None if it is held back and has failed."""
+        judgement = self._suspects.judge(relay)
+        if judgement.standing is not Standing.HELD:
+            return judgement
         self._log.failed(
             "held_back",
             relay.request_id,
-            digest=digest_text(judged.digest),
-            ends=len(judged.ends),
-            wait_ms=judged.wait_ms,
+            digest=digest_text(judgement.digest),
+            ends=len(judgement.ends),
+            wait_ms=judgement.wait_ms,
         )
-        relay.retry_after_ms = judged.wait_ms
-        self._end(relay, HELD_BACK)
+        relay.retry_after_ms = judgement.wait_ms
+        self._conclude(relay, HELD_BACK)
         return None
 
-    def _place_again(self, relay: Relay) -> None:
+    def _retry_placement(self, relay: Relay) -> None:
         if not relay.ended:
             self._place(relay)
 
-    def _settling(self, left_ms: float) -> bool:
-        young = self._now_ms() - self._started_ms < SETTLE_MS
-        return young and left_ms >= MIN_RETRY_LEFT_MS
+    def _is_settling(self, remaining_ms: float) -> bool:
+        is_starting = self._now_ms() - self._started_ms < SETTLE_MS
+        return is_starting and remaining_ms >= MIN_RETRY_LEFT_MS
 
-    def _send(self, relay: Relay, instance: Instance, left_ms: float) -> None:
+    def _send(self, relay: Relay, instance: Instance, remaining_ms: float) -> None:
         relay.call_id = next(self._call_ids)
         relay.ip = instance.ip
         relay.identity = instance.identity
         relay.instance_id = self._substitutes.actual_id(instance, self._now_ms())
-        last = relay.parent is None and self._admission.needs_only(
+        is_leaf = relay.parent is None and self._admission.needs_only(
             relay.kind, relay.service
         )
-        request = request_of(relay, left_ms=left_ms, last=last)
+        request = request_of(relay, remaining_ms=remaining_ms, is_leaf=is_leaf)
         self.relays[relay.call_id] = relay
-        self._repeats.sent(relay)
+        self._retry_policy.sent(relay)
         if instance.ip == self._own_ip:
             self._own_load.sent_since += 1
             self._executor.submit(request, self._own_response, self)
@@ -321,13 +329,13 @@
         if load is not None:
             load.sent_since += 1
 
-    def _note_instance(self, relay: Relay, actual_id: str) -> None:
+    def _record_actual_instance(self, relay: Relay, actual_id: str) -> None:
         for instance in self._fleet.of_service(relay.service):
             if instance.ip == relay.ip and instance.id != actual_id:
                 self._substitutes.note(instance, actual_id, self._now_ms())
                 relay.tried.discard(instance.identity)
 
-    def _deliver(self, relay: Relay, response: RelayResponse) -> None:
+    def _deliver_response(self, relay: Relay, response: RelayResponse) -> None:
         self._outcomes.answered(relay, response)
         self._answers.deliver(relay, response)
         self._finish(relay)
@@ -342,42 +350,42 @@
     def _own_response(self, response: RelayResponse) -> None:
         self._loop.call_soon(self.response, response, self._own_load)
 
-    def _answered(self, relay: Relay, response: RelayResponse) -> None:
+    def _handle_answered(self, relay: Relay, response: RelayResponse) -> None:
         server_failed = response.status >= SERVER_FAILURE
         if not server_failed:
-            # The sidecar beside the server may not know yet that it was a suspect.
+            # The executing sidecar may not yet know that the request was a suspect.
             self._suspects.answered(relay)
-        if server_failed and self._repeats.allow_failed(relay):
+        if server_failed and self._retry_policy.allow_failed(relay):
             relay.last_answer = response
-            self._repeat(relay, f"status-{response.status}")
+            self._retry(relay, f"status-{response.status}")
             return
-        self._deliver(relay, response)
+        self._deliver_response(relay, response)
 
-    def _not_run(
+    def _handle_not_run(
         self, relay: Relay, response: RelayResponse, load: PeerLoad | None
     ) -> None:
         if response.actual_instance_id:
-            self._note_instance(relay, response.actual_instance_id)
+            self._record_actual_instance(relay, response.actual_instance_id)
         if response.reason in (HELD_BACK, COPY_RUNS):
-            # No other server may run it either.
-            self._end(relay, response.reason)
+            # No other backend server may run it either.
+            self._conclude(relay, response.reason)
             return
         if response.reason == INSTANCE_LEAVING:
             self._outcomes.refused_as_leaving(load)
         if not response.offered:
             self._place(relay)
-        elif self._repeats.allow_unrun(relay):
-            self._repeat(relay, response.reason)
+        elif self._retry_policy.allow_unrun(relay):
+            self._retry(relay, response.reason)
         else:
-            self._end(relay, response.reason)
+            self._conclude(relay, response.reason)
 
-    def _may_have_run(self, relay: Relay, reason: str) -> None:
-        if self._repeats.allow_failed(relay):
-            self._repeat(relay, reason)
+    def _handle_may_have_run(self, relay: Relay, reason: str) -> None:
+        if self._retry_policy.allow_failed(relay):
+            self._retry(relay, reason)
         else:
-            self._end(relay, reason)
+            self._conclude(relay, reason)
 
-    def _repeat(self, relay: Relay, reason: str) -> None:
+    def _retry(self, relay: Relay, reason: str) -> None:
         if self._judge(relay) is None:
             return
         self._log.failed(
@@ -391,33 +399,33 @@
         relay.repeated = True
         self._place(relay)
 
-    def _no_place(self, relay: Relay, known: int) -> None:
+    def _fail_placement(self, relay: Relay, known_instances: int) -> None:
         if relay.last_answer is not None:
-            self._deliver(relay, relay.last_answer)
+            self._deliver_response(relay, relay.last_answer)
             return
-        reason = "no-instance" if not known else "no-room"
-        if not self._repeats.has_time(relay):
+        reason = "no-instance" if not known_instances else "no-room"
+        if not self._retry_policy.has_time(relay):
             reason = "deadline"
-        self._end(relay, reason)
+        self._conclude(relay, reason)
 
-    def _end(self, relay: Relay, reason: str) -> None:
-        """Give the final answer to a request that has none of a server."""
+    def _conclude(self, relay: Relay, reason: str) -> None:
+        """Send the final response of a request that gets no further attempt."""
         if relay.last_answer is not None:
-            self._deliver(relay, relay.last_answer)
+            self._deliver_response(relay, relay.last_answer)
         elif not relay.may_have_run:
             self._fail(relay, reason, NOT_RUN_STATUS)
         else:
-            in_time = self._repeats.has_time(relay)
+            in_time = self._retry_policy.has_time(relay)
             status = MAY_HAVE_RUN_STATUS if in_time else TIMEOUT_STATUS
             self._fail(relay, reason, status)
 
-    def _timed_out(self, relay: Relay) -> None:
+    def _time_out(self, relay: Relay) -> None:
         if relay.ended:
             return
         if relay.call_id in self.relays:
             relay.may_have_run = True
         self._cancel(relay)
-        self._end(relay, "deadline")
+        self._conclude(relay, "deadline")
 
     def _cancel(self, relay: Relay) -> None:
         if self.relays.pop(relay.call_id, None) is None:
@@ -429,7 +437,7 @@
 
     def _finish(self, relay: Relay) -> None:
         relay.ended = True
-        self._by_http.pop(relay.http, None)
+        self._open_by_http.pop(relay.http, None)
         parent = relay.parent
         if parent is not None and not parent.ended:
             parent.calls_done += 1
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
@@ -1,4 +1,4 @@
-"""Final answers to callers, each with its count and its line in the log."""
+"""Final responses to callers, each with its counter and its log line."""
 
 import asyncio
 import random
@@ -17,35 +17,35 @@
 from sassafraswinch_sidecar.request_log import RequestLog
 
 RETRY_AFTER_SHARES = (0.15, 0.5)
-"""Parts of the target latency between which refused callers are told to come back:
-soon enough for an answer of full worth, and spread so that they don't come at once."""
+"""Range of ``Retry-After``, as shares of the route's target latency. A retry within it
+can still succeed in time, and random values spread the retries of many callers."""
 
 MIN_RETRY_AFTER_MS = 50.0
-"""Shortest wait told: below it a caller meets the same queue."""
+"""Minimum of ``Retry-After``: an earlier retry would meet the same queue."""
 
 UNREADY_RETRY_MS = 500.0
-"""Wait told while no routes are known: reading them takes less than a second."""
+"""``Retry-After`` while no routes are known: reading them takes less than a second."""
 
 OVERLOADED = "overloaded"
-"""Word of logs and counters for requests that the services below can't carry."""
+"""Reason, in logs and counters, for requests beyond the capacity of a service."""
 
 NO_ROUTE_STATUS = 404
 UNKNOWN_KEY_STATUS = 401
 NOT_RUN_STATUS = 503
-"""Promises that the request hasn't run and never will."""
+"""Guarantees that the request has not run and never will."""
 
 OVER_LIMIT = "over-limit"
-"""Word of logs and counters for requests beyond their organisation's rate."""
+"""Reason, in logs and counters, for requests over their organisation's rate limit."""
 
 OVER_LIMIT_STATUS = 429
-"""Promises the same, for requests beyond their organisation's rate."""
+"""Gives the same guarantee for requests over their organisation's rate limit."""
 
 MAY_HAVE_RUN_STATUS = 502
 TIMEOUT_STATUS = 504
 
 
 class RelayAnswers:
-    """Writes what callers get."""
+    """Sends the final responses to callers."""
 
     def __init__(
         self,
@@ -55,18 +55,18 @@
         log: RequestLog,
         rng: random.Random,
     ):
-        self._id_name = names.request_id
+        self._request_id_name = names.request_id
         self._counts = counts
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
 
     def deliver(self, relay: Relay, response: RelayResponse) -> None:
-        """Pass a backend server's answer on."""
+        """Forward the response of a backend server."""
         held_ms = self._held_ms(relay.http)
         self._counts.answered(relay.route.name, held_ms, response.status)
-        told = self._log.served if response.status < 400 else self._log.failed
-        told(
+        log = self._log.served if response.status < 400 else self._log.failed
+        log(
             "answered",
             relay.request_id,
             status=response.status,
@@ -83,14 +83,14 @@
         )
 
     def refuse_overloaded(self, relay: Relay, service: str, share: float) -> None:
-        """Refuse a root request that the services below can't carry.
+        """Refuse a root request because a service lacks the capacity for it.
 
-        Under overload these are most of the answers, so each has one line.
+        Under overload most responses are of this kind, so each has only one log line.
 
         Args:
             relay: the request.
-            service: the service that is full.
-            share: part of the route's requests that is admitted.
+            service: the overloaded service.
+            share: admitted share of the route's requests.
         """
         self._counts.ended(OVERLOADED)
         self._log.failed(
@@ -102,14 +102,14 @@
             share=share,
             level_of_request=relay.level,
         )
-        self._respond_unserved(relay, NOT_RUN_STATUS)
+        self._respond_with_error(relay, NOT_RUN_STATUS)
 
     def refuse_over_limit(self, relay: Relay, decision: RateDecision) -> None:
-        """Refuse a request beyond its organisation's rate.
+        """Refuse a request over its organisation's rate limit.
 
         Args:
-            relay: the request; it knows when its caller may come back.
-            decision: what it was refused by.
+            relay: the request, whose ``retry_after_ms`` is set.
+            decision: decision of the rate limit.
         """
         self._counts.ended(OVER_LIMIT)
         limit = relay.caller.limit
@@ -127,15 +127,16 @@
             share=decision.share,
             version=relay.table_version,
         )
-        self._respond_unserved(relay, OVER_LIMIT_STATUS)
+        self._respond_with_error(relay, OVER_LIMIT_STATUS)
 
     def fail(self, relay: Relay, reason: str, status: int) -> None:
-        """Answer a request that has no answer of a backend server.
+        """Send an error response for a request without a backend server's response.
 
         Args:
             relay: the request.
-            reason: why, as a word for logs and counters.
-            status: ``NOT_RUN_STATUS`` only with a proof.
+            reason: reason of the failure, for logs and counters.
+            status: status code; ``NOT_RUN_STATUS`` only with a proof that the request
+                has not run.
         """
         self._counts.ended(reason)
         self._log.failed(
@@ -150,37 +151,40 @@
             held_ms=self._held_ms(relay.http),
             inner=relay.parent is not None,
         )
-        self._respond_unserved(relay, status)
+        self._respond_with_error(relay, status)
 
-    def _respond_unserved(self, relay: Relay, status: int) -> None:
-        lines = b"%b: %b\r\n" % (self._id_name, relay.request_id.encode("latin-1"))
+    def _respond_with_error(self, relay: Relay, status: int) -> None:
+        lines = b"%b: %b\r\n" % (
+            self._request_id_name,
+            relay.request_id.encode("latin-1"),
+        )
         if status in (NOT_RUN_STATUS, OVER_LIMIT_STATUS):
-            lines += _retry_after(self._wait_ms(relay))
+            lines += _serialize_retry_after(self._retry_after_ms(relay))
         relay.connection.respond(relay.http, status=status, header_lines=lines)
 
     def refuse(
-        self, http: HttpRequest, connection: CallerConnection, why: Unroutable
+        self, http: HttpRequest, connection: CallerConnection, refusal: Unroutable
     ) -> None:
-        """Answer a request that takes no route."""
-        self._counts.ended(why.reason)
+        """Send an error response for a request without a route or a valid key."""
+        self._counts.ended(refusal.reason)
         self._log.failed(
             "refused",
-            why.request_id,
-            reason=why.reason,
-            host=why.host,
-            version=why.version,
+            refusal.request_id,
+            reason=refusal.reason,
+            host=refusal.host,
+            version=refusal.version,
         )
-        if why.reason == NO_ROUTE:
+        if refusal.reason == NO_ROUTE:
             connection.respond(http, status=NO_ROUTE_STATUS, header_lines=b"")
             return
-        if why.reason == UNKNOWN_KEY:
+        if refusal.reason == UNKNOWN_KEY:
             lines = b"WWW-Authenticate: Bearer\r\n"
             connection.respond(http, status=UNKNOWN_KEY_STATUS, header_lines=lines)
             return
-        lines = _retry_after(UNREADY_RETRY_MS)
+        lines = _serialize_retry_after(UNREADY_RETRY_MS)
         connection.respond(http, status=NOT_RUN_STATUS, header_lines=lines)
 
-    def _wait_ms(self, relay: Relay) -> float:
+    def _retry_after_ms(self, relay: Relay) -> float:
         if relay.retry_after_ms is not None:
             return relay.retry_after_ms
         share = self._rng.uniform(*RETRY_AFTER_SHARES)
@@ -190,5 +194,5 @@
         return self._loop.time() * 1000 - http.arrived_ms
 
 
-def _retry_after(wait_ms: float) -> bytes:
+def _serialize_retry_after(wait_ms: float) -> bytes:
     return b"Retry-After: %.3f\r\n" % (wait_ms / 1000)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counts.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counts.py
@@ -1,4 +1,4 @@
-"""Counts of the ends of requests, which the metrics page shows."""
+"""Counters of request outcomes for the metrics page."""
 
 from collections import Counter
 
@@ -6,7 +6,14 @@
 
 
 class RelayCounts:
-    """Counts the ends of requests at their entry."""
+    """Counts the outcomes of the requests that this sidecar owns.
+
+    Attributes:
+        answers: responses of backend servers, by route and status.
+        ends: requests without a response of a backend server, by reason.
+        repeats: retries, by service.
+        latencies: latency histogram of the responses, by route.
+    """
 
     def __init__(self):
         self.answers: Counter[tuple[str, int]] = Counter()
@@ -15,14 +22,14 @@
         self.latencies: dict[str, LatencyCounts] = {}
 
     def answered(self, route: str, latency_ms: float, status: int) -> None:
-        """Count an answer of a backend server."""
+        """Count a response of a backend server."""
         self.answers[route, status] += 1
         count_latency(self.latencies.setdefault(route, {}), latency_ms)
 
     def ended(self, reason: str) -> None:
-        """Count a request that got no answer of a backend server."""
+        """Count a request without a response of a backend server."""
         self.ends[reason] += 1
 
     def repeated(self, service: str) -> None:
-        """Count a request that is sent once more."""
+        """Count a retry."""
         self.repeats[service] += 1
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
@@ -1,4 +1,4 @@
-"""Turns callers' requests into relays: route, rank, time limit and parent."""
+"""Intake of callers' requests: finds route, priority, deadline, caller and parent."""
 
 import random
 from dataclasses import dataclass, field
@@ -22,50 +22,50 @@
 NO_ROUTE = "no-route"
 UNKNOWN_KEY = "unknown-key"
 KEY_CHANGED = "key-changed"
-"""Its key was removed, or moved, while it waited; it hasn't run."""
+"""The API key was removed or reassigned while the request waited; it has not run."""
 UNKNOWN_PARENT = "unknown-parent"
-"""A call of a request that doesn't run here any more, or whose sidecar restarted."""
+"""Child call of a request that no longer runs here, or whose sidecar has restarted."""
 
 
 @dataclass(slots=True, eq=False)
 class Relay:
-    """A request that this sidecar owns.
+    """A request that this sidecar owns and forwards to an instance of its service.
 
     Attributes:
-        http: the request as it arrived.
-        connection: where its answer goes.
-        route: the route that it takes.
-        service: the route's service that runs it.
-        request_id: the caller's id of it.
-        headers: header lines that are passed on, once it is let in.
-        deadline_ms: loop time at which its caller or its route stops waiting.
-        priority: rank of its root request, which its organisation's priority decides
-            before that of its route.
-        level: place of its root request within the priority.
-        parent: the execution whose backend server made it; None for a root request.
-        repeated: whether it, or a request above it, was sent before.
-        caller: organisation whose key it carries; None for a call, and where it needs
-            no key.
-        organisation: name of the organisation that sent its root request, or "".
-        has_token: whether it counts towards its organisation's rate.
-        table_version: version of the routes and keys that it was let in by.
-        progress: calls that the requests above it have finished, itself included as
-            one: 0 for a root request.
-        call_id: number of the call under way.
-        ip: host that the call was sent to.
-        instance_id: instance that the call was sent to.
-        tried: lifetimes of servers that were asked.
-        identity: lifetime of the server that the call was sent to.
-        offers: times that it was written to a backend server.
-        offered_to: lifetimes of the servers that it was written to.
-        places: sidecars that were asked to run it.
-        may_have_run: whether an offer ended without a proof.
-        repeats_spent: whether it, or a call below it, failed and wasn't repeated since
-            too much is repeated.
-        retry_after_ms: wait that a refused caller is told; None for the usual one.
-        last_answer: a failure that a backend server answered, while it is repeated.
-        ended: whether the caller has its answer, or left.
-        slot_ms: slot time that it and the calls below it took, by service.
+        http: the request as received.
+        connection: caller connection that gets the response.
+        route: route that matched the request.
+        service: service of the route that was chosen to run the request.
+        request_id: request id set by the caller.
+        headers: header lines to forward; set once the request is admitted.
+        deadline_ms: event loop time at which the caller or the route times out.
+        priority: priority of the root request; that of the organisation takes
+            precedence over that of the route.
+        level: position of the root request within its priority.
+        parent: execution whose backend server made this call; None for a root request.
+        repeated: whether this request, or one of its ancestors, is a retry.
+        caller: organisation whose key the request carries; None for a child call and
+            for a request that needs no key.
+        organisation: name of the organisation that sent the root request, or "".
+        has_token: whether the request counts towards its organisation's rate limit.
+        table_version: version of the routes and keys by which it was admitted.
+        progress: number of calls that its ancestors have finished, plus 1 for this
+            request; 0 for a root request.
+        call_id: number of the current attempt.
+        ip: host that the current attempt was sent to.
+        instance_id: instance that the current attempt was sent to.
+        tried: identities of the instances that were requested to run it.
+        identity: identity of the instance that the current attempt was sent to.
+        offers: number of times it was written to a backend server.
+        offered_to: identities of the instances whose server it was written to.
+        places: number of instances that were requested to run it.
+        may_have_run: whether an attempt ended without a proof that it did not run.
+        repeats_spent: whether this request, or one of its child calls, failed and was
+            not retried because the retry budget was exhausted.
+        retry_after_ms: Retry-After of a refusal; None for the default.
+        last_answer: error response of a backend server, kept during the retry.
+        ended: whether the caller has got its response or has disconnected.
+        slot_ms: slot time of this request and its child calls, by service.
     """
 
     http: HttpRequest
@@ -101,36 +101,36 @@
 
     @property
     def kind(self) -> str:
-        """What entries admit root requests by: the route, and its caller's priority."""
+        """Admission class of a root request: its route and its caller's priority."""
         if self.caller is None or self.caller.priority is None:
             return self.route.name
         return f"{self.route.name}/{self.caller.priority}"
 
     @property
     def method(self) -> str:
-        """Method of the request (SentRequest, as are the next two)."""
+        """Method of the request (SentRequest)."""
         return self.http.method.decode("latin-1")
 
     @property
     def target(self) -> bytes:
-        """Path and query of the request."""
+        """Path and query of the request (SentRequest)."""
         return self.http.target
 
     @property
     def body(self) -> bytes:
-        """Body of the request."""
+        """Body of the request (SentRequest)."""
         return self.http.body
 
 
 @dataclass(frozen=True, slots=True)
 class Unroutable:
-    """A request that takes no route, or may not.
+    """A request that is refused because it has no route or no valid key.
 
     Attributes:
-        request_id: the caller's id of it.
-        host: the host that it named.
-        reason: why, as a word for logs and counters.
-        version: version of the route table; None where none is known.
+        request_id: request id set by the caller.
+        host: value of its ``Host`` field.
+        reason: reason of the refusal, for logs and counters.
+        version: version of the route table; None while there is none.
     """
 
     request_id: str
@@ -140,10 +140,10 @@
 
 
 class RelayIntake:
-    """Reads requests in the light of the routes in force and of what runs here.
+    """Matches requests with the current routes and the executions on this host.
 
-    Nobody outside may gain rank by the form of an id: a request counts as a call of a
-    running request only if the backend server of this host runs that one now.
+    A request is a child call only if the backend server of this host is running its
+    parent now, so that an external caller can't gain priority by forging a request id.
     """
 
     def __init__(
@@ -155,15 +155,18 @@
         executor: Executor,
         rng: random.Random,
     ):
-        self._caller_line = b"%b: %b\r\n" % (names.caller_service, service.encode())
-        self._id_name = names.request_id.lower()
+        self._caller_service_line = b"%b: %b\r\n" % (
+            names.caller_service,
+            service.encode(),
+        )
+        self._request_id_name = names.request_id.lower()
         self._time_left_name = names.time_left_ms.lower()
-        self._own_names = DROPPED | {
+        self._removed_names = DROPPED | {
             self._time_left_name,
             names.expected_instance.lower(),
             names.caller_service.lower(),
         }
-        self._own_and_identity_names = self._own_names | {
+        self._removed_and_identity_names = self._removed_names | {
             AUTHORIZATION,
             names.organisation.lower(),
         }
@@ -176,14 +179,14 @@
     def take(
         self, http: HttpRequest, connection: CallerConnection, *, closed: bool
     ) -> Relay | Unroutable:
-        """Return the relay of a request, or why there is none.
+        """Return the relay of a request, or the reason for refusing it.
 
         Args:
             http: the request.
-            connection: where its answer goes.
-            closed: whether this sidecar takes no requests any more.
+            connection: caller connection that gets the response.
+            closed: whether this sidecar refuses new requests.
         """
-        host, request_id, left_ms, credentials = self._read(http)
+        host, request_id, remaining_ms, credentials = self._read(http)
         table = self._fleet.table
         if table is None:
             return Unroutable(request_id, host, NO_ROUTES, None)
@@ -195,10 +198,10 @@
         parent = self._executor.running.get(request_id.rpartition(".")[0])
         caller = None if parent else _caller(credentials, table)
         if parent is None and caller is None and not _is_open(route, table):
-            reason = _identity_fault(credentials, request_id)
+            reason = _refusal_reason(credentials, request_id)
             return Unroutable(request_id, host, reason, table.version)
-        waits_ms = route.timeout_ms if left_ms is None else left_ms
-        deadline_ms = http.arrived_ms + min(waits_ms, route.timeout_ms)
+        wait_ms = route.timeout_ms if remaining_ms is None else remaining_ms
+        deadline_ms = http.arrived_ms + min(wait_ms, route.timeout_ms)
         if parent is not None:
             deadline_ms = min(deadline_ms, parent.deadline_ms)
         organisation = _organisation_name(caller, parent)
@@ -209,7 +212,9 @@
             service=self._shares.choose(route),
             request_id=request_id,
             deadline_ms=deadline_ms,
-            priority=parent.request.priority if parent else _rank(caller, route),
+            priority=parent.request.priority
+            if parent
+            else _request_priority(caller, route),
             level=parent.request.level if parent else self._rng.randrange(LEVELS),
             parent=parent,
             repeated=parent is not None and parent.request.repeated,
@@ -220,7 +225,7 @@
         )
 
     def has_key_in_force(self, relay: Relay) -> bool:
-        """Return whether a request's key still belongs to its organisation."""
+        """Return whether the request's key still belongs to its organisation."""
         table = self._fleet.table
         if relay.caller is None or table.version == relay.table_version:
             return True
@@ -229,34 +234,34 @@
         return caller is not None and caller.name == relay.organisation
 
     def add_headers(self, relay: Relay) -> None:
-        """Write the header lines that a request is sent on with."""
+        """Set the header lines that are forwarded with a request."""
         if self._fleet.table.organisations is None:
-            lines = serialize_end_to_end(relay.http.fields, self._own_names)
+            lines = serialize_end_to_end(relay.http.fields, self._removed_names)
         else:
             lines = serialize_end_to_end(
-                relay.http.fields, self._own_and_identity_names
+                relay.http.fields, self._removed_and_identity_names
             )
-        lines += self._caller_line
+        lines += self._caller_service_line
         if relay.organisation:
             name, value = self._organisation_name, relay.organisation.encode()
             lines += b"%b: %b\r\n" % (name, value)
         relay.headers = lines
 
     def _read(self, http: HttpRequest) -> tuple[str, str, float | None, list[bytes]]:
-        """Return host, request id, time left and credentials of a request."""
+        """Return host, request id, remaining time and credentials of a request."""
         host = request_id = ""
-        left_ms: float | None = None
+        remaining_ms: float | None = None
         credentials: list[bytes] = []
         for lowered, _, value in http.fields:
             if lowered == b"host":
                 host = value.decode("latin-1")
-            elif lowered == self._id_name:
+            elif lowered == self._request_id_name:
                 request_id = value.decode("latin-1")
             elif lowered == self._time_left_name:
-                left_ms = float(value) if value.isdigit() else None
+                remaining_ms = float(value) if value.isdigit() else None
             elif lowered == AUTHORIZATION:
                 credentials.append(value)
-        return host, request_id, left_ms, credentials
+        return host, request_id, remaining_ms, credentials
 
 
 def _caller(credentials: list[bytes], table: RouteTable) -> Organisation | None:
@@ -271,8 +276,11 @@
     return route.public or table.organisations is None
 
 
-def _identity_fault(credentials: list[bytes], request_id: str) -> str:
-    """Return why a request isn't let in: calls of servers carry no key."""
+def _refusal_reason(credentials: list[bytes], request_id: str) -> str:
+    """Return why a request without a valid key is refused.
+
+    A child call carries no key, so it is recognised by its request id.
+    """
     if "." in request_id and not credentials:
         return UNKNOWN_PARENT
     return UNKNOWN_KEY
@@ -284,7 +292,7 @@
     return caller.name if caller else ""
 
 
-def _rank(caller: Organisation | None, route: Route) -> int:
+def _request_priority(caller: Organisation | None, route: Route) -> int:
     return rank_of(caller.priority if caller else None, route.priority)
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_outcomes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_outcomes.py
@@ -1,4 +1,4 @@
-"""What the ends of requests tell of backend servers and of routes."""
+"""Recorder of request outcomes: server health and speed, and the cost of routes."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,10 @@
 
 
 class RelayOutcomes:
-    """Learns how fast and sound servers are, and what routes need.
+    """Updates the load records of instances and the cost of routes from outcomes.
 
     Args:
-        admission: is told the slot time that a route's requests take.
+        admission: gets the slot time of each admission class.
         now_ms: monotonic clock.
     """
 
@@ -29,18 +29,18 @@
         self._answer_bytes = RunningMeans()
 
     def answer_bytes(self, route: str) -> float:
-        """Return the mean length of a route's answers; 0 before the first."""
+        """Return the mean response size of a route in bytes; 0 before the first one."""
         return self._answer_bytes.mean(route)
 
     def execution_ended(
         self, relay: Relay, response: RelayResponse, load: PeerLoad | None
     ) -> None:
-        """Learn from one execution how fast and sound its server is.
+        """Record the speed and failure of one execution for its instance.
 
         Args:
             relay: the request.
-            response: the end of its execution.
-            load: what is known of the server; None if its sidecar has gone.
+            response: result of the execution.
+            load: load record of the instance; None if its sidecar is gone.
         """
         if load is None or not response.offered:
             return
@@ -50,27 +50,27 @@
         )
         if response.reason != "deadline":
             load.ended(failed=failed, now_ms=now_ms)
-        for taken in response.slot_times:
-            if not failed and taken.service_name == relay.service:
+        for slot_time in response.slot_times:
+            if not failed and slot_time.service_name == relay.service:
                 kind = (relay.route.name, relay.service)
-                load.took(self._paces.measure(kind, taken.slot_ms), now_ms)
+                load.took(self._paces.measure(kind, slot_time.slot_ms), now_ms)
 
     def refused_as_leaving(self, load: PeerLoad | None) -> None:
-        """Note that a sidecar refuses requests since its server leaves."""
+        """Record that a sidecar refuses requests because its server is leaving."""
         if load is not None:
             load.refuses_until_ms = self._now_ms() + LEAVING_WORD_MS
 
     def answered(self, relay: Relay, response: RelayResponse) -> None:
-        """Learn from a request's final answer what its route needs."""
-        served = response.status < 300
-        if served:
+        """Record the cost and response size of a request with a final response."""
+        succeeded = response.status < 300
+        if succeeded:
             self._answer_bytes.count(relay.route.name, len(response.body))
-        if relay.parent is None and served:
+        if relay.parent is None and succeeded:
             self._admission.learn(relay.kind, relay.slot_ms, self._now_ms())
         elif relay.parent is None:
             self._admission.learn_at_least(relay.kind, relay.slot_ms)
 
     def failed(self, relay: Relay) -> None:
-        """Learn from a request that ends without an answer what it took at least."""
+        """Record the slot time of a failed request as a lower bound of its cost."""
         if relay.parent is None and relay.slot_ms:
             self._admission.learn_at_least(relay.kind, relay.slot_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_repeats.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_repeats.py
@@ -1,4 +1,4 @@
-"""Whether a request is sent to one more backend server."""
+"""Retry policy of requests: limits per request and route, and the retry budget."""
 
 from collections.abc import Callable
 
@@ -7,30 +7,32 @@
 from sassafraswinch_sidecar.repeat_budget import RepeatBudget
 
 MAX_OFFERS = 7
-"""Times that a request is written to backend servers while they prove that they didn't
-run it: at a service that refuses 0.55 of its requests, 0.985 of them pass in seven."""
+"""Maximum number of times that a request is written to backend servers that prove that
+they did not run it. At a service that refuses 0.55 of its requests, 0.985 of the
+requests pass within 7 attempts."""
 
 MIN_RETRY_LEFT_MS = 40.0
-"""Time that must be left for one more try: a way across and a short run."""
+"""Minimum remaining time for another attempt: a network transfer and a short run."""
 
 
 class RelayRepeats:
-    """Keeps repeats within what the route, the caller and the fleet allow.
+    """Decides whether a request may be retried.
 
     Args:
-        budget: bound of the repeats of all sidecars.
+        budget: retry budget of this sidecar.
         now_ms: monotonic clock.
     """
 
     def __init__(self, *, budget: RepeatBudget, now_ms: Callable[[], float]):
         self._budget = budget
         self._now_ms = now_ms
-        self._services_below: dict[str, set[str]] = {}
+        self._downstream_services: dict[str, set[str]] = {}
 
     def sent(self, relay: Relay) -> None:
-        """Count a request that goes to a backend server's sidecar.
+        """Count an attempt that is sent to an executing sidecar.
 
-        The further sidecars of one try aren't counted: those before refused it unsent.
+        When an executing sidecar refuses an attempt before it reaches the backend
+        server, sending that attempt to the next one isn't counted again.
         """
         if relay.repeated or relay.places == 1:
             self._budget.sent(
@@ -41,21 +43,21 @@
             )
 
     def learn(self, relay: Relay) -> None:
-        """Note the services that the calls below a request went to."""
+        """Record the downstream services of a route from a request's slot times."""
         if len(relay.slot_ms) > 1:
-            below = self._services_below.setdefault(relay.route.name, set())
-            below.update(relay.slot_ms.keys() - {relay.service})
+            downstream = self._downstream_services.setdefault(relay.route.name, set())
+            downstream.update(relay.slot_ms.keys() - {relay.service})
 
     def has_time(self, relay: Relay) -> bool:
-        """Return whether one more try could end in time."""
+        """Return whether another attempt could finish before the deadline."""
         return relay.deadline_ms - self._now_ms() >= MIN_RETRY_LEFT_MS
 
     def allow_unrun(self, relay: Relay) -> bool:
-        """Return whether a request that a server refused unrun may be offered again."""
+        """Return whether a request may be retried that a server refused to run."""
         return relay.offers < MAX_OFFERS and self._budget_allows(relay)
 
     def allow_failed(self, relay: Relay) -> bool:
-        """Return whether a request that failed, or may have run, may run once more."""
+        """Return whether a request may be retried that failed or may have run."""
         return (
             relay.route.idempotent
             and self.has_time(relay)
@@ -64,19 +66,22 @@
         )
 
     def _budget_allows(self, relay: Relay) -> bool:
-        """Return whether a request may be repeated for all that is repeated already.
+        """Return whether the retry budget allows a retry of a request.
 
-        Failure: a service deep in the chain sheds half of its requests. Each service
-        above repeats the requests that failed for it, all their calls count as repeats
-        where they fail again, and within a second none are left for the calls
-        themselves, which alone can help.
+        After one refusal the request and its ancestors aren't retried any more.
+
+        Failure: a service deep in the call chain sheds half of its requests. If each
+        upstream service retries the requests that failed for this reason, all their
+        child calls count as retries at the failing service and exhaust its budget
+        within 1 s. Direct retries of the failing calls, the only useful ones, are then
+        refused.
         """
         if not relay.repeats_spent:
-            below = self._services_below.get(relay.route.name, ())
+            downstream = self._downstream_services.get(relay.route.name, ())
             allowed = self._budget.allows(
                 relay.service,
                 self._now_ms(),
-                below=below,
+                below=downstream,
                 priority=route_priority_of(relay.priority),
             )
             relay.repeats_spent = not allowed
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
@@ -1,28 +1,28 @@
-"""What an owner sends to the sidecar beside the server that it chose."""
+"""Construction of the request message from the owner to the executing sidecar."""
 
 from sassafraswinch_sidecar.relay_intake import Relay
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest
 
 ROOT_WAIT_SHARE = 0.12
-"""Part of the target latency that a root request waits for a slot: after that it is
-better off elsewhere, or told to come back while there is time."""
+"""Share of the target latency that a root request may wait for a slot. After that, time
+remains to try another instance or to let the caller retry."""
 
 INNER_WAIT_SHARE = 0.4
-"""Part of its time that a call of a running request waits for a slot. Refusing it
-would waste what its root request has taken so far."""
+"""Share of its remaining time that a child call may wait for a slot. It may wait longer
+because refusing it would waste the work already done for its root request."""
 
 
-def request_of(relay: Relay, *, left_ms: float, last: bool) -> RelayRequest:
-    """Return the request between sidecars for a relay that was placed.
+def request_of(relay: Relay, *, remaining_ms: float, is_leaf: bool) -> RelayRequest:
+    """Return the message for a request that was placed on an instance.
 
     Args:
-        relay: the request, with its call and its instance.
-        left_ms: time in which an answer is of use.
-        last: whether its tree ends with it.
+        relay: the request, with its call id and instance set.
+        remaining_ms: time until its deadline.
+        is_leaf: whether it is a root request without child calls.
     """
-    inner = relay.parent is not None
-    share = INNER_WAIT_SHARE if inner else ROOT_WAIT_SHARE
-    span_ms = left_ms if inner else relay.route.target_latency_ms
+    is_child = relay.parent is not None
+    share = INNER_WAIT_SHARE if is_child else ROOT_WAIT_SHARE
+    span_ms = remaining_ms if is_child else relay.route.target_latency_ms
     return RelayRequest(
         call_id=relay.call_id,
         instance_id=relay.instance_id,
@@ -32,14 +32,14 @@
         target=relay.target,
         headers=relay.headers,
         body=relay.body,
-        remaining_ms=int(left_ms),
+        remaining_ms=int(remaining_ms),
         max_wait_ms=int(span_ms * share),
         priority=relay.priority,
         level=relay.level,
-        inner=inner,
+        inner=is_child,
         idempotent=relay.route.idempotent,
         repeated=relay.repeated,
         progress=relay.progress,
-        last=last,
+        last=is_leaf,
         organisation=relay.organisation,
     )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
@@ -1,4 +1,4 @@
-"""Coding of messages between sidecars: thrift structs to frames and back."""
+"""Serialization of messages between sidecars: thrift structs in binary frames."""
 
 from typing import TypedDict
 
@@ -45,10 +45,10 @@
 PositionMessage = (
     FleetDigest | HeartbeatReply | HostReport | SummaryReply | SummaryRequest
 )
-"""Messages that tell the position of the sender's copy."""
+"""Messages that contain the position of the sender's replica."""
 
 MAX_FRAME_BYTES = 80 * 1024 * 1024
-"""Longest frame: the longest body that routes commonly allow, with its header."""
+"""Maximum frame size: the largest body that routes commonly allow, with its header."""
 
 _FRAME_SPEC = [ttypes.Frame, ttypes.Frame.thrift_spec]
 _SLOTS = {
@@ -71,7 +71,7 @@
 
 
 def serialize_message(message: Message) -> bytes:
-    """Write a message as one frame, its length included.
+    """Serialize a message as one frame, including the length prefix.
 
     Raises:
         WireError: a field doesn't fit its type on the wire.
@@ -81,33 +81,36 @@
     try:
         payload = fastbinary.encode_compact(frame, _FRAME_SPEC)
     except (TException, ValueError, OverflowError, TypeError) as error:
-        raise WireError(reason=f"can't be coded: {error}") from error
+        raise WireError(reason=f"message can't be serialized: {error}") from error
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
 def parse_message(payload: bytes) -> Message:
-    """Read the message of one frame, without its length.
+    """Parse the message of one frame.
+
+    Args:
+        payload: the frame without its length prefix.
 
     Raises:
-        WireError: the payload isn't a whole message of this protocol.
+        WireError: the payload isn't a complete message of this protocol.
     """
     frame = ttypes.Frame()
     reader = FrameReader(payload)
     try:
         fastbinary.decode_compact(frame, reader, _FRAME_SPEC)
         reader.check_end(payload)
-        for slot in _SLOTS.values():
-            message = getattr(frame, slot)
+        for field in _SLOTS.values():
+            message = getattr(frame, field)
             if message is not None:
                 message.validate()
                 return message
     except _DECODING_ERRORS as error:
-        raise WireError(reason=f"not a frame: {error!r}") from error
-    raise WireError(reason="a frame without a message of this protocol version")
+        raise WireError(reason=f"payload is not a valid frame: {error!r}") from error
+    raise WireError(reason="frame holds no message known to this protocol version")
 
 
 class PositionFields(TypedDict):
-    """Fields that tell a position, in each message that does."""
+    """Fields of a replica position, common to all messages that contain one."""
 
     era: int
     revision: int
@@ -115,7 +118,7 @@
 
 
 def position_fields(position: Position) -> PositionFields:
-    """Return the fields of a message that tell a position."""
+    """Return the message fields for a position."""
     era, number = position.revision
     return PositionFields(
         era=era, revision=number, routes_version=position.routes_version
@@ -123,7 +126,7 @@
 
 
 def parse_position(message: PositionMessage) -> Position:
-    """Return the position that a message tells."""
+    """Return the position that a message contains."""
     return Position(
         revision=Revision(message.era, message.revision),
         routes_version=message.routes_version,
@@ -131,7 +134,7 @@
 
 
 def serialize_question(position: Position) -> ReplicaRequest:
-    """Return the message that asks for what a copy at a position lacks."""
+    """Return the request for all changes after the position of a replica."""
     era, number = position.revision
     return ReplicaRequest(
         after_revision=number, era=era, routes_version=position.routes_version
@@ -139,7 +142,7 @@
 
 
 def parse_question(request: ReplicaRequest) -> Position:
-    """Return the position of whoever asks."""
+    """Return the replica position of the requesting sidecar."""
     return Position(
         revision=Revision(request.era, request.after_revision),
         routes_version=request.routes_version,
@@ -147,7 +150,7 @@
 
 
 def serialize_delta(delta: Delta) -> ReplicaReply:
-    """Return the message that carries changes of the platform's data."""
+    """Return the message for changes of the platform data."""
     entries = [
         ReplicaEntry(
             key=entry.key,
@@ -162,12 +165,14 @@
 
 
 def parse_delta(reply: ReplicaReply) -> Delta:
-    """Return the changes that a message carries."""
+    """Return the changes that a message contains."""
     entries = tuple(
         Entry(
-            key=told.key, revision=Revision(told.era, told.revision), value=told.value
+            key=entry.key,
+            revision=Revision(entry.era, entry.revision),
+            value=entry.value,
         )
-        for told in reply.entries
+        for entry in reply.entries
     )
     revision = Revision(reply.era, reply.revision)
     return Delta(revision=revision, whole=reply.whole, entries=entries)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
@@ -1,8 +1,8 @@
-"""The bound on requests that are sent to a backend server once more.
+"""Retry budget of a sidecar: limits retries to a ratio of requests, plus a slack.
 
-Sidecars share no state, so each spends a part of the fleet's budget that is safe
-whatever the others do: a share of the requests that it sends itself, and an even part
-of what is free of charge.
+The budget holds for the whole fleet, but sidecars share no state. Each one therefore
+spends a part that is safe whatever the others do: a share of the ratio, applied to the
+requests that it sends itself, and an equal part of the slack.
 """
 
 import itertools
@@ -11,80 +11,88 @@
 from dataclasses import dataclass, field
 
 SHARE_OF_RATIO = 0.35
-"""Part of the fleet's ratio that one sidecar spends. A repeated request repeats its
-calls, which count at the services below as well: with a third, the repeats of three
-levels add up to the whole ratio."""
+"""Share of the fleet's ratio that one sidecar may spend. A retried request makes its
+child calls again, and these count as retries at the downstream services. With about a
+third each, the retries of three levels of calls add up to the full ratio."""
 
 CALM_SHARE_OF_RATIO = 0.9
-"""The same while the fleet's repeats, as last told by all, are few."""
+"""Share of the fleet's ratio that one sidecar may spend while the fleet, as last
+reported by all sidecars, makes few retries."""
 
 CALM_SHARE = 0.4
-"""Part of the fleet's bound below which its repeats are few. What all sidecars add
-before they hear of each other, a second of a window of ten, stays below the rest."""
+"""Share of the fleet's budget below which its retries count as few. The retries that
+all sidecars add before the next reports arrive, those of about 1 s in a window of 10 s,
+fit into the rest."""
 
 DEEPEST_SHARES = (0.8, 0.6, 0.4)
-"""The same at a service that calls no other, by the priority of the root request; the
-last one is for all that are less important, while more important ones are repeated as
-well. Nothing below counts these repeats again.
+"""Share of the fleet's ratio at a service without downstream services, by the priority
+of the root request, while requests of higher priority are retried as well. The last one
+is for all lower priorities. No downstream service counts these retries again.
 
-Load pattern: the deepest service refuses half of what it gets. A tree of eight calls
-can only end if each may be offered several times, so repeats that are spread over all
-trees save hardly any; spent on the most important ones, they save those."""
+Load pattern: the deepest service refuses half of its requests. A call tree of 8 calls
+completes only if each call can be retried several times. Retries that are spread over
+all call trees complete hardly any of them; retries spent on those of the highest
+priority complete these."""
 
 PRESSING_SHARE = 0.1
-"""Part of the repeats from which those of more important requests take room from the
-others: below it hardly anything important fails."""
+"""Share of the retries above which those of higher-priority requests reduce the budget
+of the others. Below it, hardly any high-priority request fails."""
 
 STRAINED_SHARE = 0.5
-"""Part of the fleet's bound at a service from which no request above it is repeated
-any more. Their calls count there as well and can't be refused; what sidecars add before
-they hear of each other, and calls repeated for their own sake, stays below the rest."""
+"""Share of the fleet's budget at a service from which upstream requests are no longer
+retried. The child calls of their retries count at this service as well and can't be
+refused. The rest of the budget covers the retries that sidecars add before the next
+reports arrive, and direct retries of calls to this service."""
 
 HEARD_SHARE = 0.9
-"""Part of the sidecars that must have told their counts for the sum to say how much the
-fleet repeats. One silent host in hundreds is usual. What the others may repeat in vain
-stays bounded by their own requests, which are missing in the sum as well."""
+"""Share of the sidecars that must have reported their counts for the totals to be used.
+One silent host among hundreds is usual. Retries of the sidecars missing in the totals
+are limited by their own requests, which are missing in the totals as well."""
 
 BUCKET_MS = 1_000.0
-"""Grain of the window: a tenth of it."""
+"""Resolution of the sliding window: a tenth of its length."""
 
 
 @dataclass(slots=True)
 class _Bucket:
     started_at_ms: float
     requests: int = 0
-    repeats: Counter[int] = field(default_factory=Counter)
+    retries: Counter[int] = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
 class _Window:
     buckets: deque[_Bucket] = field(default_factory=deque)
     requests: int = 0
-    repeats: int = 0
-    by_priority: Counter[int] = field(default_factory=Counter)
+    retries: int = 0
+    retries_by_priority: Counter[int] = field(default_factory=Counter)
 
-    def current(self, window_ms: float, now_ms: float) -> _Bucket:
+    def current_bucket(self, window_ms: float, now_ms: float) -> _Bucket:
         buckets = self.buckets
         while buckets and now_ms - buckets[0].started_at_ms >= window_ms:
             old = buckets.popleft()
             self.requests -= old.requests
-            self.repeats -= old.repeats.total()
-            self.by_priority -= old.repeats
+            self.retries -= old.retries.total()
+            self.retries_by_priority -= old.retries
         if not buckets or now_ms - buckets[-1].started_at_ms >= BUCKET_MS:
             buckets.append(_Bucket(now_ms))
         return buckets[-1]
 
-    def presses_for(self, priority: int) -> bool:
-        """Return whether more important requests than these are repeated as well."""
-        more_important = sum(
-            count for each, count in self.by_priority.items() if each < priority
+    def has_higher_priority_retries(self, priority: int) -> bool:
+        """Return whether requests of higher priority make a relevant share of retries.
+
+        Args:
+            priority: priority of the root request; 0 is the most important.
+        """
+        of_higher_priority = sum(
+            count for each, count in self.retries_by_priority.items() if each < priority
         )
-        return more_important > PRESSING_SHARE * self.repeats
+        return of_higher_priority > PRESSING_SHARE * self.retries
 
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """Requests and repeats that one sidecar sent to a service in the window."""
+    """Requests and retries sent to a service within the window."""
 
     requests: int
     repeats: int
@@ -93,32 +101,34 @@
 NOTHING_COUNTED = Counted(0, 0)
 
 
-def sum_counts(told: Iterable[Mapping[str, Counted]]) -> dict[str, Counted]:
-    """Return the sums by service of what several sidecars sent."""
+def sum_counts(reports: Iterable[Mapping[str, Counted]]) -> dict[str, Counted]:
+    """Return the totals of several sidecars, by service."""
     requests: Counter[str] = Counter()
-    repeats: Counter[str] = Counter()
-    for service, count in itertools.chain.from_iterable(each.items() for each in told):
+    retries: Counter[str] = Counter()
+    for service, count in itertools.chain.from_iterable(
+        report.items() for report in reports
+    ):
         requests[service] += count.requests
-        repeats[service] += count.repeats
+        retries[service] += count.repeats
     return {
-        service: Counted(requests[service], repeats[service]) for service in requests
+        service: Counted(requests[service], retries[service]) for service in requests
     }
 
 
 Totals = tuple[Mapping[str, Counted], int]
-"""Requests and repeats of all sidecars by service, and how many sidecars told them."""
+"""Requests and retries of all sidecars by service, and how many sidecars reported."""
 
 
 class RepeatBudget:
-    """Counts requests and repeats by service over a sliding window.
+    """Counts requests and retries by service over a sliding window.
 
     Args:
-        ratio: repeats for each request that the whole fleet may make.
-        slack: repeats of the whole fleet in a window that need no request.
+        ratio: retries per request that the whole fleet may make.
+        slack: retries of the whole fleet in a window, in addition to the ratio.
         window_ms: length of the window.
-        most_sidecars: returns how many sidecars there may be at the most.
-        sidecars: returns how many are known now.
-        totals: returns what all sidecars sent, as last told.
+        most_sidecars: returns the maximum number of sidecars in the fleet.
+        sidecars: returns the number of sidecars known now.
+        totals: returns the counts of all sidecars, as last reported.
     """
 
     def __init__(
@@ -142,34 +152,34 @@
     def sent(
         self, service: str, *, repeated: bool, now_ms: float, priority: int = 0
     ) -> None:
-        """Count a request that goes to a service.
+        """Count a request that is sent to a service.
 
         Args:
             service: name of the service.
-            repeated: whether it, or a request above it, was sent before.
+            repeated: whether the request, or one of its ancestors, is a retry.
             now_ms: monotonic time.
             priority: priority of the root request.
         """
         window = self._windows.get(service)
         if window is None:
             window = self._windows[service] = _Window()
-        bucket = window.current(self._window_ms, now_ms)
+        bucket = window.current_bucket(self._window_ms, now_ms)
         if repeated:
-            bucket.repeats[priority] += 1
-            window.by_priority[priority] += 1
-            window.repeats += 1
+            bucket.retries[priority] += 1
+            window.retries_by_priority[priority] += 1
+            window.retries += 1
         else:
             bucket.requests += 1
             window.requests += 1
 
     def counted(self, now_ms: float) -> dict[str, Counted]:
-        """Return what this sidecar sent in the window, by service."""
+        """Return the requests and retries of this sidecar in the window, by service."""
         for window in self._windows.values():
-            window.current(self._window_ms, now_ms)
+            window.current_bucket(self._window_ms, now_ms)
         return {
-            service: Counted(window.requests, window.repeats)
+            service: Counted(window.requests, window.retries)
             for service, window in self._windows.items()
-            if window.requests or window.repeats
+            if window.requests or window.retries
         }
 
     def allows(
@@ -180,48 +190,48 @@
         below: Collection[str] = (),
         priority: int = 0,
     ) -> bool:
-        """Return whether one more request of this service may be repeated.
+        """Return whether one more request to a service may be retried.
 
         Args:
             service: name of the service.
             now_ms: monotonic time.
-            below: services that its requests call, directly or not.
+            below: services that its requests call, directly or indirectly.
             priority: priority of the root request.
         """
         slack = self._slack / 2 / max(1, self._most_sidecars())
         window = self._windows.get(service)
         if window is None:
             return slack >= 1.0
-        window.current(self._window_ms, now_ms)
-        counts, tellers = self._totals(now_ms)
+        window.current_bucket(self._window_ms, now_ms)
+        counts, reporting = self._totals(now_ms)
         if any(
             self._used_share(each, counts, now_ms) >= STRAINED_SHARE for each in below
         ):
             return False
-        hears_all = max(1, tellers) >= HEARD_SHARE * self._sidecars()
+        has_all_reports = max(1, reporting) >= HEARD_SHARE * self._sidecars()
         share = SHARE_OF_RATIO
-        deepest = not below and hears_all
-        if deepest and window.presses_for(priority):
+        is_deepest = not below and has_all_reports
+        if is_deepest and window.has_higher_priority_retries(priority):
             share = DEEPEST_SHARES[min(priority, len(DEEPEST_SHARES) - 1)]
-        elif hears_all and self._used_share(service, counts, now_ms) < CALM_SHARE:
+        elif has_all_reports and self._used_share(service, counts, now_ms) < CALM_SHARE:
             share = CALM_SHARE_OF_RATIO
-        elif deepest:
+        elif is_deepest:
             share = DEEPEST_SHARES[0]
         ratio = self._ratio * share
-        return window.repeats + 1 <= ratio * window.requests + slack
+        return window.retries + 1 <= ratio * window.requests + slack
 
     def _used_share(
         self, service: str, counts: Mapping[str, Counted], now_ms: float
     ) -> float:
-        """Return the part of the fleet's bound at a service that is used, as told.
+        """Return the used share of the fleet's budget at a service, as last reported.
 
-        What this sidecar sent is in the sums, but for that of the last moment.
+        The totals include this sidecar's counts, except for its most recent requests.
         """
-        told = counts.get(service, NOTHING_COUNTED)
-        requests, repeats = told.requests, told.repeats
+        reported = counts.get(service, NOTHING_COUNTED)
+        requests, retries = reported.requests, reported.repeats
         window = self._windows.get(service)
         if window is not None:
-            window.current(self._window_ms, now_ms)
+            window.current_bucket(self._window_ms, now_ms)
             requests = max(requests, window.requests)
-            repeats = max(repeats, window.repeats)
-        return repeats / max(self._ratio * requests + self._slack, 1.0)
+            retries = max(retries, window.retries)
+        return retries / max(self._ratio * requests + self._slack, 1.0)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
@@ -1,4 +1,4 @@
-"""One line for each decision on a request, within a bound on their number."""
+"""Rate-limited log of single requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,38 +6,39 @@
 from sassafraswinch_node.logs import log_event, write_event
 
 FAILURE_LINES_PER_S = 100.0
-"""Lines a second for refusals, repeats and failures: about 3 ms of processor time."""
+"""Rate limit of lines on refusals, retries and failures. At this rate they take about
+3 ms of processor time per second."""
 
 SERVED_LINES_PER_S = 15.0
-"""Lines a second for requests that were served; the rest is only counted."""
+"""Rate limit of lines on served requests; the others appear in counters only."""
 
 BURST_S = 2.0
-"""Seconds' worth of lines that may come at once."""
+"""Burst size of both rate limits, as the lines of so many seconds."""
 
 TELL_MS = 10_000.0
-"""Pause between the lines that tell how many got none."""
+"""Interval of the lines that report the number of omitted lines."""
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _TokenBucket:
     lines_per_s: float
     tokens: float = 0.0
-    filled_ms: float = 0.0
-    left_out: int = 0
+    refilled_ms: float = 0.0
+    omitted: int = 0
 
-    def take(self, now_ms: float) -> bool:
-        gained = max(0.0, now_ms - self.filled_ms) / 1000 * self.lines_per_s
-        self.tokens = min(self.tokens + gained, self.lines_per_s * BURST_S)
-        self.filled_ms = now_ms
+    def acquire(self, now_ms: float) -> bool:
+        refill = max(0.0, now_ms - self.refilled_ms) / 1000 * self.lines_per_s
+        self.tokens = min(self.tokens + refill, self.lines_per_s * BURST_S)
+        self.refilled_ms = now_ms
         if self.tokens < 1.0:
-            self.left_out += 1
+            self.omitted += 1
             return False
         self.tokens -= 1.0
         return True
 
 
 class RequestLog:
-    """Writes lines about single requests; failures have their own, larger bound.
+    """Logs single requests; failures have their own, higher rate limit.
 
     Args:
         now_ms: monotonic clock.
@@ -45,29 +46,29 @@
 
     def __init__(self, *, now_ms: Callable[[], float]):
         self._now_ms = now_ms
-        self._failures = _Bucket(FAILURE_LINES_PER_S, FAILURE_LINES_PER_S)
-        self._served = _Bucket(SERVED_LINES_PER_S, SERVED_LINES_PER_S)
-        self._told_ms = now_ms()
+        self._failures = _TokenBucket(FAILURE_LINES_PER_S, FAILURE_LINES_PER_S)
+        self._served = _TokenBucket(SERVED_LINES_PER_S, SERVED_LINES_PER_S)
+        self._reported_ms = now_ms()
 
     def failed(self, event: str, request_id: str, **fields: object) -> None:
-        """Tell of a request that is refused, repeated, cancelled or fails."""
-        if self._failures.take(self._now_ms()):
+        """Log a request that is refused, retried, cancelled or has failed."""
+        if self._failures.acquire(self._now_ms()):
             write_event(event, "warning", {"request_id": request_id, **fields})
 
     def served(self, event: str, request_id: str, **fields: object) -> None:
-        """Tell of a request that goes its way."""
-        if self._served.take(self._now_ms()):
+        """Log a request that is served."""
+        if self._served.acquire(self._now_ms()):
             write_event(event, "info", {"request_id": request_id, **fields})
 
     def tell_left_out(self) -> None:
-        """Say now and then how many lines there were none for."""
+        """Log the number of omitted lines, once per ``TELL_MS``."""
         now_ms = self._now_ms()
-        if now_ms - self._told_ms < TELL_MS:
+        if now_ms - self._reported_ms < TELL_MS:
             return
-        self._told_ms = now_ms
+        self._reported_ms = now_ms
         for kind, bucket in (("failures", self._failures), ("served", self._served)):
-            if bucket.left_out:
+            if bucket.omitted:
                 log_event(
-                    "lines_left_out", level="warning", of=kind, count=bucket.left_out
+                    "lines_left_out", level="warning", of=kind, count=bucket.omitted
                 )
-                bucket.left_out = 0
+                bucket.omitted = 0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service runs a request, and how it may be handled."""
+"""Route table: maps requests to services, with the handling rules of each route."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Share:
-    """A service's part of the requests of a route."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """How requests of one host below one path prefix are handled.
+    """Handling rules for requests to one host under one path prefix.
 
     Attributes:
-        name: stable name; versions of a route keep it.
+        name: name that stays the same over all versions of the route table.
         host: value of the ``Host`` field, in lower case, without a port.
         prefix: path prefix; begins and ends with a slash.
-        shares: services that the requests are spread over.
+        shares: services that run the requests, with their weights.
         idempotent: whether a request may run more than once.
-        max_attempts: backend servers to which one request may be sent.
-        timeout_ms: longest time that a caller is kept waiting.
-        target_latency_ms: time within which an answer has its full worth.
-        priority: rank of the requests; 0 is the most important.
+        max_attempts: maximum number of backend servers to which one request is sent.
+        timeout_ms: maximum time until the response to the caller.
+        target_latency_ms: latency up to which a response has its full value.
+        priority: priority of the requests; 0 is the most important.
         public: whether requests need no key.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestLimits:
-    """Bounds on what callers may send."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int = 65_536
     max_body_bytes: int = 64 * 1024 * 1024
@@ -58,13 +58,13 @@
     """One version of all routes.
 
     Attributes:
-        version: never falls.
+        version: version number; never decreases.
         routes: all routes.
-        limits: bounds on what callers may send.
-        known_services: services that servers may belong to, besides those that a
-            route leads to; empty where the platform doesn't list them.
-        organisations: who may send requests; None where anybody may, and keys are the
-            backend servers' own concern.
+        limits: limits on callers' requests.
+        known_services: services that backend servers may belong to, in addition to
+            those of the routes; empty if the platform doesn't list them.
+        organisations: organisations that may send requests; None if requests need no
+            key, and ``Authorization`` is left to the backend servers.
     """
 
     version: int
@@ -84,8 +84,8 @@
         """Return the route with the longest prefix of the path.
 
         Args:
-            host: value of the ``Host`` field, perhaps with a port.
-            path: path of the request, perhaps with a query.
+            host: value of the ``Host`` field, with or without a port.
+            path: path of the request, with or without a query.
         """
         routes = self._by_host.get(host.partition(":")[0].lower())
         if routes is None:
@@ -105,17 +105,18 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """Names of all services that a route leads to."""
+        """Names of the services of all routes."""
         shares = itertools.chain.from_iterable(route.shares for route in self.routes)
         return frozenset(share.service for share in shares)
 
 
 class ShareChooser:
-    """Spreads the requests of split routes by weight.
+    """Smooth weighted round-robin over the services of a route.
 
-    Each request adds every weight to its part's credit and goes to the part with the
-    most. So each part's count stays within one of its share, also over few requests,
-    where random choice would miss the share by a tenth now and then.
+    Each request adds the weight of every service to that service's credit and goes to
+    the service with the highest credit. The request count of each service thus stays
+    within 1 of its share, even over few requests, where a random choice would sometimes
+    be off by a tenth.
     """
 
     def __init__(self):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
@@ -1,14 +1,14 @@
-"""Coding of requests as the backend server gets them."""
+"""Serialization of HTTP requests to the backend server."""
 
 from sassafraswinch_sidecar.dialect import HeaderNames
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest
 
 
 def serialize_request(
-    request: RelayRequest, names: HeaderNames, left_ms: float
+    request: RelayRequest, names: HeaderNames, remaining_ms: float
 ) -> bytes:
-    """Write a request, with the time that is left for it and the instance it is for."""
-    length = b"Content-Length: %d\r\n" % len(request.body) if request.body else b""
+    """Serialize a request, with its remaining time and its expected instance."""
+    length_line = b"Content-Length: %d\r\n" % len(request.body) if request.body else b""
     return b"".join(
         (
             request.method.encode(),
@@ -16,9 +16,9 @@
             request.target,
             b" HTTP/1.1\r\n",
             request.headers,
-            b"%b: %d\r\n" % (names.time_left_ms, max(int(left_ms), 1)),
+            b"%b: %d\r\n" % (names.time_left_ms, max(int(remaining_ms), 1)),
             b"%b: %b\r\n" % (names.expected_instance, request.instance_id.encode()),
-            length,
+            length_line,
             b"\r\n",
             request.body,
         )
