--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -232,7 +232,7 @@
         return False
 
     def _check_rate(self, relay: Relay) -> bool:
-        """Return whether a request is within its organisation's rate; refuse it if not."""
+        """Return whether a request is within its rate limit; refuse it if it isn't."""
         if relay.caller is None:
             return True
         decision = self._rates.ask(relay.caller, self._now_ms())
--- a/packages/sassafraswinch-sidecar/tests/test_held_bytes.py
+++ b/packages/sassafraswinch-sidecar/tests/test_held_bytes.py
@@ -1,11 +1,11 @@
-"""The bound on bytes that a process holds."""
+"""Memory limit of the bodies that a process holds."""
 
 import pytest
 
 from sassafraswinch_sidecar.held_bytes import HeldBytes, most_held_bytes
 
 
-def test_bytes_for_peers_count_beside_the_bodies():
+def test_unsent_bytes_count_towards_the_limit():
     held = HeldBytes(most_bytes=100)
     held.hold(60)
     assert held.fits(40)
@@ -17,6 +17,6 @@
 
 
 @pytest.mark.parametrize("memory_mb", [200, 300])
-def test_three_copies_of_what_is_held_leave_room_for_the_program(memory_mb):
+def test_three_copies_of_held_bodies_leave_memory_for_the_program(memory_mb):
     program_mb = 50
     assert 3 * most_held_bytes(memory_mb) / 1e6 + program_mb < memory_mb
--- a/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
@@ -1,4 +1,4 @@
-"""Who may send requests, and what backend servers are told of it."""
+"""API keys of organisations, and the organisation header for backend servers."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 )
 
 KEY = "Authorization: Bearer key-a\r\n"
-ROUTES_OF_ALL = [
+ALL_ROUTES = [
     route("orders", "/orders/", "archiv"),
     route("approve", "/approve/", "schvaleni", idempotent=False),
     route("prices", "/prices/", "archiv", public=True),
@@ -24,9 +24,13 @@
 
 
 async def configure(fleet, version, *organisations):
-    """Put organisations in force at all sidecars; None for a deployment without."""
-    listed = None if organisations == (None,) else list(organisations)
-    table = {"version": version, "routes": ROUTES_OF_ALL, "organisations": listed}
+    """Configure organisations at all sidecars; None for a deployment without any."""
+    organisation_list = None if organisations == (None,) else list(organisations)
+    table = {
+        "version": version,
+        "routes": ALL_ROUTES,
+        "organisations": organisation_list,
+    }
     await fleet.store.put(ROUTES, table)
     await until(
         lambda: all(n.sidecar._fleet.table.version == version for n in fleet.nodes)
@@ -42,15 +46,15 @@
         yield started
 
 
-def seen_by(fleet, service):
+def requests_seen_by(fleet, service):
     return [seen for node in fleet.of(service) for seen in node.backend.seen]
 
 
 async def test_the_server_gets_the_organisation_and_not_the_key(fleet):
     fields = KEY + "X-Organisation: forged\r\nAccept: x\r\n"
-    got = await fleet.call(fleet.of("schvaleni")[0], fields=fields)
-    (seen,) = seen_by(fleet, "archiv")
-    assert got.status == 200
+    response = await fleet.call(fleet.of("schvaleni")[0], fields=fields)
+    (seen,) = requests_seen_by(fleet, "archiv")
+    assert response.status == 200
     assert seen.headers[b"x-organisation"] == b"a"
     assert b"authorization" not in seen.headers
     assert seen.headers[b"accept"] == b"x"
@@ -66,14 +70,14 @@
         "X-Organisation: a\r\n",
     ],
 )
-async def test_without_a_known_key_nothing_runs(fleet, fields):
-    got = await fleet.call(fleet.nodes[0], fields=fields)
-    assert got.status == 401
-    assert got.headers["www-authenticate"] == "Bearer"
-    assert not seen_by(fleet, "archiv")
+async def test_a_request_without_a_known_key_does_not_run(fleet, fields):
+    response = await fleet.call(fleet.nodes[0], fields=fields)
+    assert response.status == 401
+    assert response.headers["www-authenticate"] == "Bearer"
+    assert not requests_seen_by(fleet, "archiv")
 
 
-async def test_an_unknown_path_is_told_before_an_unknown_key(fleet):
+async def test_an_unknown_path_takes_precedence_over_an_unknown_key(fleet):
     assert (await fleet.call(fleet.nodes[0], target="/nowhere/1")).status == 404
 
 
@@ -83,19 +87,19 @@
 )
 async def test_a_public_route_needs_no_key(fleet, fields, told):
     fields += "X-Organisation: forged\r\n"
-    got = await fleet.call(fleet.nodes[0], target="/prices/1", fields=fields)
-    (seen,) = seen_by(fleet, "archiv")
-    assert got.status == 200
+    response = await fleet.call(fleet.nodes[0], target="/prices/1", fields=fields)
+    (seen,) = requests_seen_by(fleet, "archiv")
+    assert response.status == 200
     assert seen.headers.get(b"x-organisation") == told
     assert b"authorization" not in seen.headers
 
 
-async def test_without_organisations_keys_are_the_servers_own_concern(fleet):
+async def test_without_organisations_keys_are_forwarded_to_the_server(fleet):
     await configure(fleet, 3, None)
     fields = "Authorization: Bearer any\r\nX-Organisation: any\r\n"
-    got = await fleet.call(fleet.nodes[0], fields=fields)
-    (seen,) = seen_by(fleet, "archiv")
-    assert got.status == 200
+    response = await fleet.call(fleet.nodes[0], fields=fields)
+    (seen,) = requests_seen_by(fleet, "archiv")
+    assert response.status == 200
     assert seen.headers[b"authorization"] == b"Bearer any"
     assert seen.headers[b"x-organisation"] == b"any"
 
@@ -111,49 +115,49 @@
     writer.close()
 
 
-async def test_a_key_that_moves_names_its_new_organisation(fleet):
+async def test_a_reassigned_key_identifies_its_new_organisation(fleet):
     await configure(fleet, 3, organisation("a"), organisation("b", "key-a"))
     assert (await fleet.call(fleet.nodes[0], fields=KEY)).status == 200
-    (seen,) = seen_by(fleet, "archiv")
+    (seen,) = requests_seen_by(fleet, "archiv")
     assert seen.headers[b"x-organisation"] == b"b"
 
 
-async def test_a_request_that_waits_isnt_sent_once_its_key_is_removed(fleet):
-    """Guards against a request that outlives its key by being sent once more."""
+async def test_a_request_is_not_retried_once_its_key_is_removed(fleet):
+    """Guards against a retry of a request whose key was removed since it arrived."""
     tasks = []
 
     async def remove_key_and_refuse(connection, seen):
         await configure(fleet, 3, organisation("a", "key-a2"))
-        unrun = answer(seen, status=503, fields=b"X-Not-Run: 1\r\n", signed=False)
-        connection.transport.write(unrun)
+        refusal = answer(seen, status=503, fields=b"X-Not-Run: 1\r\n", signed=False)
+        connection.transport.write(refusal)
 
     def refuse(connection, seen):
         tasks.append(asyncio.create_task(remove_key_and_refuse(connection, seen)))
 
     (archiv,) = fleet.of("archiv")
     archiv.backend.behaviour = refuse
-    got = await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
-    assert got.status == 503
+    response = await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
+    assert response.status == 503
     assert len(archiv.backend.seen) == 1
 
 
-async def call_within(fleet, *, parent_runs):
-    """Let a server make a call without a key; return what it got."""
+async def make_child_call(fleet, *, parent_runs):
+    """Let a server make a child call without a key; return the response to it."""
     (caller,) = fleet.of("schvaleni")
     results = []
     tasks = []
 
-    async def call_on(connection, seen):
+    async def call_and_respond(connection, seen):
         request_id = f"{seen.request_id.decode()}.1"
         if not parent_runs:
             request_id = "r-other.1"
         fields = "X-Organisation: forged\r\n"
-        got = await fleet.call(caller, request_id=request_id, fields=fields)
-        results.append(got)
+        response = await fleet.call(caller, request_id=request_id, fields=fields)
+        results.append(response)
         connection.transport.write(answer(seen))
 
     def behave(connection, seen):
-        tasks.append(asyncio.create_task(call_on(connection, seen)))
+        tasks.append(asyncio.create_task(call_and_respond(connection, seen)))
 
     caller.backend.behaviour = behave
     await fleet.call(fleet.of("archiv")[0], target="/approve/1", fields=KEY)
@@ -161,28 +165,31 @@
 
 
 async def test_a_call_runs_under_the_organisation_of_its_parent(fleet):
-    assert (await call_within(fleet, parent_runs=True)).status == 200
-    (seen,) = seen_by(fleet, "archiv")
+    assert (await make_child_call(fleet, parent_runs=True)).status == 200
+    (seen,) = requests_seen_by(fleet, "archiv")
     assert seen.headers[b"x-organisation"] == b"a"
 
 
-async def test_an_id_that_looks_like_a_call_gains_nothing(fleet):
-    """Guards against a caller without a key that names a running request's id."""
-    got = await call_within(fleet, parent_runs=False)
-    assert got.status == 503
-    assert not seen_by(fleet, "archiv")
+async def test_an_id_in_the_form_of_a_child_call_grants_no_access(fleet):
+    """Guards against callers without a key that send an id in the form of a child's.
 
+    The parent in the id doesn't run here.
+    """
+    response = await make_child_call(fleet, parent_runs=False)
+    assert response.status == 503
+    assert not requests_seen_by(fleet, "archiv")
 
-async def test_keys_show_in_no_text_of_a_request(fleet):
+
+async def test_the_repr_of_a_request_contains_no_keys(fleet):
     shown = []
     (archiv,) = fleet.of("archiv")
 
-    def look(connection, seen):
+    def show_relays(connection, seen):
         owner = fleet.of("schvaleni")[0].sidecar._owner
         shown.extend(repr(relay) for relay in owner.relays.values())
         connection.transport.write(answer(seen))
 
-    archiv.backend.behaviour = look
+    archiv.backend.behaviour = show_relays
     await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
     assert shown
     assert "key-a" not in "".join(shown)
--- a/packages/sassafraswinch-sidecar/tests/test_relay_wire.py
+++ b/packages/sassafraswinch-sidecar/tests/test_relay_wire.py
@@ -1,4 +1,4 @@
-"""Every message between sidecars survives the wire, and nothing else passes for one."""
+"""Serialization and strict parsing of the messages between sidecars."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -50,7 +50,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(REQUESTS)
-def test_request_comes_back_equal(request):
+def test_request_survives_round_trip(request):
     assert parse_message(serialize_message(request)[LENGTH_BYTES:]) == request
 
 
@@ -67,13 +67,13 @@
     ),
     st.booleans(),
 )
-def test_changes_come_back_equal_removals_included(entries, whole):
+def test_changes_and_removals_survive_round_trip(entries, whole):
     delta = Delta(revision=Revision(2, 7), whole=whole, entries=tuple(entries))
     frame = serialize_message(serialize_delta(delta))
     assert parse_delta(parse_message(frame[LENGTH_BYTES:])) == delta
 
 
-def test_positions_come_back_equal():
+def test_positions_survive_round_trip():
     position = Position(revision=Revision(3, 7), routes_version=12)
     request = SummaryRequest(**position_fields(position))
     frame = serialize_message(request)
@@ -84,12 +84,12 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=60))
-def test_garbage_is_refused(payload):
+def test_random_bytes_are_refused(payload):
     with pytest.raises(WireError):
         parse_message(payload + b"\xff")
 
 
-def test_message_that_is_cut_off_or_has_more_behind_it_is_refused():
+def test_truncated_message_and_trailing_bytes_are_refused():
     report = HostReport(
         revision=2,
         load=ServerLoad(1, 0, 7),
@@ -108,10 +108,10 @@
         parse_message(payload + b"\x00")
 
 
-def test_messages_of_an_older_sidecar_are_understood():
-    """A release replaces the sidecars one by one. The older ones lack fields that were
-    added since; links that break on each of their messages would split the fleet until
-    the last one is replaced.
+def test_messages_of_an_older_sidecar_are_accepted():
+    """A rolling release replaces sidecars one by one, and older ones don't send the
+    fields that were added later. If these messages were refused, links would break and
+    the fleet would be split until the last sidecar is replaced.
     """
     load = ServerLoad(in_flight=1, queued=0, limit=7)
     reply = HeartbeatReply(
@@ -123,10 +123,10 @@
         era=None,
         routes_version=None,
     )
-    read = parse_message(serialize_message(reply)[LENGTH_BYTES:])
-    assert read.isolated is False
-    known = Position(revision=Revision(0, 2), routes_version=0)
-    assert parse_position(read) == known
+    parsed = parse_message(serialize_message(reply)[LENGTH_BYTES:])
+    assert parsed.isolated is False
+    expected = Position(revision=Revision(0, 2), routes_version=0)
+    assert parse_position(parsed) == expected
     request = RelayRequest(
         call_id=1,
         instance_id="i-1",
--- a/packages/sassafraswinch-sidecar/tests/test_repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/tests/test_repeat_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's bound on repeats holds although no sidecar knows the others' counts."""
+"""The retry budget limits the retries of the fleet without shared state."""
 
 import random
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 class Fleet:
-    """What all sidecars told of their counts, as sums."""
+    """Totals that all sidecars reported, as the fleet view returns them."""
 
     def __init__(self):
         self.totals = {}, 0
@@ -38,68 +38,68 @@
     st.floats(0.0, 1.0),
     st.integers(0, 2**32),
 )
-def test_sum_over_the_fleet_stays_within_ratio_and_slack(
-    sidecars, rate_per_s, failing, seed
+def test_retries_of_the_fleet_stay_within_ratio_and_slack(
+    sidecars, rate_per_s, failed_share, seed
 ):
-    """Every request fails and every sidecar repeats whatever its budget allows.
+    """Random shares of requests fail; sidecars retry whatever their budget allows.
 
-    The platform counts all arrivals beyond the first of each request, over any ten
-    seconds, against a share of the requests and a slack for the whole fleet.
+    The platform counts all attempts after the first one of each request, over any 10 s,
+    against a ratio of the requests and a slack for the whole fleet.
     """
     rng = random.Random(seed)
     budgets = [new_budget(sidecars) for _ in range(sidecars)]
-    requests, repeats = [], []
-    now_ms = told_ms = 0.0
+    requests, retries = [], []
+    now_ms = exchanged_ms = 0.0
     while now_ms < 25_000:
         now_ms += rng.expovariate(rate_per_s * sidecars) * 1000
-        if now_ms - told_ms > 1_000.0:
-            told_ms = now_ms
-            exchange(budgets, now_ms)
+        if now_ms - exchanged_ms > 1_000.0:
+            exchanged_ms = now_ms
+            exchange_totals(budgets, now_ms)
         budget, priority = rng.choice(budgets), rng.randrange(3)
         budget.sent("archiv", repeated=False, now_ms=now_ms)
         requests.append(now_ms)
         allowed = budget.allows("archiv", now_ms, priority=priority)
-        if rng.random() < failing and allowed:
+        if rng.random() < failed_share and allowed:
             budget.sent("archiv", repeated=True, now_ms=now_ms, priority=priority)
-            repeats.append(now_ms)
+            retries.append(now_ms)
     for end_ms in range(10_000, 26_000, 1_000):
         begin_ms = end_ms - WINDOW_MS
-        told = sum(begin_ms < at_ms <= end_ms for at_ms in repeats)
-        asked = sum(begin_ms < at_ms <= end_ms for at_ms in requests)
-        assert told <= RATIO * asked + SLACK
+        retries_in_window = sum(begin_ms < at_ms <= end_ms for at_ms in retries)
+        requests_in_window = sum(begin_ms < at_ms <= end_ms for at_ms in requests)
+        assert retries_in_window <= RATIO * requests_in_window + SLACK
 
 
-def exchange(budgets, now_ms):
-    """Tell all sidecars the sums of what each has sent, as gatherers do."""
+def exchange_totals(budgets, now_ms):
+    """Give all budgets the totals of their counts, as zone aggregators do."""
     counts = {}
     for budget in budgets:
-        for service, told in budget.counted(now_ms).items():
+        for service, reported in budget.counted(now_ms).items():
             known = counts.get(service, Counted(0, 0))
             counts[service] = Counted(
-                known.requests + told.requests, known.repeats + told.repeats
+                known.requests + reported.requests, known.repeats + reported.repeats
             )
     for budget in budgets:
         budget._totals.totals = counts, len(budgets)
 
 
-def test_many_repeats_pass_while_the_fleet_makes_few():
-    """One service loses two answers of five for some seconds. The fleet's bound leaves
-    room for all repeats, though each sidecar's own safe part doesn't.
+def test_many_retries_are_allowed_while_the_fleet_makes_few():
+    """One service loses 2 of 5 responses for some seconds. The fleet's budget allows
+    more retries than the safe part of each sidecar.
     """
     budgets = [new_budget(10) for _ in range(10)]
     for budget in budgets:
         for number in range(100):
             budget.sent("archiv", repeated=False, now_ms=number * 10.0)
-    exchange(budgets, 1_000.0)
-    one = budgets[0]
+    exchange_totals(budgets, 1_000.0)
+    first_budget = budgets[0]
     allowed = 0
-    while one.allows("archiv", 1_000.0) and allowed < 100:
-        one.sent("archiv", repeated=True, now_ms=1_000.0)
+    while first_budget.allows("archiv", 1_000.0) and allowed < 100:
+        first_budget.sent("archiv", repeated=True, now_ms=1_000.0)
         allowed += 1
     assert 15 <= allowed <= 25
 
 
-def test_sidecar_that_does_not_hear_all_others_keeps_to_its_safe_part():
+def test_sidecar_without_reports_of_most_others_keeps_to_its_safe_part():
     budget = new_budget(10)
     for number in range(100):
         budget.sent("archiv", repeated=False, now_ms=number * 10.0)
@@ -109,9 +109,9 @@
     assert not budget.allows("archiv", 1_000.0)
 
 
-def test_repeats_of_three_levels_of_calls_add_up_to_the_ratio():
-    """A repeated request repeats its calls, and theirs: each level's own repeats come
-    on top of those that it inherits, and the deepest service sees the sum.
+def test_retries_of_three_levels_of_calls_stay_within_the_ratio():
+    """A retried request makes its child calls again. Each level adds its own retries to
+    those that it gets from upstream, and the deepest service gets the sum.
     """
     levels = ["archiv", "schvaleni", "vydej"]
     budget = new_budget(1)
@@ -130,13 +130,15 @@
 
 
 CHAIN = (("archiv", 1), ("schvaleni", 1), ("vydej", 1), ("prehled", 4))
-"""Services that a lookup passes through, and how often each calls the next one."""
+"""Services in the call chain of a lookup, each with the number of times that it is
+called by one request of the service before it."""
 
 
-def test_chain_that_fails_at_each_service_keeps_the_bound_of_the_deepest():
-    """Answers are lost at four services at once. Each request that is repeated repeats
-    its calls, by sidecars that know nothing of it, and they add up from all levels: the
-    deepest service gets a tenth more than the platform allows.
+def test_retries_at_the_deepest_service_stay_within_the_budget_if_all_levels_fail():
+    """Responses are lost at 4 services at once. Retried requests make their child calls
+    again, and the sidecars of each level don't know the retries of the others.
+    Failure: the retries of all levels add up, and the deepest service gets a tenth more
+    than the platform allows.
     """
     rng = random.Random(5)
     groups = {service: [new_budget(16) for _ in range(4)] for service, _ in CHAIN}
@@ -161,25 +163,27 @@
             arrivals[repeated].append(now_ms)
         call(depth + 1, now_ms, repeated=repeated)
 
-    now_ms = told_ms = 0.0
+    now_ms = exchanged_ms = 0.0
     while now_ms < 20_000:
         now_ms += 2.0
-        if now_ms - told_ms >= 1_000.0:
-            told_ms = now_ms
-            exchange([budget for group in groups.values() for budget in group], now_ms)
+        if now_ms - exchanged_ms >= 1_000.0:
+            exchanged_ms = now_ms
+            exchange_totals(
+                [budget for group in groups.values() for budget in group], now_ms
+            )
         call(0, now_ms, repeated=False)
     for end_ms in range(10_000, 20_000, 500):
         begin_ms = end_ms - WINDOW_MS
-        asked, told = (
+        requests_in_window, retries_in_window = (
             sum(begin_ms < at_ms <= end_ms for at_ms in arrivals[repeated])
             for repeated in (False, True)
         )
-        assert told <= RATIO * asked + SLACK
+        assert retries_in_window <= RATIO * requests_in_window + SLACK
 
 
-def test_one_silent_host_of_a_large_fleet_leaves_the_sum_of_use():
-    """One host of two hundred is restarted or cut off at most times. If its missing
-    counts made all others keep to their safe part, they would do so for ever.
+def test_totals_of_a_large_fleet_are_used_without_one_silent_host():
+    """In a fleet of 200 hosts, one is restarting or unreachable most of the time. If
+    its missing counts limited the others to their safe part, they would always be so.
     """
     fleet = Fleet()
     budget = new_budget(200, fleet)
@@ -193,12 +197,12 @@
     assert not budget.allows("archiv", 1_000.0)
 
 
-def test_unknown_service_may_use_its_part_of_the_slack():
+def test_unknown_service_has_its_part_of_the_slack():
     assert new_budget(1).allows("archiv", 0.0)
     assert not new_budget(100).allows("archiv", 0.0)
 
 
-def test_old_repeats_are_forgotten():
+def test_retries_before_the_window_do_not_count():
     budget = new_budget(10)
     for _ in range(2):
         budget.sent("archiv", repeated=True, now_ms=0.0)
@@ -206,37 +210,41 @@
     assert budget.allows("archiv", 11_500.0)
 
 
-def fail_all(budget, priorities, *, below=()):
-    """Send 100 requests in a second, of which each is repeated if it may be.
+def send_failing_requests(budget, priorities, *, below=()):
+    """Send 100 requests within 1 s and retry each if the budget allows.
 
     Returns:
-        The repeats, by priority.
+        The retries, by priority.
     """
-    repeats = Counter()
+    retries = Counter()
     for number in range(100):
         now_ms = number * 10.0
         budget.sent("prehled", repeated=False, now_ms=now_ms)
         priority = priorities[number % len(priorities)]
         if budget.allows("prehled", now_ms, below=below, priority=priority):
             budget.sent("prehled", repeated=True, now_ms=now_ms, priority=priority)
-            repeats[priority] += 1
-    return repeats
+            retries[priority] += 1
+    return retries
 
 
-def test_repeats_at_the_deepest_service_go_to_the_more_important_first():
-    """The deepest service refuses half of all it gets. Spread over all trees, the
-    repeats save hardly any, since each makes eight calls: bookings fail like lookups.
+def test_retries_at_the_deepest_service_prefer_higher_priorities():
+    """The deepest service refuses half of its requests. Each call tree makes 8 calls.
+    Retries spread over all call trees would complete hardly any of them, and
+    bookings would fail as often as lookups.
     """
-    repeats = fail_all(new_budget(1), [0, 2])
-    assert repeats[2] <= repeats[0] / 2
-    assert repeats.total() <= 0.2 * 100 + SLACK / 2
+    retries = send_failing_requests(new_budget(1), [0, 2])
+    assert retries[2] <= retries[0] / 2
+    assert retries.total() <= 0.2 * 100 + SLACK / 2
 
 
-def test_less_important_ones_have_the_budget_to_themselves_if_nothing_else_fails():
-    alone = fail_all(new_budget(1), [2])
-    assert alone[2] >= 0.9 * fail_all(new_budget(1), [0])[0]
+def test_low_priority_has_the_full_budget_if_nothing_else_fails():
+    low_priority_only = send_failing_requests(new_budget(1), [2])
+    assert low_priority_only[2] >= 0.9 * send_failing_requests(new_budget(1), [0])[0]
 
 
-def test_service_that_calls_others_keeps_to_the_part_that_adds_up_over_levels():
+def test_service_with_downstream_services_keeps_to_the_share_that_adds_up():
     budget = new_budget(2)
-    assert fail_all(budget, [0], below={"archiv"}).total() <= 0.35 * 20 + SLACK / 4
+    assert (
+        send_failing_requests(budget, [0], below={"archiv"}).total()
+        <= 0.35 * 20 + SLACK / 4
+    )
--- a/packages/sassafraswinch-sidecar/tests/test_request_log.py
+++ b/packages/sassafraswinch-sidecar/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""Log lines within bounds, to a reader that may stand still."""
+"""Rate limits of the request log, and log output to a reader that may stop reading."""
 
 import asyncio
 import os
@@ -7,9 +7,9 @@
 from sassafraswinch_sidecar.request_log import RequestLog
 
 
-def test_failures_have_lines_when_successes_have_used_up_theirs(log_stream):
-    """Under load thousands of requests a second are served, and few fail. On-call
-    engineers look for the ids of the few.
+def test_failures_are_logged_when_the_limit_of_successes_is_reached(log_stream):
+    """Under load thousands of requests per second are served, and few fail. Operators
+    look for the ids of the failed ones, so lines on successes must not crowd them out.
     """
     now_ms = [0.0]
     log = RequestLog(now_ms=lambda: now_ms[0])
@@ -21,7 +21,7 @@
     assert "event=not_served request_id=f-1 reason=deadline" in lines[-1]
 
 
-def test_lines_left_out_are_counted(log_stream):
+def test_omitted_lines_are_counted(log_stream):
     now_ms = [0.0]
     log = RequestLog(now_ms=lambda: now_ms[0])
     for number in range(1_000):
@@ -32,8 +32,8 @@
 
 
 def test_last_lines_are_written_after_the_event_loop_has_ended():
-    """A sidecar stops. Its log ends with the beginning of the stop, and whoever looks
-    for what it did last takes it for one that was killed.
+    """A sidecar stops. If the log lacked its last lines, a regular stop would look like
+    a killed process.
     """
     reader, writer = os.pipe()
     output = LineOutput(fd=writer)
@@ -50,9 +50,9 @@
     os.close(writer)
 
 
-async def test_reader_that_stands_still_holds_nothing_up():
-    """Whoever reads the log stops reading. The pipe fills up; the process must neither
-    wait nor hold ever more text.
+async def test_reader_that_stops_reading_does_not_block_the_process():
+    """The reader of the log stops reading, and the pipe fills up. The process must
+    neither block nor buffer an unlimited number of lines.
     """
     reader, writer = os.pipe()
     output = LineOutput(fd=writer)
--- a/packages/sassafraswinch-sidecar/tests/test_routes.py
+++ b/packages/sassafraswinch-sidecar/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and splits by weight."""
+"""Route lookup by host and longest prefix, and choice of services by weight."""
 
 from collections import Counter
 
@@ -8,8 +8,8 @@
 
 
 def route(name="r", host="a.example", prefix="/", shares=(("archiv", 1),), **fields):
-    """Return a route with defaults for what a test doesn't name."""
-    given_fields = {
+    """Return a route with default values for the fields that aren't given."""
+    all_fields = {
         "idempotent": True,
         "max_attempts": 2,
         "timeout_ms": 1_000.0,
@@ -21,11 +21,11 @@
         host=host,
         prefix=prefix,
         shares=tuple(Share(service=s, weight=w) for s, w in shares),
-        **given_fields,
+        **all_fields,
     )
 
 
-def test_longest_prefix_that_begins_the_path_wins():
+def test_longest_matching_prefix_wins():
     table = RouteTable(
         version=1,
         routes=(
@@ -41,7 +41,7 @@
     assert table.find("c.example", "/a/") is None
 
 
-def test_root_prefix_takes_every_path():
+def test_root_prefix_matches_every_path():
     table = RouteTable(version=1, routes=(route("all", prefix="/"),))
     assert table.find("a.example", "/x").name == "all"
     assert table.find("a.example", "/").name == "all"
@@ -59,21 +59,21 @@
     st.lists(st.integers(1, 100), min_size=2, max_size=5),
     st.integers(20, 200),
 )
-def test_each_part_stays_within_one_request_of_its_share(weights, requests):
+def test_request_counts_stay_near_their_shares(weights, requests):
     """An operator splits a route 90 to 10; a caller sends only a few dozen requests.
 
-    With random choice the small part is off by half its share now and then. The
-    chooser keeps every part near its share at any moment.
+    With a random choice the smaller count would sometimes be off by half its share. The
+    round-robin keeps every count near its share at any moment.
     """
     split = route(shares=tuple((f"s{n}", w) for n, w in enumerate(weights)))
     chooser = ShareChooser()
     counts = Counter(chooser.choose(split) for _ in range(requests))
     for number, weight in enumerate(weights):
-        wanted = requests * weight / sum(weights)
-        assert abs(counts[f"s{number}"] - wanted) <= len(weights)
+        expected = requests * weight / sum(weights)
+        assert abs(counts[f"s{number}"] - expected) <= len(weights)
 
 
-def test_changed_split_starts_anew():
+def test_changed_services_reset_the_credits():
     chooser = ShareChooser()
     chooser.choose(route(shares=(("a", 1), ("b", 1))))
     chosen = {chooser.choose(route(shares=(("c", 1), ("d", 1)))) for _ in range(2)}
