--- a/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
@@ -90,7 +90,7 @@
 
 
 async def test_requests_that_did_not_run_are_not_counted(fleet):
-    """Guards against counting requests towards a limit that a server has shed."""
+    """Guards against a limit that counts requests shed by a server."""
 
     def refuse(connection, seen):
         fields = b"X-Not-Run: 1\r\n"
--- a/packages/sassafraswinch-sidecar/tests/test_repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/tests/test_repeat_budget.py
@@ -183,7 +183,7 @@
 
 def test_totals_of_a_large_fleet_are_used_without_one_silent_host():
     """In a fleet of 200 hosts, one is restarting or unreachable most of the time. If
-    its missing counts limited the others to their safe part, they would always be so.
+    its missing counts limited the others to their safe part, that would be permanent.
     """
     fleet = Fleet()
     budget = new_budget(200, fleet)
