--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -454,10 +454,10 @@
         )
 
     def _release(self, execution: Execution) -> None:
-        place = execution.place
-        if place is None or place.started_at_ms is None or execution.ended:
+        queue_entry = execution.place
+        if queue_entry is None or queue_entry.started_at_ms is None or execution.ended:
             return
-        held_ms = self.queue.finished(place, self._loop.time() * 1000)
+        held_ms = self.queue.finished(queue_entry, self._loop.time() * 1000)
         add_slot_times(execution.slot_ms, {self._service: held_ms})
 
     def _remove(self, execution: Execution) -> None:
