--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -64,7 +64,7 @@
         reply: callback that gets the response.
         owner: with the call id of the request, identifies the execution.
         deadline_ms: event loop time at which the request times out.
-        place: queue entry; None until the request is queued.
+        place: entry in the server's queue; None until the request is queued.
         exchange: HTTP exchange with the server; None until the request starts.
         offered: whether the request was written to the server.
         ended: whether the execution has ended or was cancelled.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -70,6 +70,9 @@
 
     A request that isn't idempotent is retried only after a proof that it has not run.
     All retries are limited by the retry budget.
+
+    Attributes:
+        relays: relays whose current attempt has no response yet, by call id.
     """
 
     def __init__(
@@ -97,7 +100,7 @@
         self._closed = False
         self._own_ip = own_ip
         self._intake = intake
-        self._answers = answers
+        self._responses = answers
         self._fleet = fleet
         self._links = links
         self._view = view
@@ -107,7 +110,7 @@
         self._admission = admission
         self._suspects = suspects
         self._held = held
-        self._counts = counts
+        self._counters = counts
         self._log = log
         self._retry_policy = RelayRepeats(budget=budget, now_ms=self._now_ms)
         self._outcomes = RelayOutcomes(admission=admission, now_ms=self._now_ms)
@@ -126,7 +129,7 @@
         """Accept a request (RequestHandler)."""
         received = self._intake.take(http, connection, closed=self._closed)
         if not isinstance(received, Relay):
-            self._answers.refuse(http, connection, received)
+            self._responses.refuse(http, connection, received)
             return
         relay = received
         self._open_by_http[http] = relay
@@ -147,7 +150,7 @@
         relay = self._open_by_http.get(http)
         if relay is None:
             return
-        self._counts.ended("caller-left")
+        self._counters.ended("caller-left")
         self._log.failed(
             "caller_left",
             relay.request_id,
@@ -225,7 +228,7 @@
         if overloaded_service is None:
             self._spend_token(relay)
             return True
-        self._answers.refuse_overloaded(
+        self._responses.refuse_overloaded(
             relay, overloaded_service, self._admission.fits[relay.kind].share
         )
         self._finish(relay)
@@ -239,7 +242,7 @@
         if decision is None or decision.admitted:
             return True
         relay.retry_after_ms = self._rates.wait_ms(decision)
-        self._answers.refuse_over_limit(relay, decision)
+        self._responses.refuse_over_limit(relay, decision)
         self._finish(relay)
         return False
 
@@ -337,14 +340,14 @@
 
     def _deliver_response(self, relay: Relay, response: RelayResponse) -> None:
         self._outcomes.answered(relay, response)
-        self._answers.deliver(relay, response)
+        self._responses.deliver(relay, response)
         self._finish(relay)
 
     def _fail(self, relay: Relay, reason: str, status: int) -> None:
         if status == NOT_RUN_STATUS and relay.has_token:
             self._rates.give_back(relay.caller, self._now_ms())
         self._outcomes.failed(relay)
-        self._answers.fail(relay, reason, status)
+        self._responses.fail(relay, reason, status)
         self._finish(relay)
 
     def _own_response(self, response: RelayResponse) -> None:
@@ -395,7 +398,7 @@
             reason=reason,
             offers=relay.offers,
         )
-        self._counts.repeated(relay.service)
+        self._counters.repeated(relay.service)
         relay.repeated = True
         self._place(relay)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
@@ -56,7 +56,7 @@
         rng: random.Random,
     ):
         self._request_id_name = names.request_id
-        self._counts = counts
+        self._counters = counts
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
@@ -64,7 +64,7 @@
     def deliver(self, relay: Relay, response: RelayResponse) -> None:
         """Forward the response of a backend server."""
         held_ms = self._held_ms(relay.http)
-        self._counts.answered(relay.route.name, held_ms, response.status)
+        self._counters.answered(relay.route.name, held_ms, response.status)
         log = self._log.served if response.status < 400 else self._log.failed
         log(
             "answered",
@@ -92,7 +92,7 @@
             service: the overloaded service.
             share: admitted share of the route's requests.
         """
-        self._counts.ended(OVERLOADED)
+        self._counters.ended(OVERLOADED)
         self._log.failed(
             "refused_at_entry",
             relay.request_id,
@@ -111,7 +111,7 @@
             relay: the request, whose ``retry_after_ms`` is set.
             decision: decision of the rate limit.
         """
-        self._counts.ended(OVER_LIMIT)
+        self._counters.ended(OVER_LIMIT)
         limit = relay.caller.limit
         self._log.failed(
             "refused_over_limit",
@@ -138,7 +138,7 @@
             status: status code; ``NOT_RUN_STATUS`` only with a proof that the request
                 has not run.
         """
-        self._counts.ended(reason)
+        self._counters.ended(reason)
         self._log.failed(
             "not_served",
             relay.request_id,
@@ -165,8 +165,8 @@
     def refuse(
         self, http: HttpRequest, connection: CallerConnection, refusal: Unroutable
     ) -> None:
-        """Send an error response for a request without a route or a valid key."""
-        self._counts.ended(refusal.reason)
+        """Send an error response for a request that was refused at intake."""
+        self._counters.ended(refusal.reason)
         self._log.failed(
             "refused",
             refusal.request_id,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counts.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counts.py
@@ -11,7 +11,7 @@
     Attributes:
         answers: responses of backend servers, by route and status.
         ends: requests without a response of a backend server, by reason.
-        repeats: retries, by service.
+        repeats: number of retries, by service.
         latencies: latency histogram of the responses, by route.
     """
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unroutable:
-    """A request that is refused because it has no route or no valid key.
+    """A request refused at intake: no route, no valid key, or sidecar not ready.
 
     Attributes:
         request_id: request id set by the caller.
@@ -174,7 +174,7 @@
         self._fleet = fleet
         self._executor = executor
         self._rng = rng
-        self._shares = ShareChooser()
+        self._round_robin = ShareChooser()
 
     def take(
         self, http: HttpRequest, connection: CallerConnection, *, closed: bool
@@ -209,7 +209,7 @@
             http=http,
             connection=connection,
             route=route,
-            service=self._shares.choose(route),
+            service=self._round_robin.choose(route),
             request_id=request_id,
             deadline_ms=deadline_ms,
             priority=parent.request.priority
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
@@ -26,13 +26,14 @@
 
 DEEPEST_SHARES = (0.8, 0.6, 0.4)
 """Share of the fleet's ratio at a service without downstream services, by the priority
-of the root request, while requests of higher priority are retried as well. The last one
-is for all lower priorities. No downstream service counts these retries again.
+of the root request; the last one is for all lower priorities. Without retries of higher
+priority, every priority has the first share. No downstream service counts these retries
+again.
 
 Load pattern: the deepest service refuses half of its requests. A call tree of 8 calls
 completes only if each call can be retried several times. Retries that are spread over
-all call trees complete hardly any of them; retries spent on those of the highest
-priority complete these."""
+all call trees complete hardly any of them; retries spent on the call trees of the
+highest priority complete those."""
 
 PRESSING_SHARE = 0.1
 """Share of the retries above which those of higher-priority requests reduce the budget
