--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
@@ -21,7 +21,7 @@
 
     def __init__(self, *, most_bytes: float):
         self.unsent_bytes = 0
-        self._most_bytes = most_bytes
+        self._max_bytes = most_bytes
         self._bodies_bytes = 0
 
     @property
@@ -31,7 +31,7 @@
 
     def fits(self, more_bytes: int = 0) -> bool:
         """Return whether the limit allows so many more bytes."""
-        return self.total_bytes + more_bytes <= self._most_bytes
+        return self.total_bytes + more_bytes <= self._max_bytes
 
     def hold(self, more_bytes: int) -> None:
         """Add bytes to the count."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
@@ -145,7 +145,7 @@
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms + BUCKET_MS
-        self._most_sidecars = most_sidecars
+        self._max_sidecars = most_sidecars
         self._sidecars = sidecars
         self._totals = totals
         self._windows: dict[str, _Window] = {}
@@ -199,7 +199,7 @@
             below: services that its requests call, directly or indirectly.
             priority: priority of the root request.
         """
-        slack = self._slack / 2 / max(1, self._most_sidecars())
+        slack = self._slack / 2 / max(1, self._max_sidecars())
         window = self._windows.get(service)
         if window is None:
             return slack >= 1.0
