--- a/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
@@ -43,7 +43,7 @@
 
 
 def knows_full_window(node):
-    usage = node.sidecar._view.uses(node.sidecar._now_ms())
+    usage = node.sidecar._view.usage(node.sidecar._now_ms())
     return usage.hosts == 2 and not usage.unknown_ms
 
 
