--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -293,7 +293,7 @@
     def _handle_exchange_end(
         self, exchange: Exchange, end: HttpResponse | Fault
     ) -> None:
-        execution = exchange.item
+        execution = exchange.context
         if isinstance(end, HttpResponse):
             self._watch.alive()
             self._server_exits.answered()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -142,7 +142,7 @@
         """Refuse new requests; those in flight continue."""
         self._closed = True
 
-    def gone(self, http: HttpRequest) -> None:
+    def caller_disconnected(self, http: HttpRequest) -> None:
         """Cancel a request whose caller has disconnected (RequestHandler).
 
         The executing sidecar lets a started request that isn't idempotent finish.
@@ -324,7 +324,7 @@
             self._own_load.sent_since += 1
             self._executor.submit(request, self._own_response, self)
             return
-        if not self._links.request(instance.ip, request):
+        if not self._links.send_request(instance.ip, request):
             del self.relays[relay.call_id]
             self._place(relay)
             return
--- a/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
@@ -47,12 +47,12 @@
 
 
 def requests_seen_by(fleet, service):
-    return [seen for node in fleet.of(service) for seen in node.backend.seen]
+    return [seen for node in fleet.nodes_of(service) for seen in node.backend.seen]
 
 
 async def test_the_server_gets_the_organisation_and_not_the_key(fleet):
     fields = KEY + "X-Organisation: forged\r\nAccept: x\r\n"
-    response = await fleet.call(fleet.of("schvaleni")[0], fields=fields)
+    response = await fleet.call(fleet.nodes_of("schvaleni")[0], fields=fields)
     (seen,) = requests_seen_by(fleet, "archiv")
     assert response.status == 200
     assert seen.headers[b"x-organisation"] == b"a"
@@ -134,16 +134,16 @@
     def refuse(connection, seen):
         tasks.append(asyncio.create_task(remove_key_and_refuse(connection, seen)))
 
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = refuse
-    response = await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
+    response = await fleet.call(fleet.nodes_of("schvaleni")[0], fields=KEY)
     assert response.status == 503
     assert len(archiv.backend.seen) == 1
 
 
 async def make_child_call(fleet, *, parent_runs):
     """Let a server make a child call without a key; return the response to it."""
-    (caller,) = fleet.of("schvaleni")
+    (caller,) = fleet.nodes_of("schvaleni")
     results = []
     tasks = []
 
@@ -160,7 +160,7 @@
         tasks.append(asyncio.create_task(call_and_respond(connection, seen)))
 
     caller.backend.behaviour = behave
-    await fleet.call(fleet.of("archiv")[0], target="/approve/1", fields=KEY)
+    await fleet.call(fleet.nodes_of("archiv")[0], target="/approve/1", fields=KEY)
     return results[0]
 
 
@@ -182,14 +182,14 @@
 
 async def test_the_repr_of_a_request_contains_no_keys(fleet):
     shown = []
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
 
     def show_relays(connection, seen):
-        owner = fleet.of("schvaleni")[0].sidecar._owner
+        owner = fleet.nodes_of("schvaleni")[0].sidecar._owner
         shown.extend(repr(relay) for relay in owner.relays.values())
         connection.transport.write(answer(seen))
 
     archiv.backend.behaviour = show_relays
-    await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
+    await fleet.call(fleet.nodes_of("schvaleni")[0], fields=KEY)
     assert shown
     assert "key-a" not in "".join(shown)
--- a/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
+++ b/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
@@ -50,10 +50,10 @@
 async def count_upstream_runs(fleet):
     """Send a request whose child call fails; return how often the request ran."""
     tasks = []
-    callers = fleet.of("schvaleni")
+    callers = fleet.nodes_of("schvaleni")
     for node in callers:
         node.backend.behaviour = call_archiv(node, tasks)(fleet)
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = shed
     await fleet.call(archiv, target="/approve/1")
     return sum(len(node.backend.seen) for node in callers)
@@ -64,7 +64,7 @@
     upstream service then responds with 500. A retry of the upstream request would run
     the full call tree again, for calls that may not be retried themselves.
     """
-    for node in fleet.of("schvaleni"):
+    for node in fleet.nodes_of("schvaleni"):
         node.sidecar._budget.allows = lambda *args, **options: False
     assert await count_upstream_runs(fleet) == 1
 
@@ -98,7 +98,7 @@
     """
     for node in fleet.nodes:
         node.sidecar._budget.allows = lambda *args, **options: True
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = refuse_all_but_every(4)
     for number in range(5):
         response = await fleet.call(fleet.nodes[1], request_id=f"r-{number}")
@@ -118,5 +118,5 @@
         node.backend.behaviour = shed
     response = await fleet.call(fleet.nodes[0], target="/approve/1")
     assert response.status == 503
-    seen = sorted(len(node.backend.seen) for node in fleet.of("schvaleni"))
+    seen = sorted(len(node.backend.seen) for node in fleet.nodes_of("schvaleni"))
     assert seen == [0, MAX_OFFERS]
