--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/caller_responses.py
@@ -4,14 +4,14 @@
 import random
 
 from sassafraswinch.organisation_rates import RateDecision
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 from sassafraswinch_sidecar.relay_intake import (
     NO_ROUTE,
     UNKNOWN_KEY,
+    IntakeRefusal,
     Relay,
-    Unroutable,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse
 from sassafraswinch_sidecar.request_log import RequestLog
@@ -23,7 +23,7 @@
 MIN_RETRY_AFTER_MS = 50.0
 """Minimum of ``Retry-After``: an earlier retry would meet the same queue."""
 
-UNREADY_RETRY_MS = 500.0
+UNREADY_RETRY_AFTER_MS = 500.0
 """``Retry-After`` while no routes are known: reading them takes less than a second."""
 
 OVERLOADED = "overloaded"
@@ -44,19 +44,19 @@
 TIMEOUT_STATUS = 504
 
 
-class RelayAnswers:
+class CallerResponses:
     """Sends the final responses to callers."""
 
     def __init__(
         self,
         *,
         names: HeaderNames,
-        counts: RelayCounts,
+        counters: RelayCounters,
         log: RequestLog,
         rng: random.Random,
     ):
         self._request_id_name = names.request_id
-        self._counters = counts
+        self._counters = counters
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
@@ -64,7 +64,7 @@
     def deliver(self, relay: Relay, response: RelayResponse) -> None:
         """Forward the response of a backend server."""
         held_ms = self._held_ms(relay.http)
-        self._counters.answered(relay.route.name, held_ms, response.status)
+        self._counters.record_response(relay.route.name, held_ms, response.status)
         log = self._log.served if response.status < 400 else self._log.failed
         log(
             "answered",
@@ -92,7 +92,7 @@
             service: the overloaded service.
             share: admitted share of the route's requests.
         """
-        self._counters.ended(OVERLOADED)
+        self._counters.record_unserved(OVERLOADED)
         self._log.failed(
             "refused_at_entry",
             relay.request_id,
@@ -111,7 +111,7 @@
             relay: the request, whose ``retry_after_ms`` is set.
             decision: decision of the rate limit.
         """
-        self._counters.ended(OVER_LIMIT)
+        self._counters.record_unserved(OVER_LIMIT)
         limit = relay.caller.limit
         self._log.failed(
             "refused_over_limit",
@@ -138,7 +138,7 @@
             status: status code; ``NOT_RUN_STATUS`` only with a proof that the request
                 has not run.
         """
-        self._counters.ended(reason)
+        self._counters.record_unserved(reason)
         self._log.failed(
             "not_served",
             relay.request_id,
@@ -146,7 +146,7 @@
             status=status,
             reason=reason,
             offers=relay.offers,
-            places=relay.places,
+            places=relay.placements,
             instance=relay.instance_id,
             held_ms=self._held_ms(relay.http),
             inner=relay.parent is not None,
@@ -163,10 +163,10 @@
         relay.connection.respond(relay.http, status=status, header_lines=lines)
 
     def refuse(
-        self, http: HttpRequest, connection: CallerConnection, refusal: Unroutable
+        self, http: HttpRequest, connection: CallerConnection, refusal: IntakeRefusal
     ) -> None:
         """Send an error response for a request that was refused at intake."""
-        self._counters.ended(refusal.reason)
+        self._counters.record_unserved(refusal.reason)
         self._log.failed(
             "refused",
             refusal.request_id,
@@ -181,7 +181,7 @@
             lines = b"WWW-Authenticate: Bearer\r\n"
             connection.respond(http, status=UNKNOWN_KEY_STATUS, header_lines=lines)
             return
-        lines = _serialize_retry_after(UNREADY_RETRY_MS)
+        lines = _serialize_retry_after(UNREADY_RETRY_AFTER_MS)
         connection.respond(http, status=NOT_RUN_STATUS, header_lines=lines)
 
     def _retry_after_ms(self, relay: Relay) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sassafraswinch_sidecar.backend_watch import BackendWatch
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_client import (
     Exchange,
@@ -14,7 +14,7 @@
     HttpResponse,
 )
 from sassafraswinch_sidecar.http_fields import (
-    DROPPED,
+    NOT_FORWARDED,
     serialize_end_to_end,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -36,7 +36,7 @@
 TICK_S = 0.02
 """Interval of the check for expired queue waits, which last tens of ms or more."""
 
-OVERTIME_MS = 50.0
+RESPONSE_GRACE_MS = 50.0
 """Time past a request's deadline for which the server's response is still awaited. The
 server stops at the deadline by itself, and its own response says more about the outcome
 than a time-out does."""
@@ -44,7 +44,7 @@
 OTHER_INSTANCE = "other-instance"
 INSTANCE_LEAVING = "instance-leaving"
 MISDIRECTED_STATUS = 421
-SERVER_FAILURE = 500
+SERVER_FAILURE_STATUS = 500
 """Lowest status code of a server failure. Such a response doesn't clear a suspect,
 because the run may have been cut short."""
 
@@ -64,7 +64,7 @@
         reply: callback that gets the response.
         owner: with the call id of the request, identifies the execution.
         deadline_ms: event loop time at which the request times out.
-        place: entry in the server's queue; None until the request is queued.
+        queue_entry: entry in the server's queue; None until the request is queued.
         exchange: HTTP exchange with the server; None until the request starts.
         offered: whether the request was written to the server.
         ended: whether the execution has ended or was cancelled.
@@ -81,7 +81,7 @@
     reply: Reply
     owner: object
     deadline_ms: float
-    place: QueuedRequest | None = None
+    queue_entry: QueuedRequest | None = None
     exchange: Exchange | None = None
     offered: bool = False
     ended: bool = False
@@ -182,7 +182,7 @@
                 execution.actual_instance_id = self._watch.trusted_instance_id()
             self._end_not_run(execution, refusal)
             return
-        execution.place = QueuedRequest(
+        execution.queue_entry = QueuedRequest(
             execution,
             request.inner,
             request.priority,
@@ -190,7 +190,7 @@
             request.progress,
             request.last,
         )
-        if not self.queue.offer(execution.place, now_ms):
+        if not self.queue.offer(execution.queue_entry, now_ms):
             self._end_not_run(execution, "overloaded")
             return
         self._open_executions[owner, request.call_id] = execution
@@ -209,12 +209,12 @@
         execution = self._open_executions.get((owner, call_id))
         if execution is None:
             return
-        if self.queue.withdraw(execution.place):
+        if self.queue.withdraw(execution.queue_entry):
             self._remove(execution)
         elif execution.request.idempotent:
             self._abort(execution)
 
-    def owner_lost(self, owner: object) -> None:
+    def cancel_owner(self, owner: object) -> None:
         """Cancel all requests of an owner that can no longer get their responses."""
         for key_owner, call_id in list(self._open_executions):
             if key_owner is owner:
@@ -360,10 +360,10 @@
         if encoded or (response.status < 300 and not signed):
             self._end(execution, Verdict.MAY_HAVE_RUN, "server-garbled")
             return
-        if response.status < SERVER_FAILURE:
+        if response.status < SERVER_FAILURE_STATUS:
             self._server_exits.ran_well(execution.request)
             self._suspects.answered(execution.request)
-        lines = serialize_end_to_end(response.fields, DROPPED)
+        lines = serialize_end_to_end(response.fields, NOT_FORWARDED)
         self._end(
             execution,
             Verdict.ANSWERED,
@@ -373,15 +373,15 @@
             body=response.body,
         )
 
-    def stood_still(self, paused_ms: float) -> None:
+    def apply_pause(self, paused_ms: float) -> None:
         """Subtract a process pause that the clock did not count from all deadlines."""
         for execution in self._open_executions.values():
             execution.deadline_ms -= paused_ms
-            execution.place.give_up_at_ms -= paused_ms
+            execution.queue_entry.give_up_at_ms -= paused_ms
 
     def expire(self, now_ms: float) -> None:
         """Time out the running requests that are past their deadline."""
-        overdue_ms = now_ms - OVERTIME_MS
+        overdue_ms = now_ms - RESPONSE_GRACE_MS
         overdue = [
             execution
             for execution in self._open_executions.values()
@@ -454,7 +454,7 @@
         )
 
     def _release(self, execution: Execution) -> None:
-        queue_entry = execution.place
+        queue_entry = execution.queue_entry
         if queue_entry is None or queue_entry.started_at_ms is None or execution.ended:
             return
         held_ms = self.queue.finished(queue_entry, self._loop.time() * 1000)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
@@ -1,6 +1,6 @@
 """Memory limit of the request and response bodies that a process holds."""
 
-HELD_SHARE = 0.2
+BODY_MEMORY_SHARE = 0.2
 """Share of the process memory that bodies may use. A body can exist up to three times
 for a moment: as received, in a frame or serialized request, and in a socket buffer."""
 
@@ -13,15 +13,15 @@
     limit are refused unread instead, which affects no other request.
 
     Args:
-        most_bytes: the limit.
+        max_bytes: the limit.
 
     Attributes:
         unsent_bytes: bytes in the send buffers of peer links, as last measured.
     """
 
-    def __init__(self, *, most_bytes: float):
+    def __init__(self, *, max_bytes: float):
         self.unsent_bytes = 0
-        self._max_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._bodies_bytes = 0
 
     @property
@@ -42,6 +42,6 @@
         self._bodies_bytes -= fewer_bytes
 
 
-def most_held_bytes(memory_mb: float) -> float:
+def max_held_bytes(memory_mb: float) -> float:
     """Return the limit for a process with the given memory size."""
-    return memory_mb * 1_000_000 * HELD_SHARE
+    return memory_mb * 1_000_000 * BODY_MEMORY_SHARE
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
@@ -8,7 +8,7 @@
 """Header fields in order: name in lower case, name as received, value. Names are
 lowered once per message, since each is compared several times."""
 
-DROPPED = HOP_BY_HOP | {b"content-length", b"expect"}
+NOT_FORWARDED = HOP_BY_HOP | {b"content-length", b"expect"}
 """Names of fields that are not forwarded: hop-by-hop fields, and message framing, which
 each sender writes itself. Two conflicting framings would allow request smuggling."""
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/message_codec.py
@@ -133,7 +133,7 @@
     )
 
 
-def serialize_question(position: Position) -> ReplicaRequest:
+def serialize_replica_request(position: Position) -> ReplicaRequest:
     """Return the request for all changes after the position of a replica."""
     era, number = position.revision
     return ReplicaRequest(
@@ -141,7 +141,7 @@
     )
 
 
-def parse_question(request: ReplicaRequest) -> Position:
+def parse_replica_request(request: ReplicaRequest) -> Position:
     """Return the replica position of the requesting sidecar."""
     return Position(
         revision=Revision(request.era, request.after_revision),
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_outcomes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/outcome_recorder.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
-from sassafraswinch_sidecar.executor import SERVER_FAILURE
+from sassafraswinch_sidecar.executor import SERVER_FAILURE_STATUS
 from sassafraswinch_sidecar.placement import (
     LEAVING_WORD_MS,
     PaceMeter,
@@ -14,7 +14,7 @@
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse, Verdict
 
 
-class RelayOutcomes:
+class OutcomeRecorder:
     """Updates the load records of instances and the cost of routes from outcomes.
 
     Args:
@@ -32,7 +32,7 @@
         """Return the mean response size of a route in bytes; 0 before the first one."""
         return self._answer_bytes.mean(route)
 
-    def execution_ended(
+    def record_execution(
         self, relay: Relay, response: RelayResponse, load: PeerLoad | None
     ) -> None:
         """Record the speed and failure of one execution for its instance.
@@ -46,7 +46,8 @@
             return
         now_ms = self._now_ms()
         failed = (
-            response.verdict != Verdict.ANSWERED or response.status >= SERVER_FAILURE
+            response.verdict != Verdict.ANSWERED
+            or response.status >= SERVER_FAILURE_STATUS
         )
         if response.reason != "deadline":
             load.ended(failed=failed, now_ms=now_ms)
@@ -55,22 +56,22 @@
                 kind = (relay.route.name, relay.service)
                 load.took(self._paces.measure(kind, slot_time.slot_ms), now_ms)
 
-    def refused_as_leaving(self, load: PeerLoad | None) -> None:
+    def record_leaving_refusal(self, load: PeerLoad | None) -> None:
         """Record that a sidecar refuses requests because its server is leaving."""
         if load is not None:
             load.refuses_until_ms = self._now_ms() + LEAVING_WORD_MS
 
-    def answered(self, relay: Relay, response: RelayResponse) -> None:
+    def record_response(self, relay: Relay, response: RelayResponse) -> None:
         """Record the cost and response size of a request with a final response."""
         succeeded = response.status < 300
         if succeeded:
             self._answer_bytes.count(relay.route.name, len(response.body))
         if relay.parent is None and succeeded:
-            self._admission.learn(relay.kind, relay.slot_ms, self._now_ms())
+            self._admission.learn(relay.admission_class, relay.slot_ms, self._now_ms())
         elif relay.parent is None:
-            self._admission.learn_at_least(relay.kind, relay.slot_ms)
+            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
 
-    def failed(self, relay: Relay) -> None:
+    def record_failure(self, relay: Relay) -> None:
         """Record the slot time of a failed request as a lower bound of its cost."""
         if relay.parent is None and relay.slot_ms:
-            self._admission.learn_at_least(relay.kind, relay.slot_ms)
+            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -5,16 +5,16 @@
 
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.fleet import Fleet
-from sassafraswinch_sidecar.peer_link import PeerLink
-from sassafraswinch_sidecar.platform_reader import PLATFORM_SOURCE
-from sassafraswinch_sidecar.relay_protocol.ttypes import ReplicaReply, ReplicaRequest
-from sassafraswinch_sidecar.relay_wire import (
+from sassafraswinch_sidecar.message_codec import (
     Message,
     parse_delta,
-    parse_question,
+    parse_replica_request,
     serialize_delta,
-    serialize_question,
+    serialize_replica_request,
 )
+from sassafraswinch_sidecar.peer_link import PeerLink
+from sassafraswinch_sidecar.platform_reader import PLATFORM_SOURCE
+from sassafraswinch_sidecar.relay_protocol.ttypes import ReplicaReply, ReplicaRequest
 from sassafraswinch_sidecar.replica import Delta, Replica
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
@@ -116,7 +116,9 @@
         """Reply to a peer's request for changes, or apply its reply."""
         if isinstance(message, ReplicaRequest):
             link.send(
-                serialize_delta(self._replica.changes_since(parse_question(message)))
+                serialize_delta(
+                    self._replica.changes_since(parse_replica_request(message))
+                )
             )
         elif isinstance(message, ReplicaReply):
             self._requested_ms = 0.0
@@ -132,7 +134,7 @@
         ):
             return
         self._requested_ms = now_ms
-        link.send(serialize_question(position))
+        link.send(serialize_replica_request(position))
 
     def _record_restore(self, previous: Revision, source: str) -> None:
         self.restores += 1
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -7,10 +7,16 @@
 from sassafraswinch.crash_suspects import Judgement, Standing
 from sassafraswinch.organisation_rates import OrganisationRates
 from sassafraswinch.request_digest import digest_request, digest_text
+from sassafraswinch_sidecar.caller_responses import (
+    MAY_HAVE_RUN_STATUS,
+    NOT_RUN_STATUS,
+    TIMEOUT_STATUS,
+    CallerResponses,
+)
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import (
     INSTANCE_LEAVING,
-    SERVER_FAILURE,
+    SERVER_FAILURE_STATUS,
     Executor,
 )
 from sassafraswinch_sidecar.fleet import Fleet
@@ -18,26 +24,23 @@
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
 from sassafraswinch_sidecar.instances import Instance
+from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.peer_links import PeerLinks
 from sassafraswinch_sidecar.placement import PeerLoad, Placement
-from sassafraswinch_sidecar.relay_answers import (
-    MAY_HAVE_RUN_STATUS,
-    NOT_RUN_STATUS,
-    TIMEOUT_STATUS,
-    RelayAnswers,
-)
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 from sassafraswinch_sidecar.relay_intake import KEY_CHANGED, Relay, RelayIntake
-from sassafraswinch_sidecar.relay_outcomes import RelayOutcomes
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     RelayRequest,
     RelayResponse,
     Verdict,
 )
-from sassafraswinch_sidecar.relay_repeats import MIN_RETRY_LEFT_MS, RelayRepeats
 from sassafraswinch_sidecar.relay_requests import request_of
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget
+from sassafraswinch_sidecar.relay_retry_policy import (
+    MIN_RETRY_REMAINING_MS,
+    RelayRetryPolicy,
+)
 from sassafraswinch_sidecar.request_log import RequestLog
+from sassafraswinch_sidecar.retry_budget import RetryBudget
 from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
 from sassafraswinch_sidecar.slot_times import add_slot_times, parse_slot_times
 from sassafraswinch_sidecar.substitutes import Substitutes
@@ -47,11 +50,11 @@
     SuspectRequests,
 )
 
-MAX_PLACES = 4
+MAX_REFUSALS = 4
 """Maximum number of instances that may refuse one request before it reaches a backend
 server. Such a refusal uses no retry budget but costs a network round trip."""
 
-FINAL_MARGIN_MS = 130.0
+FINAL_RESPONSE_MARGIN_MS = 130.0
 """Time past a request's deadline for which the owner still waits for the response of
 the executing sidecar, because that response reports whether the request has run."""
 
@@ -61,7 +64,7 @@
 refused for lack of them. A killed process is restarted at once, and its callers
 reconnect immediately."""
 
-SETTLE_PAUSE_S = 0.03
+SETTLE_RETRY_INTERVAL_S = 0.03
 """Interval between placement attempts in that period; dialling takes milliseconds."""
 
 
@@ -81,7 +84,7 @@
         own_ip: str,
         own_load: PeerLoad,
         intake: RelayIntake,
-        answers: RelayAnswers,
+        responses: CallerResponses,
         fleet: Fleet,
         links: PeerLinks,
         view: FleetView,
@@ -89,10 +92,10 @@
         placement: Placement,
         rates: OrganisationRates,
         admission: EntryAdmission,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         suspects: SuspectRequests,
         held: HeldBytes,
-        counts: RelayCounts,
+        counters: RelayCounters,
         log: RequestLog,
     ):
         self.relays: dict[int, Relay] = {}
@@ -100,7 +103,7 @@
         self._closed = False
         self._own_ip = own_ip
         self._intake = intake
-        self._responses = answers
+        self._responses = responses
         self._fleet = fleet
         self._links = links
         self._view = view
@@ -110,10 +113,10 @@
         self._admission = admission
         self._suspects = suspects
         self._held = held
-        self._counters = counts
+        self._counters = counters
         self._log = log
-        self._retry_policy = RelayRepeats(budget=budget, now_ms=self._now_ms)
-        self._outcomes = RelayOutcomes(admission=admission, now_ms=self._now_ms)
+        self._retry_policy = RelayRetryPolicy(budget=budget, now_ms=self._now_ms)
+        self._outcomes = OutcomeRecorder(admission=admission, now_ms=self._now_ms)
         self._call_ids = itertools.count(1)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
@@ -127,7 +130,7 @@
 
     def handle(self, http: HttpRequest, connection: CallerConnection) -> None:
         """Accept a request (RequestHandler)."""
-        received = self._intake.take(http, connection, closed=self._closed)
+        received = self._intake.accept_request(http, connection, closed=self._closed)
         if not isinstance(received, Relay):
             self._responses.refuse(http, connection, received)
             return
@@ -150,7 +153,7 @@
         relay = self._open_by_http.get(http)
         if relay is None:
             return
-        self._counters.ended("caller-left")
+        self._counters.record_unserved("caller-left")
         self._log.failed(
             "caller_left",
             relay.request_id,
@@ -162,7 +165,7 @@
 
     def expire(self, now_ms: float) -> None:
         """Time out the requests that passed their deadline without a response."""
-        overdue_ms = now_ms - FINAL_MARGIN_MS
+        overdue_ms = now_ms - FINAL_RESPONSE_MARGIN_MS
         overdue = [
             relay
             for relay in self._open_by_http.values()
@@ -171,12 +174,12 @@
         for relay in overdue:
             self._time_out(relay)
 
-    def stood_still(self, paused_ms: float) -> None:
+    def apply_pause(self, paused_ms: float) -> None:
         """Subtract a process pause that the clock did not count from all deadlines."""
         for relay in self._open_by_http.values():
             relay.deadline_ms -= paused_ms
 
-    def response(self, response: RelayResponse, load: PeerLoad | None) -> None:
+    def handle_response(self, response: RelayResponse, load: PeerLoad | None) -> None:
         """Process the response of an executing sidecar."""
         if load is not None:
             load.report(response.load, self._now_ms())
@@ -190,8 +193,8 @@
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
         if response.server_end:
             self._suspects.ended(digest_request(relay), response.server_end)
-        self._retry_policy.learn(relay)
-        self._outcomes.execution_ended(relay, response, load)
+        self._retry_policy.record_downstream_services(relay)
+        self._outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
             self._handle_answered(relay, response)
         elif response.verdict == Verdict.NOT_RUN:
@@ -200,7 +203,7 @@
             relay.may_have_run = True
             self._handle_may_have_run(relay, response.reason)
 
-    def link_lost(self, ip: str) -> None:
+    def handle_link_lost(self, ip: str) -> None:
         """Retry or fail all requests that were sent over a lost link."""
         for relay in [found for found in self.relays.values() if found.ip == ip]:
             self.relays.pop(relay.call_id, None)
@@ -209,7 +212,7 @@
             relay.offered_to.add(relay.identity)
             self._handle_may_have_run(relay, "link-lost")
 
-    def unsent(self, requests: Iterable[RelayRequest]) -> None:
+    def place_unsent(self, requests: Iterable[RelayRequest]) -> None:
         """Place requests again that waited for a link and were not written to it."""
         for request in requests:
             relay = self.relays.pop(request.call_id, None)
@@ -219,17 +222,19 @@
     def _admit(self, relay: Relay) -> bool:
         if not self._check_rate(relay):
             return False
-        self._admission.offered(relay.kind, relay.priority)
+        self._admission.offered(relay.admission_class, relay.priority)
         if not self._held.fits():
             # Its response might have to be buffered for a slow reader.
             self._fail(relay, "no-memory", NOT_RUN_STATUS)
             return False
-        overloaded_service = self._admission.blocking(relay.kind, relay.level)
+        overloaded_service = self._admission.blocking(
+            relay.admission_class, relay.level
+        )
         if overloaded_service is None:
             self._spend_token(relay)
             return True
         self._responses.refuse_overloaded(
-            relay, overloaded_service, self._admission.fits[relay.kind].share
+            relay, overloaded_service, self._admission.fits[relay.admission_class].share
         )
         self._finish(relay)
         return False
@@ -255,22 +260,22 @@
         judgement = self._judge(relay)
         if judgement is None:
             return
-        if not self._intake.has_key_in_force(relay):
+        if not self._intake.is_key_still_valid(relay):
             self._conclude(relay, KEY_CHANGED)
             return
         remaining_ms = relay.deadline_ms - self._now_ms()
         instances = self._fleet.of_service(relay.service)
         instance = None
-        refusals = relay.places - relay.offers
-        if remaining_ms >= MIN_RETRY_LEFT_MS and refusals < MAX_PLACES:
+        refusals = relay.placements - relay.offers
+        if remaining_ms >= MIN_RETRY_REMAINING_MS and refusals < MAX_REFUSALS:
             instance = self._choose_instance(relay, instances, judgement)
         if instance is None and not relay.tried and self._is_settling(remaining_ms):
-            self._loop.call_later(SETTLE_PAUSE_S, self._retry_placement, relay)
+            self._loop.call_later(SETTLE_RETRY_INTERVAL_S, self._retry_placement, relay)
             return
         if instance is None:
             self._fail_placement(relay, len(instances))
             return
-        relay.places += 1
+        relay.placements += 1
         relay.tried.add(instance.identity)
         self._send(relay, instance, remaining_ms)
 
@@ -307,7 +312,7 @@
 
     def _is_settling(self, remaining_ms: float) -> bool:
         is_starting = self._now_ms() - self._started_ms < SETTLE_MS
-        return is_starting and remaining_ms >= MIN_RETRY_LEFT_MS
+        return is_starting and remaining_ms >= MIN_RETRY_REMAINING_MS
 
     def _send(self, relay: Relay, instance: Instance, remaining_ms: float) -> None:
         relay.call_id = next(self._call_ids)
@@ -315,11 +320,11 @@
         relay.identity = instance.identity
         relay.instance_id = self._substitutes.actual_id(instance, self._now_ms())
         is_leaf = relay.parent is None and self._admission.needs_only(
-            relay.kind, relay.service
+            relay.admission_class, relay.service
         )
         request = request_of(relay, remaining_ms=remaining_ms, is_leaf=is_leaf)
         self.relays[relay.call_id] = relay
-        self._retry_policy.sent(relay)
+        self._retry_policy.record_sent(relay)
         if instance.ip == self._own_ip:
             self._own_load.sent_since += 1
             self._executor.submit(request, self._own_response, self)
@@ -339,27 +344,27 @@
                 relay.tried.discard(instance.identity)
 
     def _deliver_response(self, relay: Relay, response: RelayResponse) -> None:
-        self._outcomes.answered(relay, response)
+        self._outcomes.record_response(relay, response)
         self._responses.deliver(relay, response)
         self._finish(relay)
 
     def _fail(self, relay: Relay, reason: str, status: int) -> None:
         if status == NOT_RUN_STATUS and relay.has_token:
             self._rates.give_back(relay.caller, self._now_ms())
-        self._outcomes.failed(relay)
+        self._outcomes.record_failure(relay)
         self._responses.fail(relay, reason, status)
         self._finish(relay)
 
     def _own_response(self, response: RelayResponse) -> None:
-        self._loop.call_soon(self.response, response, self._own_load)
+        self._loop.call_soon(self.handle_response, response, self._own_load)
 
     def _handle_answered(self, relay: Relay, response: RelayResponse) -> None:
-        server_failed = response.status >= SERVER_FAILURE
+        server_failed = response.status >= SERVER_FAILURE_STATUS
         if not server_failed:
             # The executing sidecar may not yet know that the request was a suspect.
             self._suspects.answered(relay)
-        if server_failed and self._retry_policy.allow_failed(relay):
-            relay.last_answer = response
+        if server_failed and self._retry_policy.allows_retry_of_failed(relay):
+            relay.last_error_response = response
             self._retry(relay, f"status-{response.status}")
             return
         self._deliver_response(relay, response)
@@ -374,16 +379,16 @@
             self._conclude(relay, response.reason)
             return
         if response.reason == INSTANCE_LEAVING:
-            self._outcomes.refused_as_leaving(load)
+            self._outcomes.record_leaving_refusal(load)
         if not response.offered:
             self._place(relay)
-        elif self._retry_policy.allow_unrun(relay):
+        elif self._retry_policy.allows_retry_of_unexecuted(relay):
             self._retry(relay, response.reason)
         else:
             self._conclude(relay, response.reason)
 
     def _handle_may_have_run(self, relay: Relay, reason: str) -> None:
-        if self._retry_policy.allow_failed(relay):
+        if self._retry_policy.allows_retry_of_failed(relay):
             self._retry(relay, reason)
         else:
             self._conclude(relay, reason)
@@ -398,13 +403,13 @@
             reason=reason,
             offers=relay.offers,
         )
-        self._counters.repeated(relay.service)
-        relay.repeated = True
+        self._counters.record_retry(relay.service)
+        relay.is_retry = True
         self._place(relay)
 
     def _fail_placement(self, relay: Relay, known_instances: int) -> None:
-        if relay.last_answer is not None:
-            self._deliver_response(relay, relay.last_answer)
+        if relay.last_error_response is not None:
+            self._deliver_response(relay, relay.last_error_response)
             return
         reason = "no-instance" if not known_instances else "no-room"
         if not self._retry_policy.has_time(relay):
@@ -413,8 +418,8 @@
 
     def _conclude(self, relay: Relay, reason: str) -> None:
         """Send the final response of a request that gets no further attempt."""
-        if relay.last_answer is not None:
-            self._deliver_response(relay, relay.last_answer)
+        if relay.last_error_response is not None:
+            self._deliver_response(relay, relay.last_error_response)
         elif not relay.may_have_run:
             self._fail(relay, reason, NOT_RUN_STATUS)
         else:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
@@ -5,15 +5,15 @@
 
 from sassafraswinch.organisations import Organisation, parse_bearer_key
 from sassafraswinch.ranks import rank_of
-from sassafraswinch_sidecar.dialect import HeaderNames
 from sassafraswinch_sidecar.entry_admission import LEVELS
 from sassafraswinch_sidecar.executor import Execution, Executor
 from sassafraswinch_sidecar.fleet import Fleet
-from sassafraswinch_sidecar.http_fields import DROPPED, serialize_end_to_end
+from sassafraswinch_sidecar.header_names import HeaderNames
+from sassafraswinch_sidecar.http_fields import NOT_FORWARDED, serialize_end_to_end
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
 from sassafraswinch_sidecar.instances import InstanceIdentity
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse
-from sassafraswinch_sidecar.routes import Route, RouteTable, ShareChooser
+from sassafraswinch_sidecar.routes import Route, RouteTable, WeightedRoundRobin
 
 AUTHORIZATION = b"authorization"
 
@@ -43,7 +43,7 @@
             precedence over that of the route.
         level: position of the root request within its priority.
         parent: execution whose backend server made this call; None for a root request.
-        repeated: whether this request, or one of its ancestors, is a retry.
+        is_retry: whether this request, or one of its ancestors, is a retry.
         caller: organisation whose key the request carries; None for a child call and
             for a request that needs no key.
         organisation: name of the organisation that sent the root request, or "".
@@ -58,12 +58,12 @@
         identity: identity of the instance that the current attempt was sent to.
         offers: number of times it was written to a backend server.
         offered_to: identities of the instances whose server it was written to.
-        places: number of instances that were requested to run it.
+        placements: number of instances that were requested to run it.
         may_have_run: whether an attempt ended without a proof that it did not run.
         repeats_spent: whether this request, or one of its child calls, failed and was
             not retried because the retry budget was exhausted.
         retry_after_ms: Retry-After of a refusal; None for the default.
-        last_answer: error response of a backend server, kept during the retry.
+        last_error_response: error response of a backend server, kept during the retry.
         ended: whether the caller has got its response or has disconnected.
         slot_ms: slot time of this request and its child calls, by service.
     """
@@ -77,7 +77,7 @@
     priority: int
     level: int
     parent: Execution | None
-    repeated: bool
+    is_retry: bool
     progress: int
     headers: bytes = b""
     caller: Organisation | None = None
@@ -91,16 +91,16 @@
     identity: InstanceIdentity = ("", 0)
     offers: int = 0
     offered_to: set[InstanceIdentity] = field(default_factory=set)
-    places: int = 0
+    placements: int = 0
     may_have_run: bool = False
     repeats_spent: bool = False
     retry_after_ms: float | None = None
-    last_answer: RelayResponse | None = None
+    last_error_response: RelayResponse | None = None
     ended: bool = False
     slot_ms: dict[str, float] = field(default_factory=dict)
 
     @property
-    def kind(self) -> str:
+    def admission_class(self) -> str:
         """Admission class of a root request: its route and its caller's priority."""
         if self.caller is None or self.caller.priority is None:
             return self.route.name
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unroutable:
+class IntakeRefusal:
     """A request refused at intake: no route, no valid key, or sidecar not ready.
 
     Attributes:
@@ -161,7 +161,7 @@
         )
         self._request_id_name = names.request_id.lower()
         self._time_left_name = names.time_left_ms.lower()
-        self._removed_names = DROPPED | {
+        self._removed_names = NOT_FORWARDED | {
             self._time_left_name,
             names.expected_instance.lower(),
             names.caller_service.lower(),
@@ -174,11 +174,11 @@
         self._fleet = fleet
         self._executor = executor
         self._rng = rng
-        self._round_robin = ShareChooser()
+        self._round_robin = WeightedRoundRobin()
 
-    def take(
+    def accept_request(
         self, http: HttpRequest, connection: CallerConnection, *, closed: bool
-    ) -> Relay | Unroutable:
+    ) -> Relay | IntakeRefusal:
         """Return the relay of a request, or the reason for refusing it.
 
         Args:
@@ -189,17 +189,17 @@
         host, request_id, remaining_ms, credentials = self._read(http)
         table = self._fleet.table
         if table is None:
-            return Unroutable(request_id, host, NO_ROUTES, None)
+            return IntakeRefusal(request_id, host, NO_ROUTES, None)
         if closed:
-            return Unroutable(request_id, host, LEAVING, table.version)
+            return IntakeRefusal(request_id, host, LEAVING, table.version)
         route = table.find(host, http.target.decode("latin-1"))
         if route is None:
-            return Unroutable(request_id, host, NO_ROUTE, table.version)
+            return IntakeRefusal(request_id, host, NO_ROUTE, table.version)
         parent = self._executor.running.get(request_id.rpartition(".")[0])
         caller = None if parent else _caller(credentials, table)
         if parent is None and caller is None and not _is_open(route, table):
             reason = _refusal_reason(credentials, request_id)
-            return Unroutable(request_id, host, reason, table.version)
+            return IntakeRefusal(request_id, host, reason, table.version)
         wait_ms = route.timeout_ms if remaining_ms is None else remaining_ms
         deadline_ms = http.arrived_ms + min(wait_ms, route.timeout_ms)
         if parent is not None:
@@ -217,14 +217,14 @@
             else _request_priority(caller, route),
             level=parent.request.level if parent else self._rng.randrange(LEVELS),
             parent=parent,
-            repeated=parent is not None and parent.request.repeated,
+            is_retry=parent is not None and parent.request.repeated,
             progress=_progress(parent),
             caller=caller,
             organisation=organisation,
             table_version=table.version,
         )
 
-    def has_key_in_force(self, relay: Relay) -> bool:
+    def is_key_still_valid(self, relay: Relay) -> bool:
         """Return whether the request's key still belongs to its organisation."""
         table = self._fleet.table
         if relay.caller is None or table.version == relay.table_version:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
@@ -7,7 +7,7 @@
 """Share of the target latency that a root request may wait for a slot. After that, time
 remains to try another instance or to let the caller retry."""
 
-INNER_WAIT_SHARE = 0.4
+CHILD_WAIT_SHARE = 0.4
 """Share of its remaining time that a child call may wait for a slot. It may wait longer
 because refusing it would waste the work already done for its root request."""
 
@@ -21,7 +21,7 @@
         is_leaf: whether it is a root request without child calls.
     """
     is_child = relay.parent is not None
-    share = INNER_WAIT_SHARE if is_child else ROOT_WAIT_SHARE
+    share = CHILD_WAIT_SHARE if is_child else ROOT_WAIT_SHARE
     span_ms = remaining_ms if is_child else relay.route.target_latency_ms
     return RelayRequest(
         call_id=relay.call_id,
@@ -38,7 +38,7 @@
         level=relay.level,
         inner=is_child,
         idempotent=relay.route.idempotent,
-        repeated=relay.repeated,
+        repeated=relay.is_retry,
         progress=relay.progress,
         last=is_leaf,
         organisation=relay.organisation,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_repeats.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_retry_policy.py
@@ -4,18 +4,18 @@
 
 from sassafraswinch.ranks import route_priority_of
 from sassafraswinch_sidecar.relay_intake import Relay
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget
+from sassafraswinch_sidecar.retry_budget import RetryBudget
 
 MAX_OFFERS = 7
 """Maximum number of times that a request is written to backend servers that prove that
 they did not run it. At a service that refuses 0.55 of its requests, 0.985 of the
 requests pass within 7 attempts."""
 
-MIN_RETRY_LEFT_MS = 40.0
+MIN_RETRY_REMAINING_MS = 40.0
 """Minimum remaining time for another attempt: a network transfer and a short run."""
 
 
-class RelayRepeats:
+class RelayRetryPolicy:
     """Decides whether a request may be retried.
 
     Args:
@@ -23,26 +23,26 @@
         now_ms: monotonic clock.
     """
 
-    def __init__(self, *, budget: RepeatBudget, now_ms: Callable[[], float]):
+    def __init__(self, *, budget: RetryBudget, now_ms: Callable[[], float]):
         self._budget = budget
         self._now_ms = now_ms
         self._downstream_services: dict[str, set[str]] = {}
 
-    def sent(self, relay: Relay) -> None:
+    def record_sent(self, relay: Relay) -> None:
         """Count an attempt that is sent to an executing sidecar.
 
         When an executing sidecar refuses an attempt before it reaches the backend
         server, sending that attempt to the next one isn't counted again.
         """
-        if relay.repeated or relay.places == 1:
-            self._budget.sent(
+        if relay.is_retry or relay.placements == 1:
+            self._budget.record_sent(
                 relay.service,
-                repeated=relay.repeated,
+                is_retry=relay.is_retry,
                 now_ms=self._now_ms(),
                 priority=route_priority_of(relay.priority),
             )
 
-    def learn(self, relay: Relay) -> None:
+    def record_downstream_services(self, relay: Relay) -> None:
         """Record the downstream services of a route from a request's slot times."""
         if len(relay.slot_ms) > 1:
             downstream = self._downstream_services.setdefault(relay.route.name, set())
@@ -50,13 +50,13 @@
 
     def has_time(self, relay: Relay) -> bool:
         """Return whether another attempt could finish before the deadline."""
-        return relay.deadline_ms - self._now_ms() >= MIN_RETRY_LEFT_MS
+        return relay.deadline_ms - self._now_ms() >= MIN_RETRY_REMAINING_MS
 
-    def allow_unrun(self, relay: Relay) -> bool:
+    def allows_retry_of_unexecuted(self, relay: Relay) -> bool:
         """Return whether a request may be retried that a server refused to run."""
         return relay.offers < MAX_OFFERS and self._budget_allows(relay)
 
-    def allow_failed(self, relay: Relay) -> bool:
+    def allows_retry_of_failed(self, relay: Relay) -> bool:
         """Return whether a request may be retried that failed or may have run."""
         return (
             relay.route.idempotent
@@ -78,10 +78,10 @@
         """
         if not relay.repeats_spent:
             downstream = self._downstream_services.get(relay.route.name, ())
-            allowed = self._budget.allows(
+            allowed = self._budget.allows_retry(
                 relay.service,
                 self._now_ms(),
-                below=downstream,
+                downstream=downstream,
                 priority=route_priority_of(relay.priority),
             )
             relay.repeats_spent = not allowed
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
@@ -15,7 +15,7 @@
 BURST_S = 2.0
 """Burst size of both rate limits, as the lines of so many seconds."""
 
-TELL_MS = 10_000.0
+OMITTED_REPORT_INTERVAL_MS = 10_000.0
 """Interval of the lines that report the number of omitted lines."""
 
 
@@ -60,10 +60,10 @@
         if self._served.acquire(self._now_ms()):
             write_event(event, "info", {"request_id": request_id, **fields})
 
-    def tell_left_out(self) -> None:
-        """Log the number of omitted lines, once per ``TELL_MS``."""
+    def report_omitted(self) -> None:
+        """Log the number of omitted lines, once per ``OMITTED_REPORT_INTERVAL_MS``."""
         now_ms = self._now_ms()
-        if now_ms - self._reported_ms < TELL_MS:
+        if now_ms - self._reported_ms < OMITTED_REPORT_INTERVAL_MS:
             return
         self._reported_ms = now_ms
         for kind, bucket in (("failures", self._failures), ("served", self._served)):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/retry_budget.py
@@ -10,21 +10,21 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-SHARE_OF_RATIO = 0.35
+SIDECAR_RATIO_SHARE = 0.35
 """Share of the fleet's ratio that one sidecar may spend. A retried request makes its
 child calls again, and these count as retries at the downstream services. With about a
 third each, the retries of three levels of calls add up to the full ratio."""
 
-CALM_SHARE_OF_RATIO = 0.9
+FEW_RETRIES_RATIO_SHARE = 0.9
 """Share of the fleet's ratio that one sidecar may spend while the fleet, as last
 reported by all sidecars, makes few retries."""
 
-CALM_SHARE = 0.4
+FEW_RETRIES_BUDGET_SHARE = 0.4
 """Share of the fleet's budget below which its retries count as few. The retries that
 all sidecars add before the next reports arrive, those of about 1 s in a window of 10 s,
 fit into the rest."""
 
-DEEPEST_SHARES = (0.8, 0.6, 0.4)
+DEEPEST_RATIO_SHARES = (0.8, 0.6, 0.4)
 """Share of the fleet's ratio at a service without downstream services, by the priority
 of the root request; the last one is for all lower priorities. Without retries of higher
 priority, every priority has the first share. No downstream service counts these retries
@@ -35,17 +35,17 @@
 all call trees complete hardly any of them; retries spent on the call trees of the
 highest priority complete those."""
 
-PRESSING_SHARE = 0.1
+HIGHER_PRIORITY_RETRY_SHARE = 0.1
 """Share of the retries above which those of higher-priority requests reduce the budget
 of the others. Below it, hardly any high-priority request fails."""
 
-STRAINED_SHARE = 0.5
+MAX_DOWNSTREAM_USED_SHARE = 0.5
 """Share of the fleet's budget at a service from which upstream requests are no longer
 retried. The child calls of their retries count at this service as well and can't be
 refused. The rest of the budget covers the retries that sidecars add before the next
 reports arrive, and direct retries of calls to this service."""
 
-HEARD_SHARE = 0.9
+MIN_REPORTING_SHARE = 0.9
 """Share of the sidecars that must have reported their counts for the totals to be used.
 One silent host among hundreds is usual. Retries of the sidecars missing in the totals
 are limited by their own requests, which are missing in the totals as well."""
@@ -88,21 +88,23 @@
         of_higher_priority = sum(
             count for each, count in self.retries_by_priority.items() if each < priority
         )
-        return of_higher_priority > PRESSING_SHARE * self.retries
+        return of_higher_priority > HIGHER_PRIORITY_RETRY_SHARE * self.retries
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class AttemptCounts:
     """Requests and retries sent to a service within the window."""
 
     requests: int
-    repeats: int
+    retries: int
 
 
-NOTHING_COUNTED = Counted(0, 0)
+ZERO_COUNTS = AttemptCounts(0, 0)
 
 
-def sum_counts(reports: Iterable[Mapping[str, Counted]]) -> dict[str, Counted]:
+def sum_counts(
+    reports: Iterable[Mapping[str, AttemptCounts]],
+) -> dict[str, AttemptCounts]:
     """Return the totals of several sidecars, by service."""
     requests: Counter[str] = Counter()
     retries: Counter[str] = Counter()
@@ -110,24 +112,25 @@
         report.items() for report in reports
     ):
         requests[service] += count.requests
-        retries[service] += count.repeats
+        retries[service] += count.retries
     return {
-        service: Counted(requests[service], retries[service]) for service in requests
+        service: AttemptCounts(requests[service], retries[service])
+        for service in requests
     }
 
 
-Totals = tuple[Mapping[str, Counted], int]
+FleetTotals = tuple[Mapping[str, AttemptCounts], int]
 """Requests and retries of all sidecars by service, and how many sidecars reported."""
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and retries by service over a sliding window.
 
     Args:
         ratio: retries per request that the whole fleet may make.
         slack: retries of the whole fleet in a window, in addition to the ratio.
         window_ms: length of the window.
-        most_sidecars: returns the maximum number of sidecars in the fleet.
+        max_sidecars: returns the maximum number of sidecars in the fleet.
         sidecars: returns the number of sidecars known now.
         totals: returns the counts of all sidecars, as last reported.
     """
@@ -138,26 +141,26 @@
         ratio: float,
         slack: float,
         window_ms: float,
-        most_sidecars: Callable[[], int],
+        max_sidecars: Callable[[], int],
         sidecars: Callable[[], int],
-        totals: Callable[[float], Totals],
+        totals: Callable[[float], FleetTotals],
     ):
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms + BUCKET_MS
-        self._max_sidecars = most_sidecars
+        self._max_sidecars = max_sidecars
         self._sidecars = sidecars
         self._totals = totals
         self._windows: dict[str, _Window] = {}
 
-    def sent(
-        self, service: str, *, repeated: bool, now_ms: float, priority: int = 0
+    def record_sent(
+        self, service: str, *, is_retry: bool, now_ms: float, priority: int = 0
     ) -> None:
         """Count a request that is sent to a service.
 
         Args:
             service: name of the service.
-            repeated: whether the request, or one of its ancestors, is a retry.
+            is_retry: whether the request, or one of its ancestors, is a retry.
             now_ms: monotonic time.
             priority: priority of the root request.
         """
@@ -165,7 +168,7 @@
         if window is None:
             window = self._windows[service] = _Window()
         bucket = window.current_bucket(self._window_ms, now_ms)
-        if repeated:
+        if is_retry:
             bucket.retries[priority] += 1
             window.retries_by_priority[priority] += 1
             window.retries += 1
@@ -173,22 +176,22 @@
             bucket.requests += 1
             window.requests += 1
 
-    def counted(self, now_ms: float) -> dict[str, Counted]:
+    def window_counts(self, now_ms: float) -> dict[str, AttemptCounts]:
         """Return the requests and retries of this sidecar in the window, by service."""
         for window in self._windows.values():
             window.current_bucket(self._window_ms, now_ms)
         return {
-            service: Counted(window.requests, window.retries)
+            service: AttemptCounts(window.requests, window.retries)
             for service, window in self._windows.items()
             if window.requests or window.retries
         }
 
-    def allows(
+    def allows_retry(
         self,
         service: str,
         now_ms: float,
         *,
-        below: Collection[str] = (),
+        downstream: Collection[str] = (),
         priority: int = 0,
     ) -> bool:
         """Return whether one more request to a service may be retried.
@@ -196,7 +199,7 @@
         Args:
             service: name of the service.
             now_ms: monotonic time.
-            below: services that its requests call, directly or indirectly.
+            downstream: services that its requests call, directly or indirectly.
             priority: priority of the root request.
         """
         slack = self._slack / 2 / max(1, self._max_sidecars())
@@ -206,30 +209,34 @@
         window.current_bucket(self._window_ms, now_ms)
         counts, reporting = self._totals(now_ms)
         if any(
-            self._used_share(each, counts, now_ms) >= STRAINED_SHARE for each in below
+            self._used_share(each, counts, now_ms) >= MAX_DOWNSTREAM_USED_SHARE
+            for each in downstream
         ):
             return False
-        has_all_reports = max(1, reporting) >= HEARD_SHARE * self._sidecars()
-        share = SHARE_OF_RATIO
-        is_deepest = not below and has_all_reports
+        has_all_reports = max(1, reporting) >= MIN_REPORTING_SHARE * self._sidecars()
+        share = SIDECAR_RATIO_SHARE
+        is_deepest = not downstream and has_all_reports
         if is_deepest and window.has_higher_priority_retries(priority):
-            share = DEEPEST_SHARES[min(priority, len(DEEPEST_SHARES) - 1)]
-        elif has_all_reports and self._used_share(service, counts, now_ms) < CALM_SHARE:
-            share = CALM_SHARE_OF_RATIO
+            share = DEEPEST_RATIO_SHARES[min(priority, len(DEEPEST_RATIO_SHARES) - 1)]
+        elif (
+            has_all_reports
+            and self._used_share(service, counts, now_ms) < FEW_RETRIES_BUDGET_SHARE
+        ):
+            share = FEW_RETRIES_RATIO_SHARE
         elif is_deepest:
-            share = DEEPEST_SHARES[0]
+            share = DEEPEST_RATIO_SHARES[0]
         ratio = self._ratio * share
         return window.retries + 1 <= ratio * window.requests + slack
 
     def _used_share(
-        self, service: str, counts: Mapping[str, Counted], now_ms: float
+        self, service: str, counts: Mapping[str, AttemptCounts], now_ms: float
     ) -> float:
         """Return the used share of the fleet's budget at a service, as last reported.
 
         The totals include this sidecar's counts, except for its most recent requests.
         """
-        reported = counts.get(service, NOTHING_COUNTED)
-        requests, retries = reported.requests, reported.repeats
+        reported = counts.get(service, ZERO_COUNTS)
+        requests, retries = reported.requests, reported.retries
         window = self._windows.get(service)
         if window is not None:
             window.current_bucket(self._window_ms, now_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
@@ -110,7 +110,7 @@
         return frozenset(share.service for share in shares)
 
 
-class ShareChooser:
+class WeightedRoundRobin:
     """Smooth weighted round-robin over the services of a route.
 
     Each request adds the weight of every service to that service's credit and goes to
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
@@ -1,6 +1,6 @@
 """Serialization of HTTP requests to the backend server."""
 
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
+++ b/packages/sassafraswinch-sidecar/tests/test_retries_in_chains.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafraswinch_sidecar.relay_repeats import MAX_OFFERS
+from sassafraswinch_sidecar.relay_retry_policy import MAX_OFFERS
 from sidecar_standins.backend import answer
 from sidecar_standins.fleet import ROUTES, route, running_fleet, until
 
@@ -65,7 +65,7 @@
     the full call tree again, for calls that may not be retried themselves.
     """
     for node in fleet.nodes_of("schvaleni"):
-        node.sidecar._budget.allows = lambda *args, **options: False
+        node.sidecar._budget.allows_retry = lambda *args, **options: False
     assert await count_upstream_runs(fleet) == 1
 
 
@@ -74,7 +74,7 @@
     upstream request is retried.
     """
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
     assert await count_upstream_runs(fleet) == 2
 
 
@@ -97,7 +97,7 @@
     call tree with 8 sequential calls would complete.
     """
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
     (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = refuse_all_but_every(4)
     for number in range(5):
@@ -114,7 +114,7 @@
     await fleet.store.put(ROUTES, {"version": 3, "routes": [single_attempt]})
     await until(lambda: all(n.sidecar._fleet.table.version == 3 for n in fleet.nodes))
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
         node.backend.behaviour = shed
     response = await fleet.call(fleet.nodes[0], target="/approve/1")
     assert response.status == 503
