--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -1,4 +1,4 @@
-"""What is known of the backend server beside this sidecar: up or down, and its id."""
+"""State of the local backend server: up or down, and which instance it is."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,48 +6,49 @@
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.http_client import HttpClient, Probe
 
-PROBE_S = 0.4
+PROBE_INTERVAL_S = 0.4
 """Pause between attempts to connect to a backend server that is down."""
 
-LOOK_S = 0.15
-"""Longest look for the reason of a broken connection. On the same host the answer
-takes less than a millisecond; the rest is for a busy event loop, and callers wait."""
+EXIT_CHECK_TIMEOUT_S = 0.15
+"""Longest check whether the server exited after a connection broke. On the same host
+the answer takes less than a millisecond; the rest is for a busy event loop, and callers
+wait meanwhile."""
 
-SILENT_MS = 1_500.0
-"""Time without any answer, while requests run, from which a server may be dead; at
-least so many times the mean of ``SILENT_HOLDS``."""
+MIN_SILENCE_MS = 1_500.0
+"""Time without any answer, while requests run, after which a server may be dead; at
+least ``SILENCE_FACTOR`` times the mean time of a request."""
 
-SILENT_HOLDS = 8.0
-"""Times the mean time of a request: some take five times as long as the mean."""
+SILENCE_FACTOR = 8.0
+"""Factor on the mean time of a request: some requests take five times the mean."""
 
-FRESH_START_MS = 8_000.0
-"""Time after the start of this process in which the instance id that the server tells
-is trusted before the platform knows it. The settings were read at the start, so the
-server beside it is still of the service that they name; later its address may have
-gone to another service, whose requests it must not run."""
+TRUSTED_START_MS = 8_000.0
+"""Time after the start of this process for which the instance id that the server
+reports is trusted before the platform lists it. The settings were read at the start, so
+the local server still belongs to the service that they name. Later, its address may
+have been given to another service, whose requests it must not run."""
 
 
 INSTANCE_WORD_MS = 1_000.0
-"""Time in which the server's last word on its id lets requests for other instances be
-refused unsent. Another instance may start at the address while nothing is under way;
-one refusal of the server a second finds it out."""
+"""Time for which the instance id last reported by the server has requests for other
+instances refused unsent. Another instance may start at the address while no request is
+under way; one refusal a second by the server itself detects that."""
 
 
 class BackendWatch:
-    """Finds out from requests whether the server lives, and which instance it is.
+    """Detects from requests whether the server is up, and which instance it is.
 
-    No health check is sent: it would take a slot, and may lie. While the server is
-    down, connections are tried until one is made.
+    No health check is sent: it would take a slot, and its result may be wrong. While
+    the server is down, connection attempts are made until one succeeds.
 
     Args:
         client: connections to the server.
         service: its service, for the log.
         went_down: called when the server is found to be down.
-        looked: called after a look, with whether the server's process has ended.
+        looked: called after an exit check, with whether the server's process exited.
 
     Attributes:
         up: whether requests may be sent to the server.
-        ended: whether its process has ended, and no other runs in its place yet.
+        ended: whether its process exited, and no other runs in its place yet.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self.up = True
         self.ended = False
         self._looked = looked
-        self._looking: asyncio.Task | None = None
+        self._exit_check: asyncio.Task | None = None
         self._client = client
         self._service = service
         self._went_down = went_down
@@ -70,87 +71,87 @@
         self._answered_ms = 0.0
         self._instance_id: str | None = None
         self._told_ms = 0.0
-        self._seen_ids: set[str] = set()
+        self._reported_ids: set[str] = set()
         self._probing: asyncio.Task | None = None
 
     def is_another(self, instance_id: str) -> bool:
-        """Return whether the server has just said that it is another instance."""
+        """Return whether the server recently reported to be another instance."""
         if self._instance_id is None or self._instance_id == instance_id:
             return False
         return self._now_ms() - self._told_ms < INSTANCE_WORD_MS
 
     def trusted_instance_id(self) -> str | None:
-        """Return the server's instance id if requests may go to it by that alone.
+        """Return the server's instance id if it alone suffices to send it requests.
 
-        Once a second id was seen, the address has changed hands, perhaps to a server
-        of another service.
+        Once a second id was reported, the address has changed hands, perhaps to a
+        server of another service.
         """
-        young = self._now_ms() - self._started_ms < FRESH_START_MS
-        return self._instance_id if young and len(self._seen_ids) == 1 else None
+        is_recent = self._now_ms() - self._started_ms < TRUSTED_START_MS
+        return self._instance_id if is_recent and len(self._reported_ids) == 1 else None
 
     def alive(self) -> None:
-        """Note an answer of any kind, or a request after a time without any."""
+        """Restart the silence period: at an answer, or a request to an idle server."""
         self._answered_ms = self._now_ms()
 
     def is_instance(self, instance_id: str | None) -> None:
-        """Note which instance the server says it is; None where it may have ended."""
+        """Record the instance that the server reports; None if it may have exited."""
         self._instance_id = instance_id
         self._told_ms = self._now_ms()
-        if instance_id is not None and len(self._seen_ids) < 2:
-            self._seen_ids.add(instance_id)
+        if instance_id is not None and len(self._reported_ids) < 2:
+            self._reported_ids.add(instance_id)
 
     def unreachable(self) -> None:
-        """Note that no connection could be made."""
+        """Record that no connection could be made."""
         self._instance_id = None
-        self._down()
+        self._set_down()
 
     def look(self) -> None:
-        """Find out whether the server's process has ended, after a broken connection.
+        """Check whether the server's process exited, after a connection broke.
 
-        Failure: a connection breaks as a server drops it, or loses an answer, and as
-        its process ends; only in the last case was a request perhaps its end. A process
-        that has ended leaves nobody who listens at its port.
+        Failure: a connection breaks when a server drops it, when it loses an answer,
+        and when its process exits; only in the last case may a request have caused a
+        crash. After an exit, nothing listens at the server's port.
         """
-        if self._looking is None:
-            self._looking = self._loop.create_task(self._look())
+        if self._exit_check is None:
+            self._exit_check = self._loop.create_task(self._check_exit())
 
     def overdue(self, mean_hold_ms: float) -> None:
-        """Note a request without an answer in its time.
+        """Record a request that wasn't answered in time.
 
         Args:
             mean_hold_ms: mean time of a request at the server.
         """
-        patience_ms = max(SILENT_MS, SILENT_HOLDS * mean_hold_ms)
-        if self._now_ms() - self._answered_ms > patience_ms:
-            self._down()
+        max_silence_ms = max(MIN_SILENCE_MS, SILENCE_FACTOR * mean_hold_ms)
+        if self._now_ms() - self._answered_ms > max_silence_ms:
+            self._set_down()
 
     def close(self) -> None:
-        """Stop trying to connect."""
-        for task in (self._probing, self._looking):
+        """Cancel connection attempts and exit checks."""
+        for task in (self._probing, self._exit_check):
             if task is not None:
                 task.cancel()
 
-    async def _look(self) -> None:
-        refused = await self._client.probe(LOOK_S) is Probe.REFUSED
-        self._looking = None
+    async def _check_exit(self) -> None:
+        refused = await self._client.probe(EXIT_CHECK_TIMEOUT_S) is Probe.REFUSED
+        self._exit_check = None
         if refused:
             self.ended = True
             self._instance_id = None
-            self._down()
+            self._set_down()
         self._looked(refused)
 
-    def _down(self) -> None:
+    def _set_down(self) -> None:
         if not self.up:
             return
         self.up = False
         log_event("backend_down", level="warning", service=self._service)
         self._went_down()
         self._client.close()
-        self._probing = self._loop.create_task(self._probe())
+        self._probing = self._loop.create_task(self._probe_until_up())
 
-    async def _probe(self) -> None:
+    async def _probe_until_up(self) -> None:
         while await self._client.probe() is not Probe.CONNECTED:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         self.up = True
         self.ended = False
         self._instance_id = None
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
@@ -1,9 +1,10 @@
-"""Which root requests are refused at their entry, before any work is done for them.
+"""Ingress admission: refuses root requests that the services below can't complete.
 
-A root request leads to a tree of calls, and a refusal deep in it wastes the tree. So
-the entry works out what the tree takes at each service, and admits as many root
-requests, the most important first, as all services can carry to the end. All entries
-see the same demand and capacity and so refuse the same part of the requests.
+Each root request starts a call tree, and a refusal deep in the tree wastes the work
+done for it. The ingress sidecar therefore estimates what a tree costs at each service
+and admits as many root requests, the most important first, as all services together
+can run to completion. All ingress sidecars work from the same demand and capacity and
+so refuse the same part of the requests.
 """
 
 import itertools
@@ -15,103 +16,112 @@
 from sassafraswinch.ranks import route_priority_of
 
 LEVELS = 1_000
-"""A request draws one at random and keeps it down its tree: it is admitted if the
-share of its route is greater."""
+"""Number of admission levels. A root request draws a level at random, which its whole
+call tree keeps; it is admitted if the admitted share of its route exceeds the level."""
 
-TARGET_SHARE = 0.97
-"""Part of a service's slots that admitted requests may take before the correction.
-Arrivals are uneven: the rest keeps the queue short."""
+PLANNED_SLOT_SHARE = 0.97
+"""Share of a service's slots that is planned for admitted requests, before correction.
+Arrivals are uneven; the remainder keeps the queue short."""
 
-LEARN_GAIN = 0.04
-"""Least weight of one answer in the slot time of a route: the last 25."""
+MIN_COST_GAIN = 0.04
+"""Least weight of one completed request in the cost estimate of its route: the last 25
+requests."""
 
-LEARN_MS = 1_000.0
-"""Age of what was learnt at which the next answer weighs as much as all before it.
+COST_REFRESH_MS = 1_000.0
+"""Age of a cost estimate at which the next request weighs as much as all before it.
 
 Load pattern: a service is several times slower for some seconds, and few requests are
-let in. By a number of answers alone it would look slow for seconds more."""
+admitted. If the estimate depended on the number of requests alone, the service would
+still look slow for seconds after it has recovered."""
 
-FIRST_GAIN = 0.3
-"""Weight of one failed request while no whole one has been answered."""
+FAILED_COST_GAIN = 0.3
+"""Weight of one failed request while no request of the route has been completed."""
 
 RATE_GAIN = 0.3
 """Weight of one interval in the arrival rates: with 250 ms, about a second."""
 
 INTERVAL_MS = 250.0
-"""Time between two decisions; demand is told about as often."""
+"""Time between two admission decisions; demand is reported about as often."""
 
-MIN_SLOTS = 0.002
-"""Slot seconds of a route at a service below which it doesn't need the service."""
+MIN_COST_SLOT_S = 0.002
+"""Cost of a route at a service, in slot seconds, below which it is ignored."""
 
-AIM_SHARE = 1.0
-"""Measured use of the slots, waiting requests included, that the correction aims at:
-demand that no entry knows, such as that of running trees, shows in it. Calls wait in
-order of their importance, so a few that wait cost less than slots left empty."""
+TARGET_UTILISATION = 1.0
+"""Measured slot usage, with queued requests included, that the correction aims for.
+Usage includes demand that no ingress sidecar reports, such as that of call trees under
+way. Calls are queued in order of importance, so a few queued calls cost less than idle
+slots."""
 
-TRIM_GAIN = 0.3
-"""Step of the correction in an interval, as share of the distance from the aim. What
-is admitted shows in the use up to a second later; a greater gain swings."""
+CORRECTION_GAIN = 0.3
+"""Step of the correction in an interval, as a share of the distance from the target.
+Admitted requests show in the usage up to a second later; a greater gain makes the
+correction oscillate."""
 
-MAX_TRIM_FALL = 0.015
-MAX_TRIM_RISE = 0.15
-"""Longest steps down and up. A queue after a burst says little of the next seconds: it
-empties only as the trees that were let in end, a second or two later. Falls as long as
-the rises would leave slots empty in that time."""
+MAX_CORRECTION_DECREASE = 0.015
+MAX_CORRECTION_INCREASE = 0.15
+"""Largest steps down and up in one interval. A queue after a burst says little about
+the next seconds: it drains only as the admitted call trees end, one or two seconds
+later. Decreases kept up for that long would then leave slots idle."""
 
 BACKLOG_GAIN = 0.4
 MIN_BACKLOG_FACTOR = 0.5
-"""Part of the room that is taken back for each time that the slots are in use once more
-by waiting requests, and what is left at least. It comes and goes with the queue, while
-the correction is for lasting errors of the estimates."""
+"""Share of the slots that is withheld when as many requests are queued as there are
+slots, in proportion for other numbers, and the least share that remains. It follows the
+queue at once, whereas the correction is for lasting errors of the estimates."""
 
 MIN_RATE_PER_S = 1e-4
-"""Arrivals below which a route is forgotten: none for half a minute."""
+"""Arrival rate below which a route is discarded: no arrivals for half a minute."""
 
-ABSENT_INTERVALS = 1
-"""Intervals after which a service without reachable slots refuses all that needs it;
-a link that is dialled anew is back within one."""
+UNREACHABLE_INTERVALS = 1
+"""Intervals after which the lack of reachable slots of a service refuses all requests
+that need it; a link that is reconnected is back within one."""
 
-MIN_TRIM, MAX_TRIM = 0.6, 4.0
-"""Bounds of the correction. What requests need is learnt from whole answers, so after a
-service was several times slower it is overrated for seconds."""
+MIN_CORRECTION, MAX_CORRECTION = 0.6, 4.0
+"""Bounds of the correction. Costs are estimated from completed requests, so they are
+too high for some seconds after a service was several times slower."""
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Slots of a service that can be reached, and how many are in use."""
+    """Reachable slots of a service, and how many of them are in use or requested."""
 
     slots: float
     used: float
 
 
 NO_CAPACITY = Capacity(0.0, 0.0)
-"""Nothing of a service can be reached."""
+"""Capacity of a service without reachable instances."""
 
 
 @dataclass(slots=True)
 class _RouteDemand:
     priority: int
-    offered: int = 0
-    answers: int = 0
-    learnt_ms: float = 0.0
+    arrivals: int = 0
+    completions: int = 0
+    estimated_ms: float = 0.0
     rate_per_s: float | None = None
     slot_s: dict[str, float] = field(default_factory=dict)
 
-    def needs(self) -> dict[str, float]:
-        """Return the slot seconds of one request at the services that it needs."""
-        return {s: slot_s for s, slot_s in self.slot_s.items() if slot_s > MIN_SLOTS}
+    def cost(self) -> dict[str, float]:
+        """Return the slot seconds of one request at each service that it needs."""
+        return {
+            service: slot_s
+            for service, slot_s in self.slot_s.items()
+            if slot_s > MIN_COST_SLOT_S
+        }
 
 
 class EntryAdmission:
-    """Learns what routes need, and refuses what can't be carried to the end.
+    """Estimates the cost of routes and decides which share of each is admitted.
 
     Args:
-        worths: worth of a request by its route's priority, the last one for all that
-            are less important; empty for a strict order of priorities.
+        worths: worth of a request by its route's priority, the last one for all less
+            important priorities; empty for a strict order of priorities.
 
     Attributes:
-        fits: the routes that aren't admitted in full, as of the last decision.
-        wanted: slots that all entries' arrivals need, by service, as of then.
+        fits: routes that aren't admitted in full, as of the last decision.
+        wanted: slots that the arrivals of all ingress sidecars require, by service, as
+            of the last decision.
     """
 
     def __init__(self, *, worths: Sequence[float] = ()):
@@ -119,13 +129,13 @@
         self.fits: Mapping[str, Fit] = {}
         self.wanted: Mapping[str, float] = {}
         self._routes: dict[str, _RouteDemand] = {}
-        self._trims: dict[str, float] = {}
-        self._without: dict[str, int] = {}
+        self._corrections: dict[str, float] = {}
+        self._unreachable: dict[str, int] = {}
         self._decided_at_ms: float | None = None
 
     def trim_of(self, service: str) -> float:
-        """Return the correction to a service's slots that is in force."""
-        return self._trims.get(service, 1.0)
+        """Return the factor that currently corrects a service's slots."""
+        return self._corrections.get(service, 1.0)
 
     def offered(self, route: str, priority: int) -> None:
         """Count a root request that arrived."""
@@ -133,71 +143,73 @@
         if demand is None:
             demand = self._routes[route] = _RouteDemand(priority)
         demand.priority = priority
-        demand.offered += 1
+        demand.arrivals += 1
 
     def learn(self, route: str, slot_ms: Mapping[str, float], now_ms: float) -> None:
-        """Take in the slot time that one answered request took, by service."""
+        """Update a route's cost from the slot times of a completed request."""
         demand = self._routes.get(route)
         if demand is None:
             return
-        demand.answers += 1
-        age_ms = now_ms - demand.learnt_ms
-        demand.learnt_ms = now_ms
-        gain = max(LEARN_GAIN, 1 / demand.answers, age_ms / (age_ms + LEARN_MS))
-        known = demand.slot_s
-        for service in dict.fromkeys([*known, *slot_ms]):
-            taken_s = slot_ms.get(service, 0.0) / 1000
-            before_s = known.get(service)
+        demand.completions += 1
+        age_ms = now_ms - demand.estimated_ms
+        demand.estimated_ms = now_ms
+        gain = max(
+            MIN_COST_GAIN, 1 / demand.completions, age_ms / (age_ms + COST_REFRESH_MS)
+        )
+        estimates = demand.slot_s
+        for service in dict.fromkeys([*estimates, *slot_ms]):
+            measured_s = slot_ms.get(service, 0.0) / 1000
+            before_s = estimates.get(service)
             if before_s is None:
-                known[service] = taken_s
+                estimates[service] = measured_s
             else:
-                known[service] = before_s + gain * (taken_s - before_s)
+                estimates[service] = before_s + gain * (measured_s - before_s)
 
     def learn_at_least(self, route: str, slot_ms: Mapping[str, float]) -> None:
-        """Take in the slot time of a request that failed on its way.
+        """Raise a route's cost to the slot times of a request that failed on its way.
 
-        It says the least that a whole one takes. Under an overload that begins before
-        anything is known, as after a loss of power, nearly all requests fail, and the
-        few whole ones would tell what they need seconds too late.
+        They are a lower bound of what a completed request costs. In an overload that
+        begins before any cost is known, such as after a power failure, nearly all
+        requests fail, and the few completed ones would give the cost seconds too late.
         """
         demand = self._routes.get(route)
         if demand is None:
             return
-        known = demand.slot_s
-        for service, taken_ms in slot_ms.items():
-            before_s = known.get(service, 0.0)
-            if taken_ms / 1000 > before_s:
-                gain = LEARN_GAIN if demand.answers else FIRST_GAIN
-                known[service] = before_s + gain * (taken_ms / 1000 - before_s)
+        estimates = demand.slot_s
+        for service, measured_ms in slot_ms.items():
+            before_s = estimates.get(service, 0.0)
+            if measured_ms / 1000 > before_s:
+                gain = MIN_COST_GAIN if demand.completions else FAILED_COST_GAIN
+                estimates[service] = before_s + gain * (measured_ms / 1000 - before_s)
 
     def blocking(self, route: str, level: int) -> str | None:
-        """Return a service that can't carry the request, None if it may go on."""
+        """Return the service that lacks room for a request; None if it is admitted."""
         fit = self.fits.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
         return fit.lacks
 
     def needs_only(self, route: str, service: str) -> bool:
-        """Return whether a route's whole answers took slots of one service alone."""
+        """Return whether completed requests of a route used one service only."""
         demand = self._routes.get(route)
-        if demand is None or not demand.answers:
+        if demand is None or not demand.completions:
             return False
-        return demand.needs().keys() <= {service}
+        return demand.cost().keys() <= {service}
 
     def demand(self) -> list[Claim]:
-        """Return what this entry's arrivals need, by route."""
+        """Return the rate and cost of this sidecar's arrivals, by route."""
         return [
             Claim(
                 kind=name,
                 priority=route.priority,
                 rate_per_s=route.rate_per_s or 0.0,
-                needs=route.needs(),
+                needs=route.cost(),
             )
             for name, route in self._routes.items()
         ]
 
     def due(self, now_ms: float) -> bool:
-        """Return whether an interval has ended."""
+        """Return whether the decision interval has ended."""
         if self._decided_at_ms is None:
             self._decided_at_ms = now_ms
         return now_ms - self._decided_at_ms >= INTERVAL_MS
@@ -211,82 +223,88 @@
         """End an interval: set the share of each route that is admitted.
 
         Args:
-            capacities: slots of each service that can be reached.
+            capacities: reachable slots of each service.
             now_ms: monotonic time.
-            told: what all entries' arrivals need, this one's included; without it
-                those of this entry count alone.
+            told: demand of all ingress sidecars, this one included; if empty, the
+                demand of this sidecar is used alone.
         """
-        self._measure(now_ms)
+        self._update_rates(now_ms)
         claims = told or self.demand()
-        self.wanted = _wanted(claims)
-        rooms = {
-            service: self._room(service, capacities.get(service, NO_CAPACITY))
+        self.wanted = _required_slots(claims)
+        available_slots = {
+            service: self._available_slots(
+                service, capacities.get(service, NO_CAPACITY)
+            )
             for service in self.wanted
         }
         self.fits = fitting_shares(
             claims,
-            {s: room for s, room in rooms.items() if room is not None},
+            {s: slots for s, slots in available_slots.items() if slots is not None},
             self._worth_of if self._worths else None,
         )
 
     def _worth_of(self, rank: int) -> float:
         return self._worths[min(route_priority_of(rank), len(self._worths) - 1)]
 
-    def _room(self, service: str, capacity: Capacity) -> float | None:
-        """Return the slots that admitted requests may take; None for no bound."""
+    def _available_slots(self, service: str, capacity: Capacity) -> float | None:
+        """Return the slots that admitted requests may use; None for no bound."""
         if not capacity.slots:
-            # Failure: a zone is cut off from all servers of a service deep in the
-            # tree. Requests run, their calls find no server, and all is wasted.
-            intervals = self._without[service] = self._without.get(service, 0) + 1
-            return 0.0 if intervals > ABSENT_INTERVALS else None
-        self._without.pop(service, None)
-        trim = self._trim(service, capacity) * _backlog_factor(capacity)
-        return capacity.slots * TARGET_SHARE * trim
-
-    def _measure(self, now_ms: float) -> None:
+            # Failure: a zone is cut off from all servers of a service deep in the call
+            # tree. Requests run, their calls find no server, and all work is wasted.
+            intervals = self._unreachable[service] = (
+                self._unreachable.get(service, 0) + 1
+            )
+            return 0.0 if intervals > UNREACHABLE_INTERVALS else None
+        self._unreachable.pop(service, None)
+        factor = self._update_correction(service, capacity) * _backlog_factor(capacity)
+        return capacity.slots * PLANNED_SLOT_SHARE * factor
+
+    def _update_rates(self, now_ms: float) -> None:
         seconds = max(now_ms - (self._decided_at_ms or 0.0), 1.0) / 1000
         self._decided_at_ms = now_ms
         for name, route in list(self._routes.items()):
-            rate_per_s = route.offered / seconds
-            route.offered = 0
+            rate_per_s = route.arrivals / seconds
+            route.arrivals = 0
             if route.rate_per_s is None:
                 route.rate_per_s = rate_per_s
             route.rate_per_s += RATE_GAIN * (rate_per_s - route.rate_per_s)
             if route.rate_per_s < MIN_RATE_PER_S:
                 del self._routes[name]
 
-    def _trim(self, service: str, capacity: Capacity) -> float:
-        trim = self._trims.get(service, 1.0)
-        use = capacity.used / capacity.slots
+    def _update_correction(self, service: str, capacity: Capacity) -> float:
+        correction = self._corrections.get(service, 1.0)
+        utilisation = capacity.used / capacity.slots
         is_full = any(fit.lacks == service for fit in self.fits.values())
-        if is_full or use > AIM_SHARE:
-            step = TRIM_GAIN * (AIM_SHARE - use)
+        if is_full or utilisation > TARGET_UTILISATION:
+            step = CORRECTION_GAIN * (TARGET_UTILISATION - utilisation)
         else:
-            step = 1.0 - trim
-        trim += min(max(step, -MAX_TRIM_FALL), MAX_TRIM_RISE)
-        trim = self._trims[service] = min(max(trim, MIN_TRIM), MAX_TRIM)
-        return trim
+            step = 1.0 - correction
+        correction += min(max(step, -MAX_CORRECTION_DECREASE), MAX_CORRECTION_INCREASE)
+        correction = self._corrections[service] = min(
+            max(correction, MIN_CORRECTION), MAX_CORRECTION
+        )
+        return correction
 
 
 def _backlog_factor(capacity: Capacity) -> float:
-    """Return the part of the room that is left beside the requests that wait."""
-    waiting_share = max(0.0, capacity.used / capacity.slots - 1.0)
-    return max(MIN_BACKLOG_FACTOR, 1.0 - BACKLOG_GAIN * waiting_share)
+    """Return the share of the slots that remains beside the queued requests."""
+    queued_share = max(0.0, capacity.used / capacity.slots - 1.0)
+    return max(MIN_BACKLOG_FACTOR, 1.0 - BACKLOG_GAIN * queued_share)
 
 
 def merge_claims(demands: Iterable[Iterable[Claim]]) -> list[Claim]:
-    """Return one claim for each kind from those of all entries.
+    """Merge the demand of all ingress sidecars into one claim for each kind.
 
-    Entries learn what a kind needs each for itself; the estimate of one where more
-    arrive counts for more.
+    Each sidecar estimates the cost of a kind by itself; an estimate is weighted by the
+    sidecar's arrival rate.
     """
     by_kind: dict[str, list[Claim]] = defaultdict(list)
     for claim in itertools.chain.from_iterable(demands):
         by_kind[claim.kind].append(claim)
-    return [_merged(claims) for claims in by_kind.values()]
+    return [_merge_kind(claims) for claims in by_kind.values()]
 
 
-def _merged(claims: list[Claim]) -> Claim:
+def _merge_kind(claims: list[Claim]) -> Claim:
     if len(claims) == 1:
         return claims[0]
     rate_per_s = sum(claim.rate_per_s for claim in claims)
@@ -303,9 +321,9 @@
     )
 
 
-def _wanted(claims: Iterable[Claim]) -> dict[str, float]:
-    wanted: dict[str, float] = defaultdict(float)
+def _required_slots(claims: Iterable[Claim]) -> dict[str, float]:
+    required_slots: dict[str, float] = defaultdict(float)
     for claim in claims:
         for service in claim.needs:
-            wanted[service] += claim.wanted(service)
-    return wanted
+            required_slots[service] += claim.wanted(service)
+    return required_slots
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/idle_limit.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/idle_limit.py
@@ -1,16 +1,16 @@
-"""How long a connection may rest before a request that must not run twice takes it."""
+"""Idle limit of connections that carry requests which must not run twice."""
 
 FRESH_MS = 1_000.0
-"""Idle time up to which such a request may use a connection. One that its server
-dropped meanwhile resets it, and nobody knows whether it ran."""
+"""Idle time up to which such a request may use a connection. If the server has dropped
+the connection meanwhile, the request is reset, and it isn't known whether it ran."""
 
-SHORTENED_SHARE = 0.5
-"""Part of the idle time after which a connection was lost that is still trusted."""
+LOST_IDLE_SHARE = 0.5
+"""Share of the idle time of a lost connection that is still trusted."""
 
 MIN_REST_MS = 100.0
-"""Shortest rest that a loss is put down to. Servers also lose connections for other
-reasons; with each of them taken for a rest, no connection would be used twice, and
-more would be open than a server accepts."""
+"""Shortest idle time to which a loss is attributed. Servers also lose connections for
+other reasons; if each loss were attributed to the idle time, no connection would be
+reused, and more would be open than a server accepts."""
 
 SHORTENED_MS = 8_000.0
 """Time for which a shorter limit is kept after a loss: servers that drop connections
@@ -18,26 +18,27 @@
 
 
 class IdleLimit:
-    """Learns from lost connections how soon a server drops idle ones.
+    """Adapts the idle limit to lost connections.
 
-    Failure: a server forgets connections that rested for a quarter of a second. Every
-    approval that takes such a one is reset, may have run, and fails for good.
+    Failure: a server drops connections that were idle for a quarter of a second. Each
+    non-repeatable request on such a connection is reset, may have run, and fails for
+    good.
     """
 
     def __init__(self):
-        self._short_ms = FRESH_MS
-        self._short_until_ms = 0.0
+        self._limit_ms = FRESH_MS
+        self._shortened_until_ms = 0.0
 
     def limit_ms(self, now_ms: float) -> float:
         """Return the idle time up to which a connection is trusted."""
-        if now_ms >= self._short_until_ms:
-            self._short_ms = FRESH_MS
-        return self._short_ms
+        if now_ms >= self._shortened_until_ms:
+            self._limit_ms = FRESH_MS
+        return self._limit_ms
 
     def lost(self, idle_ms: float, now_ms: float) -> None:
-        """Note a connection that was reset by the first request after a rest."""
+        """Record a connection that its first request after an idle time found reset."""
         if idle_ms < MIN_REST_MS:
             return
-        learnt_ms = idle_ms * SHORTENED_SHARE
-        self._short_ms = min(self.limit_ms(now_ms), learnt_ms)
-        self._short_until_ms = now_ms + SHORTENED_MS
+        trusted_ms = idle_ms * LOST_IDLE_SHARE
+        self._limit_ms = min(self.limit_ms(now_ms), trusted_ms)
+        self._shortened_until_ms = now_ms + SHORTENED_MS
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/instances.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/instances.py
@@ -1,9 +1,9 @@
-"""Backend servers as the platform's data name them."""
+"""Backend server instances, as the platform's data list them."""
 
 from dataclasses import dataclass, field
 
 InstanceIdentity = tuple[str, int]
-"""Id and incarnation, which together name one lifetime of a backend server."""
+"""Id and incarnation, which together identify one lifetime of a backend server."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -11,19 +11,20 @@
     """One lifetime of a backend server.
 
     Attributes:
-        id: names the server to itself and the platform; a server that starts again
-            may have the id that it had.
+        id: name of the server, for itself and the platform; a restarted server may keep
+            its id.
         service: name of the service.
-        ip: IP number of its host, where a sidecar accepts links.
-        port: port of the server, which with the IP number has one server at a time.
-        availability_zone: where it runs.
-        slots: requests that it runs at once.
-        leaving: whether it must get no new work.
-        cold_ms: how much longer it was slow when this was written.
-        incarnation: tells lifetimes of one id apart, later ones by a greater number;
-            0 where the platform doesn't tell it.
-        identity: what names this lifetime and no other; made once, since placement
-            compares it for each request.
+        ip: IP address of its host, where a sidecar accepts links.
+        port: port of the server; only one server at a time has this address and port.
+        availability_zone: zone of its host.
+        slots: number of requests that it runs at once.
+        leaving: whether it must get no new requests.
+        cold_ms: remaining time for which it was slow after its start when this was
+            written.
+        incarnation: distinguishes lifetimes of one id, later ones by a greater number;
+            0 if the platform doesn't give it.
+        identity: identifies this lifetime; built once, since placement compares it for
+            each request.
     """
 
     id: str
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
@@ -1,4 +1,4 @@
-"""Shows operators the organisations, their limits, and what they use of them."""
+"""Operator page that lists the organisations with their limits and usage."""
 
 from collections.abc import Callable
 
@@ -15,16 +15,16 @@
 
 
 class OrganisationsPage:
-    """Serves ``/organisations``, and leaves all other paths to another page.
+    """Serves ``/organisations``, and passes all other paths to another page.
 
-    ``GET /organisations`` gives a line for each organisation: its priority and limit,
-    what all hosts asked and let in as far as this host was told, and what this host
-    let in itself. Keys aren't shown.
+    ``GET /organisations`` returns a line for each organisation: its priority and limit,
+    the requests that arrived and were admitted at all hosts, as last reported, and
+    those that this host admitted itself. Keys aren't shown.
 
     Args:
         table: returns the routes and organisations in force.
-        rates: knows what is let in.
-        others: page of the other paths.
+        rates: usage of the organisations.
+        others: page that serves the other paths.
         now_ms: monotonic clock.
     """
 
@@ -42,15 +42,17 @@
         self._now_ms = now_ms
 
     def handle(self, request: HttpRequest, connection: CallerConnection) -> None:
-        """Answer one question (RequestHandler)."""
+        """Answer one request (RequestHandler)."""
         if request.target.partition(b"?")[0] != PATH:
             self._others.handle(request, connection)
             return
         table = self._table()
-        listed = table.organisations if table else None
+        organisations = table.organisations if table else None
         lines = [
             self._line(organisation, table.version)
-            for organisation in (listed.by_name.values() if listed else ())
+            for organisation in (
+                organisations.by_name.values() if organisations else ()
+            )
         ]
         connection.respond(
             request,
@@ -60,17 +62,17 @@
         )
 
     def gone(self, request: HttpRequest) -> None:
-        """Nothing is under way (RequestHandler)."""
+        """Do nothing: each request is answered at once (RequestHandler)."""
 
     def _line(self, organisation: Organisation, version: int) -> str:
         named = f"organisation={organisation.name} priority={organisation.priority}"
         limit = organisation.limit
         if limit is None:
             return f"{named} rate_per_s=none version={version}"
-        seen, spent_here = self._rates.look(organisation, self._now_ms())
+        decision, spent_here = self._rates.look(organisation, self._now_ms())
         return (
             f"{named} rate_per_s={limit.rate_per_s:g} burst={limit.burst:g} "
-            f"part={seen.part:.3f} share={seen.share:.3f} "
-            f"asked_per_s={seen.asked_per_s:.1f} spent={seen.spent:.0f} "
+            f"part={decision.part:.3f} share={decision.share:.3f} "
+            f"asked_per_s={decision.asked_per_s:.1f} spent={decision.spent:.0f} "
             f"spent_here={spent_here} version={version}"
         )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -1,4 +1,4 @@
-"""Which instance of a service a request is sent to."""
+"""Placement: chooses the instance of a service that a request is sent to."""
 
 import math
 import random
@@ -11,81 +11,87 @@
 from sassafraswinch_sidecar.relay_protocol.ttypes import ServerLoad
 
 OTHER_ZONE_COST = 0.25
-"""Share of the slots by which an instance in another zone must be emptier. The way
-there and back takes 3 ms, and bytes between zones are paid for."""
+"""Cost of an instance in another zone, as a share of its slots. The round trip takes
+3 ms, and traffic between zones is billed."""
 
-ZONE_COST_PER_KB = 0.05
-"""Added to it for each KB of the answers that a route's requests get: long answers are
-what bytes between zones are made of, and callers lose nothing by a fuller server as
-long as it has slots."""
+OTHER_ZONE_COST_PER_KB = 0.05
+"""Added to it for each KB of the mean answer of the route. Long answers make up most of
+the traffic between zones, and callers lose nothing by a fuller server as long as it has
+free slots."""
 
-MAX_BYTES_COST = 0.35
-"""Bound of that: a full server in the zone still gives way to an empty one outside."""
+MAX_OTHER_ZONE_BYTES_COST = 0.35
+"""Bound of that addition: an idle server in another zone is still preferred to a full
+one in the own zone."""
 
 OTHER_HOST_COST = 0.03
-"""The same for another host in the zone: a link instead of none."""
+"""Cost of another host in the own zone: a link is needed to reach it."""
 
-JITTER = 0.06
-"""Random part of the cost: sidecars that know the same don't all choose the same."""
+JITTER_COST = 0.06
+"""Random part of the cost, so that sidecars with the same data don't all choose the
+same instance."""
 
 COLD_COST = 0.4
-"""Added for an instance that has just started and is slow for some seconds."""
+"""Cost of an instance that has just started and is slow for some seconds."""
 
-FAILING_COST = 1.5
-"""Added for each part of the recent requests that failed: an instance that fails
-half of them comes after full ones."""
+FAILURE_COST = 1.5
+"""Cost per share of recent requests that failed: an instance that fails half of its
+requests is chosen after full ones."""
 
-PACE_COST = 0.6
-"""Added for each time over the mean that an instance takes: one that is twice as slow
-as the others gets its requests when they are more than half fuller."""
+LATENCY_COST = 0.6
+"""Cost per unit of relative latency above 1: an instance that is twice as slow as the
+others is chosen when they are more than half fuller."""
 
-PACE_GAIN = 0.08
-"""Weight of one request in an instance's pace: the last dozen."""
+LATENCY_GAIN = 0.08
+"""Weight of one request in an instance's relative latency: the last dozen requests."""
 
-PACE_BOUNDS = (0.2, 5.0)
-"""Bounds of one request's pace: single long requests say little."""
+LATENCY_BOUNDS = (0.2, 5.0)
+"""Bounds of one request's relative latency: single long requests say little."""
 
-MEAN_GAIN = 0.02
-"""Weight of one request in the mean of its kind: the last fifty."""
+MIN_MEAN_GAIN = 0.02
+"""Least weight of one value in the mean of its kind: the last fifty values."""
 
-SAMPLE_NEAR = 5
-SAMPLE_FAR = 5
-"""Instances of the own zone and of others that are compared. The cost of a choice stays
-flat in large services, and sidecars that were told the same don't all choose the same:
-each compares others."""
+OWN_ZONE_SAMPLE = 5
+OTHER_ZONES_SAMPLE = 5
+"""Number of instances of the own zone and of other zones that are compared. The cost of
+a choice stays constant in large services, and sidecars that received the same loads
+don't all choose the same instance, since each compares others."""
 
 FAILURE_GAIN = 0.08
-"""Weight of one end of a request in the failing share: the last dozen."""
+"""Weight of one finished request in the failure rate: the last dozen requests."""
 
 HALF_LIFE_MS = 3_000.0
-"""Time in which what was learnt of an instance halves, so that it is tried again."""
+"""Half-life of the failure rate and the relative latency of an instance, so that it is
+tried again."""
 
 
 LEAVING_WORD_MS = 1_000.0
-"""Time in which a host isn't asked again after it refused a request since its server
-leaves. It hears of that first; the platform tells the others within a second, and
-also if the server stays after all."""
+"""Time for which a host gets no requests after it refused one because its server is
+leaving. The host is the first to know; the platform reports it to the others within a
+second, and also reports if the server stays after all."""
 
 
 @dataclass(slots=True)
 class PeerLoad:
-    """What is known of the backend server beside a peer.
+    """Last known load and health of the backend server beside a peer.
 
     Attributes:
         in_flight: requests that it runs.
         queued: requests that wait for it.
-        limit: requests that are let onto it at once; None before the first report,
-            0 while it is down.
+        limit: requests that it may run at once; None before the first report, 0 while
+            it is down.
         sent_since: requests sent to it since the report.
-        leaving: whether the peer takes no new requests.
-        refuses_until_ms: until when requests would be refused, by its last word.
-        told_ms: when it was told, by the clock of this sidecar.
-        following: whether the peer follows the platform.
+        leaving: whether the peer accepts no new requests.
+        refuses_until_ms: time until which the peer is assumed to refuse requests, by
+            its last answer.
+        told_ms: time of the report, by the clock of this sidecar.
+        following: whether the peer is connected to the platform.
         isolated: whether the peer's host can't reach the platform, which therefore
             doesn't list its server.
         failing: share of recent requests that failed there.
-        pace: time that recent requests took, as share of the mean of all instances.
-        identity: lifetime of the server that the last two were learnt of.
+        failing_at_ms: time at which ``failing`` was updated.
+        pace: latency of recent requests relative to the mean of all instances.
+        pace_at_ms: time at which ``pace`` was updated.
+        identity: lifetime of the server that ``failing`` and ``pace`` belong to.
     """
 
     in_flight: int = 0
@@ -104,10 +110,10 @@
     identity: InstanceIdentity | None = None
 
     def is_of(self, identity: InstanceIdentity) -> None:
-        """Note which lifetime of the server requests go to from now on.
+        """Set the lifetime of the server that requests go to from now on.
 
-        Failure: a server that failed half of its requests is started anew, perhaps
-        under the id that it had, and is avoided for what the former one did.
+        Failure: a server that failed half of its requests is restarted, perhaps under
+        its former id, and would be avoided for the failures of its former lifetime.
         """
         if identity == self.identity:
             return
@@ -116,46 +122,48 @@
             self.pace = 1.0
         self.identity = identity
 
-    def report(self, told: ServerLoad, now_ms: float) -> None:
-        """Take in what the peer says of its backend server."""
+    def report(self, reported: ServerLoad, now_ms: float) -> None:
+        """Apply the peer's report on its backend server."""
         self.told_ms = now_ms
-        self.in_flight = told.in_flight
-        self.queued = told.queued
-        self.limit = told.limit
+        self.in_flight = reported.in_flight
+        self.queued = reported.queued
+        self.limit = reported.limit
         self.sent_since = 0
 
     def ended(self, *, failed: bool, now_ms: float) -> None:
-        """Count the end of a request."""
-        known = self.failing_share(now_ms)
-        self.failing = known + FAILURE_GAIN * (float(failed) - known)
+        """Update the failure rate with a finished request."""
+        current = self.failing_share(now_ms)
+        self.failing = current + FAILURE_GAIN * (float(failed) - current)
         self.failing_at_ms = now_ms
 
     def failing_share(self, now_ms: float) -> float:
-        """Return the share of recent requests that failed, fading with time."""
+        """Return the share of recent requests that failed, decaying with time."""
         if not self.failing:
             return 0.0
-        return self.failing * _faded(now_ms - self.failing_at_ms)
-
-    def took(self, pace: float, now_ms: float) -> None:
-        """Count the time of a request, as share of the mean for its route."""
-        low, high = PACE_BOUNDS
-        known = self.pace_now(now_ms)
-        self.pace = known + PACE_GAIN * (min(max(pace, low), high) - known)
+        return self.failing * _decay(now_ms - self.failing_at_ms)
+
+    def took(self, relative_latency: float, now_ms: float) -> None:
+        """Update the relative latency with a finished request."""
+        low, high = LATENCY_BOUNDS
+        current = self.pace_now(now_ms)
+        self.pace = current + LATENCY_GAIN * (
+            min(max(relative_latency, low), high) - current
+        )
         self.pace_at_ms = now_ms
 
     def pace_now(self, now_ms: float) -> float:
-        """Return the pace, fading to that of the others with time."""
+        """Return the relative latency, decaying to 1 with time."""
         if self.pace == 1.0:
             return 1.0
-        return 1.0 + (self.pace - 1.0) * _faded(now_ms - self.pace_at_ms)
+        return 1.0 + (self.pace - 1.0) * _decay(now_ms - self.pace_at_ms)
 
 
 class RunningMeans:
-    """Means by kind of request, of the last dozens of values or of all at first.
+    """Exponential moving averages by kind of request, plain averages at first.
 
-    Failure: a mean that starts from its first value alone keeps it for dozens of
-    requests. The first ones after a start are slow, so whoever is measured next looks
-    fast, and an instance that hasn't been tried yet is never preferred to it.
+    Failure: an average that starts from its first value alone keeps it for dozens of
+    requests. The first requests after a start are slow, so the instance measured next
+    looks fast, and one that hasn't been tried yet is never preferred to it.
     """
 
     def __init__(self):
@@ -163,10 +171,10 @@
         self._counts: Counter[Hashable] = Counter()
 
     def count(self, kind: Hashable, value: float) -> None:
-        """Take in one value."""
+        """Add one value."""
         self._counts[kind] += 1
-        # The later of the first values weigh more: those after a start are slow.
-        gain = max(MEAN_GAIN, 2 / (self._counts[kind] + 1))
+        # Later values weigh more at first: those just after a start are slow.
+        gain = max(MIN_MEAN_GAIN, 2 / (self._counts[kind] + 1))
         mean = self._means.get(kind, 0.0)
         self._means[kind] = mean + gain * (value - mean)
 
@@ -176,31 +184,31 @@
 
 
 class PaceMeter:
-    """Mean times by kind of request, against which each request is measured."""
+    """Measures requests relative to the mean latency of their kind."""
 
     def __init__(self):
-        self._times_ms = RunningMeans()
+        self._latencies_ms = RunningMeans()
 
-    def measure(self, kind: Hashable, time_ms: float) -> float:
-        """Return a request's time as share of the mean, and count it."""
-        self._times_ms.count(kind, time_ms)
-        mean_ms = self._times_ms.mean(kind)
-        return time_ms / mean_ms if mean_ms else 1.0
+    def measure(self, kind: Hashable, latency_ms: float) -> float:
+        """Add a request's latency to the mean, and return it relative to the mean."""
+        self._latencies_ms.count(kind, latency_ms)
+        mean_ms = self._latencies_ms.mean(kind)
+        return latency_ms / mean_ms if mean_ms else 1.0
 
 
-def _faded(age_ms: float) -> float:
+def _decay(age_ms: float) -> float:
     return 0.5 ** (age_ms / HALF_LIFE_MS)
 
 
 class Placement:
-    """Chooses the emptiest near instance.
+    """Chooses the least loaded instance nearby.
 
     Args:
         own_ip: address of this host.
-        availability_zone: where this host is.
-        load_of: returns what is known of the server at an address; None if it
-            can't be reached.
-        cold_left_ms: returns how much longer an instance is slow.
+        availability_zone: zone of this host.
+        load_of: returns the load of the server at an address; None if it can't be
+            reached.
+        cold_left_ms: returns how much longer an instance is slow after its start.
         rng: source of the jitter.
     """
 
@@ -230,16 +238,18 @@
 
         Args:
             instances: the instances of the service.
-            tried: lifetimes that were asked before.
+            tried: lifetimes that the request was sent to before.
             now_ms: monotonic time.
             answer_bytes: mean length of the answers of such requests.
         """
-        bytes_cost = min(answer_bytes / 1000 * ZONE_COST_PER_KB, MAX_BYTES_COST)
+        bytes_cost = min(
+            answer_bytes / 1000 * OTHER_ZONE_COST_PER_KB, MAX_OTHER_ZONE_BYTES_COST
+        )
         other_zone_cost = OTHER_ZONE_COST + bytes_cost
         candidates = list(instances)
         if tried:
             candidates = [each for each in candidates if each.identity not in tried]
-        if len(candidates) > SAMPLE_NEAR + SAMPLE_FAR:
+        if len(candidates) > OWN_ZONE_SAMPLE + OTHER_ZONES_SAMPLE:
             candidates = self._sample(candidates)
         best, best_cost = None, float("inf")
         for instance in candidates:
@@ -249,14 +259,14 @@
         return best
 
     def _sample(self, candidates: list[Instance]) -> list[Instance]:
-        """Return some of each sort: by chance alone hardly any is of the own zone."""
-        near = [c for c in candidates if c.availability_zone == self._zone]
-        far = [c for c in candidates if c.availability_zone != self._zone]
-        near_count = min(len(near), SAMPLE_NEAR)
-        far_count = min(len(far), SAMPLE_NEAR + SAMPLE_FAR - near_count)
+        """Sample both groups: one random sample would rarely hold the own zone."""
+        own_zone = [c for c in candidates if c.availability_zone == self._zone]
+        others = [c for c in candidates if c.availability_zone != self._zone]
+        own_count = min(len(own_zone), OWN_ZONE_SAMPLE)
+        other_count = min(len(others), OWN_ZONE_SAMPLE + OTHER_ZONES_SAMPLE - own_count)
         return [
-            *self._rng.sample(near, near_count),
-            *self._rng.sample(far, far_count),
+            *self._rng.sample(own_zone, own_count),
+            *self._rng.sample(others, other_count),
         ]
 
     def _cost(
@@ -272,9 +282,9 @@
         limit = load.limit or max(instance.slots, 1)
         cost = (load.in_flight + load.queued + load.sent_since) / limit
         if load.failing:
-            cost += FAILING_COST * load.failing_share(now_ms)
-        cost += PACE_COST * (load.pace_now(now_ms) - 1.0)
-        cost += JITTER * self._rng.random()
+            cost += FAILURE_COST * load.failing_share(now_ms)
+        cost += LATENCY_COST * (load.pace_now(now_ms) - 1.0)
+        cost += JITTER_COST * self._rng.random()
         if instance.cold_ms and self._cold_left_ms(instance, now_ms):
             cost += COLD_COST
         if instance.availability_zone != self._zone:
@@ -287,15 +297,15 @@
 def capacities_of(
     instances: Iterable[Instance], load_of: Callable[[str], PeerLoad | None]
 ) -> dict[str, Capacity]:
-    """Return the slots that can be reached, by service, and how many are in use."""
+    """Return the reachable slots of each service, and how many are in use."""
     capacities: dict[str, Capacity] = {}
     for instance in instances:
         load = load_of(instance.ip)
         if load is None or load.leaving:
             continue
-        known = capacities.get(instance.service, NO_CAPACITY)
+        capacity = capacities.get(instance.service, NO_CAPACITY)
         limit = instance.slots if load.limit is None else load.limit
         capacities[instance.service] = Capacity(
-            known.slots + limit, known.used + load.in_flight + load.queued
+            capacity.slots + limit, capacity.used + load.in_flight + load.queued
         )
     return capacities
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
@@ -1,4 +1,4 @@
-"""Loads of the servers that requests can be sent to now."""
+"""Loads of the backend servers that can currently be reached."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,13 @@
 
 
 class ReachableLoads:
-    """Joins what gatherers tell of hosts and what the links to them show.
+    """Combines the loads reported by aggregators with the state of the links.
 
     Args:
         own_ip: address of this host.
         executor: runs requests at the server beside this sidecar.
-        links: lead to the other hosts.
-        view: what was told of them.
+        links: links to the other hosts.
+        view: last reported loads of the other hosts.
         now_ms: monotonic clock.
 
     Attributes:
@@ -39,10 +39,10 @@
         self._now_ms = now_ms
 
     def of(self, ip: str) -> PeerLoad | None:
-        """Return what is known of the server at an address; None if out of reach.
+        """Return the load of the server at an address; None if it can't be reached.
 
-        A link that has just shown signs of life proves more than what gatherers tell,
-        who may be lost or cut off themselves.
+        A link with recent traffic is stronger evidence than the aggregators' reports:
+        aggregators may be down or cut off themselves.
         """
         if ip == self._own_ip:
             self.own.report(self._executor.load(), self._now_ms())
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
@@ -1,10 +1,10 @@
-"""The greatest of the values of the last while."""
+"""Maximum over a sliding time window."""
 
 from collections import deque
 
 
 class RecentMaximum:
-    """Keeps the greatest value that was noted in a sliding window.
+    """Greatest value that was recorded in a sliding window.
 
     Args:
         window_ms: age at which a value no longer counts.
@@ -12,23 +12,24 @@
 
     def __init__(self, *, window_ms: float):
         self._window_ms = window_ms
-        self._falling: deque[tuple[float, int]] = deque()
+        self._decreasing: deque[tuple[float, int]] = deque()
 
     def note(self, value: int, now_ms: float) -> None:
-        """Take in the value that holds from now on."""
-        falling = self._falling
+        """Record the value that holds from now on."""
+        decreasing = self._decreasing
         since_ms = now_ms
-        while falling and falling[-1][1] <= value:
-            # It outlasts the smaller one, so that one's time may count as its own.
-            since_ms, _ = falling.pop()
-        falling.append((since_ms, value))
+        while decreasing and decreasing[-1][1] <= value:
+            # The new value outlasts the smaller one and may take over its start.
+            since_ms, _ = decreasing.pop()
+        decreasing.append((since_ms, value))
 
     def value(self, now_ms: float) -> int:
-        """Return the greatest value of the window; 0 if none was ever noted.
+        """Return the greatest value of the window; 0 if none was ever recorded.
 
-        A value holds until the next one, and counts for a window from then on.
+        A value holds until the next one is recorded, and counts for one window from
+        then on.
         """
-        falling = self._falling
-        while len(falling) > 1 and now_ms - falling[1][0] >= self._window_ms:
-            falling.popleft()
-        return falling[0][1] if falling else 0
+        decreasing = self._decreasing
+        while len(decreasing) > 1 and now_ms - decreasing[1][0] >= self._window_ms:
+            decreasing.popleft()
+        return decreasing[0][1] if decreasing else 0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
@@ -1,4 +1,4 @@
-"""Which server a request is sent to next, among those that its route allows."""
+"""Choice of the next backend server for a request, within the limits of its route."""
 
 import zlib
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
     now_ms: float,
     answer_bytes: float = 0.0,
 ) -> Instance | None:
-    """Return an instance that wasn't asked yet, or else one to be asked again.
+    """Return an instance not yet tried, or else one that is tried once more.
 
     No more servers than the route allows get the request; those that proved that they
     didn't run it may get it again.
@@ -43,15 +43,15 @@
     now_ms: float,
     judged: Judgement,
 ) -> Instance | None:
-    """Return the instance for a request under which servers ended.
+    """Return the instance for a request that ran when servers crashed.
 
-    Load pattern: copies of it arrive at many hosts at once, and each would end a
-    server. All hosts rank the servers alike for a request, so its copies meet at one,
-    which runs one at a time; and those who were lost with it go to other servers than
-    it does. A trial has no second choice: hosts that haven't heard of its end yet must
-    not try the next server.
+    Load pattern: copies of it arrive at many hosts at once, and each would crash a
+    server. All hosts rank the servers alike for a request, so its copies meet at one
+    server, which runs one at a time. Innocent requests that were lost with it rank the
+    servers differently and so go to other ones. A trial has no second choice: hosts
+    that don't know its outcome yet must not try the next server.
     """
-    ranked = sorted(instances, key=lambda each: _rank(judged.digest, each.ip))
+    ranked = sorted(instances, key=lambda each: _server_rank(judged.digest, each.ip))
     if judged.standing is Standing.TRIAL:
         ranked = ranked[:1]
     choices = (
@@ -60,5 +60,5 @@
     return next((choice for choice in choices if choice is not None), None)
 
 
-def _rank(digest: bytes, ip: str) -> int:
+def _server_rank(digest: bytes, ip: str) -> int:
     return zlib.crc32(digest + ip.encode())
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_ends.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_ends.py
@@ -1,4 +1,4 @@
-"""The ends of the backend server beside this sidecar, and what ran there then."""
+"""Exits of the local backend server, and the requests that were running there."""
 
 import os
 import zlib
@@ -10,37 +10,39 @@
 from sassafraswinch_sidecar.request_log import RequestLog
 from sassafraswinch_sidecar.suspect_requests import SuspectRequests
 
-NAME_BYTES = 4
-"""Random part of an end's name: an instance may start again under the id it had."""
+EXIT_NAME_RANDOM_BYTES = 4
+"""Random part of an exit's name: an instance may start again under its former id."""
 
-MOST_GIVEN_UP = 64
-"""Requests without an answer that are remembered; a server hangs under the first."""
+MAX_ABANDONED = 64
+"""Unanswered requests that are remembered; a server hangs under the first of them."""
 
-PROVEN_MS = 10_000.0
-"""Time for which an answer shows that a request doesn't end its server."""
+ANSWERED_MEMORY_MS = 10_000.0
+"""Time for which a good answer shows that a request doesn't crash its server."""
 
-MOST_PROVEN = 1_024
-"""Answered requests that are remembered: a busy server's last seconds. What many
-callers send comes again within them."""
+MAX_ANSWERED = 1_024
+"""Answered requests that are remembered: the last seconds of a busy server. A request
+that many callers send arrives again within them."""
 
 
 class ServerEnds:
-    """Makes suspects of the requests that ran when the server's process ended.
+    """Makes suspects of the requests that were running when the server exited.
 
-    Only the sidecar beside a server can see that its process ended, so only it names an
-    end; all others repeat the name. Given up requests count as well until the server
-    answers anything: one under which it hangs is given up long before the hanging
-    server is ended.
+    Only the sidecar beside a server can see that its process exited, so only this
+    sidecar names the exit; all others use that name. Abandoned requests, which were
+    cancelled or timed out, count as running until the server answers anything: a
+    request under which the server hangs is abandoned long before the hanging server is
+    stopped.
 
-    What the server answered a moment ago is no suspect. Failure: all servers of a
-    service end together, by a loss of power say, and the page that everybody asks for
-    ran on each; it would be held back when they are up again.
+    A request that the server answered a moment ago is no suspect. Failure: all servers
+    of a service exit together, by a power failure for example, and a page that is
+    requested everywhere was running on each. It would be held back when the servers are
+    up again.
 
     Args:
-        suspects: is told of the suspects.
-        is_leaving: tells whether an instance was about to leave, so that its end says
-            nothing of its requests.
-        log: lines about single requests.
+        suspects: records the suspects.
+        is_leaving: returns whether an instance was about to leave, in which case its
+            exit says nothing about its requests.
+        log: log of single requests.
         now_ms: monotonic clock.
     """
 
@@ -56,59 +58,64 @@
         self._is_leaving = is_leaving
         self._log = log
         self._now_ms = now_ms
-        self._proven_ms: dict[int, float] = {}
-        self._name = ""
-        self._given_up: deque[tuple[str, Digests]] = deque(maxlen=MOST_GIVEN_UP)
+        self._answered_at_ms: dict[int, float] = {}
+        self._exit_name = ""
+        self._abandoned: deque[tuple[str, Digests]] = deque(maxlen=MAX_ABANDONED)
 
     @property
     def has_given_up(self) -> bool:
-        """Whether requests were given up since the server's last answer."""
-        return bool(self._given_up)
+        """Whether requests were abandoned since the server's last answer."""
+        return bool(self._abandoned)
 
     def gave_up(self, request: RelayRequest) -> None:
-        """Note a request that is no longer waited for, and may still run."""
-        self._given_up.append((request.instance_id, digest_request(request)))
+        """Record a request that was cancelled or timed out, and may still run."""
+        self._abandoned.append((request.instance_id, digest_request(request)))
 
     def answered(self) -> None:
-        """Note that the server answers, so it outlived what was given up."""
-        self._given_up.clear()
+        """Clear the abandoned requests: the server answers, so it survived them."""
+        self._abandoned.clear()
 
     def ran_well(self, request: RelayRequest) -> None:
-        """Note that the server has run a request to a good end."""
-        proven_ms = self._proven_ms
+        """Record that the server ran a request successfully."""
+        answered_at_ms = self._answered_at_ms
         checksum = _checksum(request)
-        proven_ms.pop(checksum, None)
-        proven_ms[checksum] = self._now_ms()
-        if len(proven_ms) > MOST_PROVEN:
-            del proven_ms[next(iter(proven_ms))]
+        answered_at_ms.pop(checksum, None)
+        answered_at_ms[checksum] = self._now_ms()
+        if len(answered_at_ms) > MAX_ANSWERED:
+            del answered_at_ms[next(iter(answered_at_ms))]
 
     def begin(self, instance_id: str) -> None:
-        """Note that the server's process has ended.
+        """Record that the server's process exited.
 
         Args:
-            instance_id: instance that requests ran at; empty where none did.
+            instance_id: instance that requests were running at; empty if none were.
         """
-        given_up = [*self._given_up]
-        self._given_up.clear()
-        if given_up and not instance_id:
-            instance_id, _ = given_up[-1]
-        self._name = f"{instance_id}/{os.urandom(NAME_BYTES).hex()}"
-        for instance_id, digests in given_up:
-            self._note(instance_id, digests)
+        abandoned = [*self._abandoned]
+        self._abandoned.clear()
+        if abandoned and not instance_id:
+            instance_id, _ = abandoned[-1]
+        self._exit_name = f"{instance_id}/{os.urandom(EXIT_NAME_RANDOM_BYTES).hex()}"
+        for instance_id, digests in abandoned:
+            self._add_suspect(instance_id, digests)
 
     def add(self, request: RelayRequest) -> str | None:
-        """Note a request that ran then; return the end's name, for its owner.
+        """Record a request that was running at the exit.
 
-        None where the end says nothing of the request.
+        Returns:
+            The name of the exit, for the request's owner; None if the exit says nothing
+            about the request.
         """
-        proven_ms = self._proven_ms.get(_checksum(request))
-        if proven_ms is not None and self._now_ms() - proven_ms < PROVEN_MS:
+        answered_at_ms = self._answered_at_ms.get(_checksum(request))
+        if (
+            answered_at_ms is not None
+            and self._now_ms() - answered_at_ms < ANSWERED_MEMORY_MS
+        ):
             return None
-        return self._note(
+        return self._add_suspect(
             request.instance_id, digest_request(request), request.request_id
         )
 
-    def _note(
+    def _add_suspect(
         self, instance_id: str, digests: Digests, request_id: str = ""
     ) -> str | None:
         if self._is_leaving(instance_id):
@@ -117,13 +124,13 @@
             "ran_at_server_end",
             request_id,
             instance=instance_id,
-            end=self._name,
+            end=self._exit_name,
             digest=digest_text(digests[0]),
         )
-        self._suspects.ended(digests, self._name)
-        return self._name
+        self._suspects.ended(digests, self._exit_name)
+        return self._exit_name
 
 
 def _checksum(request: RelayRequest) -> int:
-    """Return what tells requests apart well enough, at the cost of a microsecond."""
+    """Return a checksum that tells requests apart well enough, in a microsecond."""
     return zlib.crc32(request.body, zlib.crc32(request.target))
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
@@ -1,7 +1,7 @@
-"""Which requests start at the backend server, which wait, and which are refused.
+"""Queue before one backend server: starts, queues or refuses requests by its slots.
 
-A backend server that is handed more than it can run may never answer again, so what
-exceeds its slots waits here, in an order that wastes the least work.
+A backend server that receives more requests than it can run may never answer again.
+Requests beyond its slots are queued here, in the order that wastes the least work.
 """
 
 import heapq
@@ -12,41 +12,44 @@
 from typing import Any
 
 SLOT_SHARE = 0.95
-"""Part of the slots that is used: a new connection and a health check hold a slot
+"""Share of the slots that is used: a new connection and a health check hold a slot
 for a moment, and some servers slow down when they are nearly full."""
 
-HOLD_GAIN = 0.05
+HOLD_TIME_GAIN = 0.05
 """Weight of one request in the mean time that a slot is held: the last twenty."""
 
-MAX_LEFT = 16
-"""Requests that have left and may stay in the heap besides those that wait."""
+MAX_WITHDRAWN = 16
+"""Withdrawn requests that may stay in the heap beyond the number of queued ones."""
 
-COLD_HOLD_MS = 50.0
-"""Mean assumed before any request has ended."""
+INITIAL_HOLD_MS = 50.0
+"""Mean slot time that is assumed before any request has finished."""
 
 
 Rank = tuple[int, bool, float]
-"""Its priority, whether it begins a tree, and how far from its end its tree is.
+"""Priority of a request, whether it is a root request, and its negated progress.
 
-The priority goes first: calls of long trees can wait where short, more important
-requests can't. Requests that make no calls are the end of their tree, so they go with
-the calls; behind them they would hardly ever start."""
+The priority goes first: calls of long call trees can wait where short, more important
+requests can't. Requests that make no calls are the end of their call tree and rank with
+the calls that are furthest on; behind them they would hardly ever start."""
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request before the backend server.
+    """A request in the queue of the backend server, or started from it.
 
     Attributes:
-        item: what the caller of the queue knows it by.
-        inner: whether a running request made it; of one priority such requests go
-            first, since refusing one wastes all that was done for its root request.
-        last: whether its tree ends with it.
+        item: the caller's object for the request.
+        inner: whether it is a child call of a running request. Within a priority, child
+            calls go first, since refusing one wastes all work done for its root
+            request.
         priority: priority of the root request; 0 is the most important.
-        give_up_at_ms: when it leaves the queue if it hasn't started.
-        progress: calls that the requests above it have finished. The further ones go
-            first: refused, they waste more, and what a full server runs is then spent
-            on requests that end whole.
+        give_up_at_ms: time at which it leaves the queue if it hasn't started.
+        progress: finished calls of the requests above it. Those with more progress go
+            first: refusing them wastes more, and a full server then spends its slots on
+            requests that are completed.
+        last: whether it makes no calls.
+        started_at_ms: time at which it got a slot; None while it is queued.
+        left: whether it was withdrawn from the queue.
     """
 
     item: Any
@@ -60,7 +63,7 @@
 
     @property
     def rank(self) -> Rank:
-        """What decides, before the order of arrival, who starts first: the lowest."""
+        """Sort key of the queue, before the order of arrival: the lowest goes first."""
         if self.last:
             return self.priority, False, -math.inf
         return self.priority, not self.inner, -self.progress
@@ -68,51 +71,57 @@
 
 @dataclass(slots=True)
 class ServerQueue:
-    """Slots of one backend server and the requests that wait for them."""
+    """Slots of one backend server and the requests that wait for them.
+
+    Attributes:
+        limit: slots that may be in use at once.
+        running: slots in use.
+        hold_ms: mean time that a request holds its slot.
+    """
 
     limit: int
     running: int = 0
-    hold_ms: float = COLD_HOLD_MS
-    _waiting: list[tuple[Rank, int, QueuedRequest]] = field(default_factory=list)
+    hold_ms: float = INITIAL_HOLD_MS
+    _heap: list[tuple[Rank, int, QueuedRequest]] = field(default_factory=list)
     _sequence: Any = field(default_factory=itertools.count)
     _queued: int = 0
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of requests that wait for a slot."""
         return self._queued
 
     def delay_ms(self, rank: Rank) -> float:
-        """Return the wait that a new request of this rank would meet."""
+        """Return the expected wait of a new request of this rank."""
         if self.running < self.limit and not self._queued:
             return 0.0
         ahead = sum(
             1
-            for waiting_rank, _, request in self._waiting
-            if not request.left and waiting_rank <= rank
+            for queued_rank, _, request in self._heap
+            if not request.left and queued_rank <= rank
         )
         return (ahead + 1) * self.hold_ms / max(self.limit, 1)
 
     def offer(self, request: QueuedRequest, now_ms: float) -> bool:
-        """Take a request, which then starts with ``startable`` or is refused.
+        """Add a request, which ``startable`` yields once it gets a slot.
 
         Returns:
-            False if it would wait longer than it may: it is refused at once, so
-            that it can go elsewhere or come back.
+            False if its expected wait is longer than allowed. It is then refused at
+            once, so that it can be sent elsewhere or retried later.
         """
         rank = request.rank
         delay_ms = self.delay_ms(rank)
         if delay_ms and now_ms + delay_ms > request.give_up_at_ms:
             return False
         order = (rank, next(self._sequence), request)
-        heapq.heappush(self._waiting, order)
+        heapq.heappush(self._heap, order)
         self._queued += 1
         return True
 
     def startable(self, now_ms: float) -> Iterable[QueuedRequest]:
-        """Yield the requests that start now."""
-        while self._waiting and self.running < self.limit:
-            request = heapq.heappop(self._waiting)[-1]
+        """Remove and yield the requests that get a slot now."""
+        while self._heap and self.running < self.limit:
+            request = heapq.heappop(self._heap)[-1]
             if request.left:
                 continue
             self._queued -= 1
@@ -121,27 +130,27 @@
             yield request
 
     def withdraw(self, request: QueuedRequest) -> bool:
-        """Take a waiting request out; False if it has started or left already."""
+        """Remove a queued request; return False if it isn't queued any more."""
         if request.left or request.started_at_ms is not None:
             return False
         request.left = True
         self._queued -= 1
-        if len(self._waiting) > 2 * self._queued + MAX_LEFT:
+        if len(self._heap) > 2 * self._queued + MAX_WITHDRAWN:
             self._compact()
         return True
 
     def finished(self, request: QueuedRequest, now_ms: float) -> float:
-        """Take back the slot of a started request; return how long it was held."""
+        """Release the slot of a started request; return how long it was held."""
         self.running -= 1
         held_ms = now_ms - request.started_at_ms
-        self.hold_ms += HOLD_GAIN * (held_ms - self.hold_ms)
+        self.hold_ms += HOLD_TIME_GAIN * (held_ms - self.hold_ms)
         return held_ms
 
     def expired(self, now_ms: float) -> list[QueuedRequest]:
-        """Take out the requests that have waited as long as they may."""
+        """Remove and return the requests that have waited as long as allowed."""
         late = [
             request
-            for *_, request in self._waiting
+            for *_, request in self._heap
             if not request.left and now_ms >= request.give_up_at_ms
         ]
         for request in late:
@@ -149,19 +158,19 @@
         return late
 
     def _compact(self) -> None:
-        """Drop the requests that have left from the heap.
+        """Remove withdrawn requests from the heap.
 
-        Failure: while more important requests keep coming, those at its bottom never
-        reach the top; thousands that have left pile up there, and every look at the
-        queue walks over them.
+        Failure: while more important requests keep arriving, those at the bottom of the
+        heap never reach its top. Thousands of withdrawn requests accumulate there, and
+        each pass over the queue visits them.
         """
-        self._waiting = [order for order in self._waiting if not order[-1].left]
-        heapq.heapify(self._waiting)
+        self._heap = [order for order in self._heap if not order[-1].left]
+        heapq.heapify(self._heap)
 
     def drain(self) -> list[QueuedRequest]:
-        """Take out all that wait."""
-        waiting = [request for *_, request in self._waiting if not request.left]
-        for request in waiting:
+        """Remove and return all queued requests."""
+        queued = [request for *_, request in self._heap if not request.left]
+        for request in queued:
             self.withdraw(request)
-        self._waiting.clear()
-        return waiting
+        self._heap.clear()
+        return queued
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/substitutes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/substitutes.py
@@ -1,33 +1,33 @@
-"""Instance ids that servers tell themselves, before the platform knows them."""
+"""Instance ids that restarted servers report before the platform lists them."""
 
 from sassafraswinch_sidecar.instances import Instance, InstanceIdentity
 
-SUBSTITUTE_MS = 6_000.0
-"""Time in which an instance id that a server told stands in for the one that the
-platform names at its address: entries of ended servers expire within it."""
+REPORTED_ID_LIFE_MS = 6_000.0
+"""Time for which the instance id that a server reports replaces the one that the
+platform lists at its address: registrations of exited servers expire within it."""
 
 
 class Substitutes:
-    """Asks restarted servers by their new ids.
+    """Current ids of restarted servers, so that requests can be addressed to them.
 
-    Failure: after a loss of power all servers have new ids, and the platform tells the
-    old ones for seconds, in which every request is refused.
+    Failure: after a power failure all servers have new ids. The platform lists the old
+    ids for some seconds, in which every request would be refused.
     """
 
     def __init__(self):
         self._actual_ids: dict[InstanceIdentity, tuple[str, float]] = {}
 
     def note(self, instance: Instance, actual_id: str, now_ms: float) -> None:
-        """Take in the id of the server at an instance's address."""
+        """Record the id that the server at an instance's address reported."""
         self._actual_ids[instance.identity] = (actual_id, now_ms)
 
     def actual_id(self, instance: Instance, now_ms: float) -> str:
-        """Return the id by which the server at an instance's address answers."""
-        told = self._actual_ids.get(instance.identity)
-        if told is None:
+        """Return the id that the server at an instance's address answers to."""
+        reported = self._actual_ids.get(instance.identity)
+        if reported is None:
             return instance.id
-        actual_id, told_ms = told
-        if now_ms - told_ms <= SUBSTITUTE_MS:
+        actual_id, reported_ms = reported
+        if now_ms - reported_ms <= REPORTED_ID_LIFE_MS:
             return actual_id
         del self._actual_ids[instance.identity]
         return instance.id
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -1,4 +1,4 @@
-"""Hands on what sidecars know of requests that ended servers."""
+"""Exchange of crash suspects between sidecars."""
 
 import asyncio
 import math
@@ -16,24 +16,25 @@
 from sassafraswinch_sidecar.relay_protocol.ttypes import Suspect, SuspectNews
 
 LONGEST_AGE_MS = 2**31 - 1
-"""Greatest age on the wire; anything near it was forgotten long before."""
+"""Greatest age on the wire; anything of nearly that age has expired long before."""
 
-FORGET_MS = 10_000.0
-"""Pause between looks for suspects that are too old: they live for a minute or more."""
+EXPIRY_INTERVAL_MS = 10_000.0
+"""Time between checks for expired suspects, which are kept for a minute or more."""
 
 
 class SuspectExchange:
-    """Tells each peer what it wasn't told yet, and takes in what peers tell.
+    """Sends each peer the suspects it doesn't know, and merges those that peers send.
 
-    News goes with the rounds of gatherers, so it crosses the fleet in three of them,
-    half a second in zones of up to sixteen hosts. Each link has its own mark of what
-    was told, so nothing is sent twice, and a new link begins with all.
+    Changes are sent in the rounds of the zone aggregators and so reach the whole fleet
+    in three rounds, half a second in zones of up to sixteen hosts. Each link records
+    the last change that it sent, so nothing is sent twice, and a new link starts with
+    everything.
 
     Args:
-        suspects: what is known.
+        suspects: the suspects known to this host.
         now_ms: monotonic clock.
-        learnt_here: called when this sidecar learnt something that nobody knows yet.
-        told_here: called when a peer told something new.
+        learnt_here: called after a change that no other host knows of.
+        told_here: called after a change that a peer sent.
     """
 
     def __init__(
@@ -49,62 +50,67 @@
         self._learnt_here = learnt_here
         self._told_here = told_here
         self._held: frozenset[bytes] = frozenset()
-        self._noted: asyncio.Handle | None = None
-        self._forgot_ms = -math.inf
+        self._scheduled: asyncio.Handle | None = None
+        self._expiry_checked_ms = -math.inf
 
     def note(self) -> None:
-        """Hand on soon what was learnt: dozens of requests are lost with a server."""
-        if self._noted is None:
-            self._noted = asyncio.get_running_loop().call_soon(self._hand_on)
+        """Schedule one announcement of local changes.
+
+        Dozens of requests are lost with a server, each of which is a change.
+        """
+        if self._scheduled is None:
+            self._scheduled = asyncio.get_running_loop().call_soon(
+                self._announce_changes
+            )
 
     def tick(self) -> None:
-        """Forget now and then what is too old."""
+        """Discard expired suspects from time to time."""
         now_ms = self._now_ms()
-        if now_ms - self._forgot_ms >= FORGET_MS:
-            self._forgot_ms = now_ms
+        if now_ms - self._expiry_checked_ms >= EXPIRY_INTERVAL_MS:
+            self._expiry_checked_ms = now_ms
             self._suspects.forget(now_ms)
 
     def gauges(self) -> Mapping[str, float]:
-        """Return the figures of the moment by name."""
+        """Return the current gauges by name."""
         return {
             "crash_suspects": len(self._suspects),
             "requests_held_back": len(self._suspects.held_back(self._now_ms())),
         }
 
     def greet(self, link: PeerLink) -> None:
-        """Tell a new peer at once which requests must not run freely.
+        """Send a new peer the requests that must not run freely.
 
-        Failure: a sidecar starts and has callers before the next round reaches it; it
-        would hand a request that is held back everywhere else to its own server.
+        Failure: a sidecar starts and gets requests before the next round reaches it. It
+        would send a request that is held back everywhere else to its own server.
         """
-        words = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
-        if words and link.takes_suspects:
-            link.send(serialize_news(words))
+        reports = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
+        if reports and link.takes_suspects:
+            link.send(serialize_news(reports))
 
     def tell(self, link: PeerLink) -> None:
-        """Tell a peer what is new since it was told last."""
+        """Send a peer the changes since the last ones sent to it."""
         if not link.takes_suspects:
             return
         last_change = self._suspects.last_change
         if link.suspects_told == last_change:
             return
-        words = self._suspects.words(self._now_ms(), after=link.suspects_told)
-        if not words or link.send(serialize_news(words)):
+        reports = self._suspects.words(self._now_ms(), after=link.suspects_told)
+        if not reports or link.send(serialize_news(reports)):
             link.suspects_told = last_change
 
-    def take(self, news: SuspectNews) -> None:
-        """Take in what a peer tells."""
-        if self._suspects.take(parse_news(news), self._now_ms()):
+    def take(self, message: SuspectNews) -> None:
+        """Merge the suspects that a peer sent."""
+        if self._suspects.take(parse_news(message), self._now_ms()):
             self._log_held()
             self._told_here()
 
-    def _hand_on(self) -> None:
-        self._noted = None
+    def _announce_changes(self) -> None:
+        self._scheduled = None
         self._log_held()
         self._learnt_here()
 
     def _log_held(self) -> None:
-        """Tell of each request that begins or ceases to be held back."""
+        """Log each request that has become, or is no longer, held back."""
         held = {each.digest: each for each in self._suspects.held_back(self._now_ms())}
         for digest in held.keys() - self._held:
             _log_held_back(held[digest])
@@ -113,34 +119,34 @@
         self._held = frozenset(held)
 
 
-def serialize_news(words: list[SuspectWord]) -> SuspectNews:
-    """Write what is told of suspects."""
-    return SuspectNews([_serialize_word(word) for word in words])
+def serialize_news(reports: list[SuspectWord]) -> SuspectNews:
+    """Serialize reports on suspects."""
+    return SuspectNews([_serialize_report(report) for report in reports])
 
 
-def parse_news(news: SuspectNews) -> list[SuspectWord]:
-    """Read what is told of suspects."""
+def parse_news(message: SuspectNews) -> list[SuspectWord]:
+    """Parse reports on suspects."""
     return [
         SuspectWord(
-            digest=told.digest,
-            end_ages_ms=dict(zip(told.ends, told.ages_ms, strict=False)),
-            answered_age_ms=told.answered_age_ms,
+            digest=suspect.digest,
+            end_ages_ms=dict(zip(suspect.ends, suspect.ages_ms, strict=False)),
+            answered_age_ms=suspect.answered_age_ms,
         )
-        for told in news.suspects
+        for suspect in message.suspects
     ]
 
 
-def _serialize_word(word: SuspectWord) -> Suspect:
-    answered_ms = word.answered_age_ms
+def _serialize_report(report: SuspectWord) -> Suspect:
+    answered_ms = report.answered_age_ms
     return Suspect(
-        digest=word.digest,
-        ends=list(word.end_ages_ms),
-        ages_ms=[_wire_age(age_ms) for age_ms in word.end_ages_ms.values()],
-        answered_age_ms=None if answered_ms is None else _wire_age(answered_ms),
+        digest=report.digest,
+        ends=list(report.end_ages_ms),
+        ages_ms=[_wire_age_ms(age_ms) for age_ms in report.end_ages_ms.values()],
+        answered_age_ms=None if answered_ms is None else _wire_age_ms(answered_ms),
     )
 
 
-def _wire_age(age_ms: float) -> int:
+def _wire_age_ms(age_ms: float) -> int:
     return min(max(int(age_ms), 0), LONGEST_AGE_MS)
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
@@ -1,4 +1,4 @@
-"""The last gate before a backend server, for requests under which servers ended."""
+"""Final check of crash suspects before they start at the local backend server."""
 
 from collections.abc import Callable, Iterable
 
@@ -16,11 +16,11 @@
 class SuspectGate:
     """Decides whether a request may start at the server beside this sidecar.
 
-    Owners ask the register as well, but may not have heard yet, and a request that
-    waits in the queue was sent before.
+    Owners check requests as well, but a crash may not have been reported to them yet,
+    and a queued request may have been sent before it.
 
     Args:
-        suspects: requests that ended servers.
+        suspects: the crash suspects.
         running: returns the requests that run at the server.
     """
 
@@ -34,7 +34,7 @@
         self._running = running
 
     def refusal(self, request: RelayRequest) -> str:
-        """Return why a request may not start; empty if it may."""
+        """Return the reason why a request may not start; empty if it may."""
         standing = self._suspects.judge(request).standing
         if standing is Standing.FREE:
             return ""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -1,4 +1,4 @@
-"""Looks requests up among those that ended servers."""
+"""Lookup of requests among the crash suspects, by their content."""
 
 from collections.abc import Callable
 
@@ -6,23 +6,23 @@
 from sassafraswinch.request_digest import Digests, SentRequest, digest_request
 
 HELD_BACK = "held-back"
-"""Reason of refusals: servers ended under this request, so it must not run now."""
+"""Reason of refusals: servers crashed under this request, so it must not run now."""
 
 COPY_RUNS = "copy-runs"
-"""Reason of refusals: a copy of this request runs, and servers ended under it."""
+"""Reason of refusals: a copy of this request, which is a suspect, is running."""
 
 SUSPECT_RUNS = "suspect-runs"
-"""Reason of refusals: servers ended under this request, and under another one that runs
-here. Apart, the next end or answer tells them apart."""
+"""Reason of refusals: this request is a suspect, and another suspect is running at the
+server. Run separately, the next crash or answer shows which of them is at fault."""
 
 
 class SuspectRequests:
-    """The suspects, by the content of requests.
+    """Crash suspects, looked up and updated by request.
 
     Args:
-        suspects: what is known.
+        suspects: the suspects known to this host.
         now_ms: monotonic clock.
-        changed: called when this sidecar learns something that others don't know.
+        changed: called after a change that other hosts don't know of.
     """
 
     def __init__(
@@ -37,18 +37,18 @@
         self._changed = changed
 
     def judge(self, request: SentRequest) -> Judgement:
-        """Return what a request may do."""
+        """Return whether and under which restrictions a request may run."""
         if not self._suspects.may_know(request.target):
             return UNSUSPECTED
         return self._suspects.judge(digest_request(request), self._now_ms())
 
-    def ended(self, digests: Digests, end: str) -> None:
-        """Note that a server ended while it ran a request."""
-        if self._suspects.ended(digests, end, self._now_ms()):
+    def ended(self, digests: Digests, exit_name: str) -> None:
+        """Record that a server exited while it ran a request."""
+        if self._suspects.ended(digests, exit_name, self._now_ms()):
             self._changed()
 
     def answered(self, request: SentRequest) -> None:
-        """Note that a server ran a request to a good end."""
+        """Record that a server ran a request successfully."""
         if not self._suspects.may_know(request.target):
             return
         if self._suspects.answered(digest_request(request), self._now_ms()):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -1,4 +1,4 @@
-"""Shows operators the requests that ended servers, and lets them clear one."""
+"""Operator page that lists the crash suspects and clears single ones."""
 
 from collections.abc import Callable
 
@@ -18,16 +18,16 @@
 
 
 class SuspectsPage:
-    """Serves ``/suspects``, and leaves all other paths to another page.
+    """Serves ``/suspects``, and passes all other paths to another page.
 
-    ``GET /suspects`` gives a line for each request that doesn't go its usual way;
-    ``POST /suspects/DIGEST/clear`` lets one go again, at all hosts.
+    ``GET /suspects`` returns a line for each restricted request;
+    ``POST /suspects/DIGEST/clear`` lifts the restriction of one, at all hosts.
 
     Args:
-        suspects: what is known.
-        others: page of the other paths.
+        suspects: the suspects known to this host.
+        others: page that serves the other paths.
         now_ms: monotonic clock.
-        cleared: called when a request was cleared, to tell the other hosts.
+        cleared: called when a request was cleared, to send it to the other hosts.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._cleared = cleared
 
     def handle(self, request: HttpRequest, connection: CallerConnection) -> None:
-        """Answer one question (RequestHandler)."""
+        """Answer one request (RequestHandler)."""
         parts = request.target.partition(b"?")[0].strip(b"/").split(b"/")
         if b"/" + parts[0] != PATH:
             self._others.handle(request, connection)
@@ -59,7 +59,7 @@
             connection.respond(request, status=NOT_FOUND, header_lines=b"")
 
     def gone(self, request: HttpRequest) -> None:
-        """Nothing is under way (RequestHandler)."""
+        """Do nothing: each request is answered at once (RequestHandler)."""
 
     def _list(self, request: HttpRequest, connection: CallerConnection) -> None:
         lines = [_line(each) for each in self._suspects.restricted(self._now_ms())]
@@ -70,16 +70,16 @@
             body="".join(f"{line}\n" for line in lines).encode(),
         )
 
-    def _clear(self, text: str) -> bool:
+    def _clear(self, digest: str) -> bool:
         now_ms = self._now_ms()
-        named = tuple(
+        digests = tuple(
             each.digest
             for each in self._suspects.restricted(now_ms)
-            if digest_text(each.digest) == text
+            if digest_text(each.digest) == digest
         )
-        if not named or not self._suspects.answered(named, now_ms):
+        if not digests or not self._suspects.answered(digests, now_ms):
             return False
-        log_event("suspect_cleared", level="warning", digest=text)
+        log_event("suspect_cleared", level="warning", digest=digest)
         self._cleared()
         return True
 
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -141,7 +141,7 @@
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
         queue.expired(now_ms)
-        assert len(queue._waiting) < 60
+        assert len(queue._heap) < 60
 
 
 @settings(derandomize=True, deadline=None)
