--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/crashing.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/crashing.py
@@ -1,4 +1,4 @@
-"""Backend servers that a bad request ends."""
+"""Backend servers that crash on a bad request."""
 
 import asyncio
 import itertools
@@ -7,19 +7,20 @@
 
 BAD = "/orders/bad"
 RESTART_S = 0.15
-"""Time after which a server that has ended runs again."""
+"""Time after which a crashed server runs again."""
 
 
 class CrashingServers:
-    """Servers that end when they run a bad request, and start again as new ones.
+    """Servers that crash when they run a bad request, and restart as new instances.
 
     Attributes:
-        ends: ids of the bad requests that a server ran, one for each end.
+        crashes: ids of the bad requests that a server ran, one for each crash.
         fatal: targets of bad requests.
+        run_ms: time that other requests take.
     """
 
     def __init__(self, fleet, service):
-        self.ends: list[str] = []
+        self.crashes: list[str] = []
         self.fatal = {BAD.encode()}
         self.run_ms = 0.0
         self._down: set[str] = set()
@@ -32,9 +33,9 @@
     def _behave(self, node) -> None:
         def behave(connection, seen):
             if node.ip in self._down:
-                return  # It was read before the end, and doesn't run.
+                return  # It was received before the crash, and doesn't run.
             if seen.target in self.fatal:
-                self.ends.append(seen.request_id.decode())
+                self.crashes.append(seen.request_id.decode())
                 self._down.add(node.ip)
                 node.backend.close()
                 self._tasks.append(asyncio.create_task(self.restart(node)))
@@ -49,28 +50,28 @@
         node.backend.behaviour = behave
 
     async def restart(self, node) -> None:
-        """Start a server again, after a while and as a new instance."""
+        """Restart a server, after a while and as a new instance."""
         await asyncio.sleep(RESTART_S)
         self._down.discard(node.ip)
         await node.backend.open(node.ip, node.backend_port)
         name = f"i-{node.ip}-{next(self._numbers)}"
         await node.put_instance(self._store, name=name)
 
-    async def all_up(self) -> None:
+    async def wait_until_all_up(self) -> None:
         """Wait until every server runs again."""
         await asyncio.gather(*self._tasks)
 
 
-def other_hosts(fleet):
-    """Return all hosts, again and again."""
+def cycle_hosts(fleet):
+    """Return an endless iterator over all hosts."""
     return itertools.cycle(fleet.nodes)
 
 
-async def end_three_servers(fleet, servers):
-    """Send the bad request, at one host after the other, until three servers ended."""
+async def crash_three_servers(fleet, servers):
+    """Send the bad request at one host after the other until three servers crash."""
     numbers = itertools.count(1)
-    for node in other_hosts(fleet):
+    for node in cycle_hosts(fleet):
         await fleet.call(node, target=BAD, request_id=f"bad-{next(numbers)}")
-        if len(servers.ends) >= 3:
+        if len(servers.crashes) >= 3:
             return
-        await servers.all_up()
+        await servers.wait_until_all_up()
--- a/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
+++ b/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end the backend servers that run them."""
+"""Tests of requests that crash the backend servers that run them."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from sassafraswinch.request_digest import RequestContent, digest_request
 from sassafraswinch_sidecar.sidecar_settings import Address
 from sidecar_standins.backend import answer
-from sidecar_standins.crashing import BAD, CrashingServers, end_three_servers
+from sidecar_standins.crashing import BAD, CrashingServers, crash_three_servers
 from sidecar_standins.fleet import call, running_fleet, until
 
 
@@ -20,7 +20,7 @@
 
 
 def crash(backend):
-    """Return a behaviour that ends the server's process."""
+    """Return a behaviour that exits the server's process."""
 
     def behave(connection, seen):
         backend.close()
@@ -28,10 +28,10 @@
     return behave
 
 
-async def test_log_tells_a_lost_answer_from_the_end_of_the_server(fleet, log_stream):
+async def test_log_distinguishes_a_lost_answer_from_a_crash(fleet, log_stream):
     """Callers get 502 for a request. An operator must see whether only its answer was
-    lost, or the server's process ended while it ran, and that two such requests with
-    different ids are the same.
+    lost, or the server's process exited while it ran, and recognise two such requests
+    with different ids as the same.
     """
     node = fleet.of("schvaleni")[0]
 
@@ -44,58 +44,59 @@
     got = await fleet.call(node, target="/approve/1", request_id="r-2")
     assert got.status == 502
     lines = log_stream.getvalue().splitlines()
-    ended = [line for line in lines if "event=execution_ended" in line]
-    assert "request_id=r-1" in ended[0]
-    assert "reason=server-reset" in ended[0]
-    assert "request_id=r-2" in ended[1]
-    assert "reason=server-ended" in ended[1]
-    (told,) = [line for line in lines if "event=ran_at_server_end" in line]
-    assert "request_id=r-2" in told
-    assert "digest=" in told
+    executions = [line for line in lines if "event=execution_ended" in line]
+    assert "request_id=r-1" in executions[0]
+    assert "reason=server-reset" in executions[0]
+    assert "request_id=r-2" in executions[1]
+    assert "reason=server-ended" in executions[1]
+    (suspect_line,) = [line for line in lines if "event=ran_at_server_end" in line]
+    assert "request_id=r-2" in suspect_line
+    assert "digest=" in suspect_line
 
 
 SPREAD_S = 1.0
-"""Time in which all hosts must know of an end: a third of what is allowed."""
+"""Time within which all hosts must know of a crash: a third of what is allowed."""
 
 
-async def test_request_that_ended_three_servers_is_sent_to_no_more():
-    """Order lookups were refused or failed for seconds, again and again. One lookup,
-    sent again under new ids at any host, ended each server that began to run it, and
-    our own repeat took it to a second one each time: thirteen servers ended under it
-    within four seconds, twenty-four in all. No host remembered it, since nothing was
-    kept beyond one id.
+async def test_request_that_crashed_three_servers_is_sent_to_no_more():
+    """One order lookup crashes each server that begins to run it. Its caller sends it
+    again under new ids at any host, and the sidecar's own retry takes it to a second
+    server each time: thirteen servers crashed within four seconds, twenty-four in all,
+    and order lookups were refused or failed for seconds, again and again. Nothing was
+    kept beyond one id, so no host recognised the request.
 
-    Within six seconds ten servers ended and event=execution_ended told of 319 requests
-    that were lost so, 32 of them at two servers and none at three: no id stood out.
+    The ids in the log don't show it either: when ten servers crashed within six
+    seconds, event=execution_ended listed 319 lost requests, 32 of them at two servers
+    and none at three.
     """
     async with running_fleet(*["archiv"] * 4, "schvaleni", "vydej") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
+        await crash_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
-        await servers.all_up()
-        known = list(servers.ends)
+        await servers.wait_until_all_up()
+        known = list(servers.crashes)
         for number, node in enumerate(fleet.nodes):
             await fleet.call(node, target=BAD, request_id=f"again-{number}")
-        assert servers.ends == known
+        assert servers.crashes == known
         assert len(known) == 3
 
 
-async def test_caller_is_told_that_it_did_not_run_and_when_it_may():
+async def test_held_back_request_is_refused_with_the_time_to_its_trial():
     """A caller whose request is held back needs a final answer at once: that it hasn't
-    run, and a time that doesn't bring it back as a passing overload would.
+    run, and a retry-after time longer than that of a passing overload.
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
+        await crash_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
         got = await fleet.call(fleet.nodes[2], target=BAD, request_id="again")
         assert got.status == 503
         assert float(got.headers["retry-after"]) > 15
 
 
-async def test_copies_that_come_at_once_end_no_server_once_it_is_known():
+async def test_simultaneous_copies_of_a_known_suspect_crash_no_server():
     """Many copies of a bad request arrive at all hosts at once, again and again. The
-    first ones meet hosts that know nothing, each a server; the later ones must not.
+    first copies each crash a server, since no host knows of them; later ones must not.
     """
     async with running_fleet(*["archiv"] * 4, "schvaleni", "vydej") as fleet:
         servers = CrashingServers(fleet, "archiv")
@@ -109,44 +110,44 @@
 
         await wave("first")
         await asyncio.sleep(SPREAD_S)
-        await servers.all_up()
+        await servers.wait_until_all_up()
         await wave("second")
         await asyncio.sleep(SPREAD_S)
-        await servers.all_up()
-        known = list(servers.ends)
+        await servers.wait_until_all_up()
+        known = list(servers.crashes)
         await wave("third")
         await wave("fourth")
-        assert servers.ends == known
+        assert servers.crashes == known
 
 
-async def test_host_that_starts_knows_before_it_lets_one_through():
-    """A host is killed and started again while a request is held back. Its callers are
-    there before its first round; its own server must not be the fourth to end.
+async def test_restarted_host_knows_the_suspects_before_its_first_request():
+    """A host is killed and restarted while a request is held back. It gets requests
+    before its first round of messages; its own server must not be the fourth to crash.
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
+        await crash_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
-        await servers.all_up()
+        await servers.wait_until_all_up()
         node = fleet.of("archiv")[0]
         await node.kill()
         node.start()
         await until(lambda: node.sidecar.is_ready)
         await until(lambda: list(node.sidecar._links.linked()))
-        known = list(servers.ends)
+        known = list(servers.crashes)
         got = await fleet.call(node, target=BAD, request_id="again")
         assert got.status == 503
-        assert servers.ends == known
+        assert servers.crashes == known
 
 
-async def test_zones_that_were_apart_add_up_what_they_saw():
-    """Two ends were seen on one side of a cut, one on the other. Once they talk again,
-    the request is held back on both.
+async def test_zones_that_were_cut_off_merge_their_suspects():
+    """Two crashes were recorded on one side of a network cut, one on the other. Once
+    the sides are connected again, the request is held back on both.
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         digests = digests_of_get(BAD)
-        for node, end in ((0, "i-1/a"), (0, "i-2/b"), (2, "i-3/c")):
-            fleet.nodes[node].sidecar._suspects.ended(digests, end)
+        for node, exit_name in ((0, "i-1/a"), (0, "i-2/b"), (2, "i-3/c")):
+            fleet.nodes[node].sidecar._suspects.ended(digests, exit_name)
         suspects = [node.sidecar._crash_suspects for node in fleet.nodes]
         await until(
             lambda: all(
@@ -156,35 +157,35 @@
         )
 
 
-async def test_call_of_a_running_request_is_held_back_too():
-    """A request at one service makes a call that ends the servers of the next one. The
-    request itself is harmless and runs on; its call is refused unrun.
+async def test_child_call_of_a_running_request_is_held_back_too():
+    """A request at one service makes a call that crashes the servers of the next one.
+    The request itself is harmless and continues; its call is refused unrun.
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
         (caller,) = fleet.of("schvaleni")
         statuses = []
 
-        async def call_on(connection, seen):
-            inner = f"{seen.request_id.decode()}.c"
-            got = await fleet.call(caller, target=BAD, request_id=inner)
+        async def make_bad_call(connection, seen):
+            child_id = f"{seen.request_id.decode()}.c"
+            got = await fleet.call(caller, target=BAD, request_id=child_id)
             statuses.append(got.status)
             connection.transport.write(answer(seen, status=500))
 
         tasks = []
         caller.backend.behaviour = lambda connection, seen: tasks.append(
-            asyncio.create_task(call_on(connection, seen))
+            asyncio.create_task(make_bad_call(connection, seen))
         )
         for number in range(6):
             await fleet.call(caller, target="/approve/1", request_id=f"r-{number}")
             await asyncio.sleep(SPREAD_S / 4)
-            await servers.all_up()
-        assert len(servers.ends) == 3
+            await servers.wait_until_all_up()
+        assert len(servers.crashes) == 3
         assert statuses[-1] == 503
 
 
 async def test_lost_answers_make_no_suspects(fleet):
-    """A server drops connections, and loses answers, but goes on running."""
+    """A server drops connections and loses answers, but keeps running."""
     for node in fleet.of("archiv"):
         node.backend.behaviour = lambda connection, seen: connection.transport.abort()
     for number in range(6):
@@ -193,35 +194,35 @@
 
 
 async def test_owner_clears_a_request_that_is_answered_elsewhere(fleet):
-    """A lookup is lost with a server and repeated at another one, whose sidecar may
-    not have heard of the end. Its owner knows both, and nothing is left to suspect.
+    """A lookup is lost with a server and retried at another one, whose sidecar may not
+    know of the crash. Its owner knows of both, and clears the suspect.
     """
-    ended = []
+    crashed = []
 
-    def end_first(node):
+    def crash_first(node):
         def behave(connection, seen):
-            if ended:
+            if crashed:
                 connection.transport.write(answer(seen))
             else:
-                ended.append(node.ip)
+                crashed.append(node.ip)
                 node.backend.close()
 
         return behave
 
     for node in fleet.of("archiv"):
-        node.backend.behaviour = end_first(node)
+        node.backend.behaviour = crash_first(node)
         node.sidecar._suspects.answered = lambda request: None
     got = await fleet.call(fleet.nodes[2])
     assert got.status == 200
-    assert ended
+    assert crashed
     owner = fleet.nodes[2].sidecar
     assert len(owner._crash_suspects)
-    (word,) = owner._crash_suspects.words(now_ms())
-    assert word.answered_age_ms is not None
+    (report,) = owner._crash_suspects.words(now_ms())
+    assert report.answered_age_ms is not None
 
 
-async def test_end_of_a_server_that_leaves_makes_no_suspects(fleet):
-    """A server ends as planned, and cuts off what still ran there."""
+async def test_exit_of_a_leaving_server_makes_no_suspects(fleet):
+    """A server exits as planned, and cuts off the requests that still run there."""
     node = fleet.of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
     call = asyncio.create_task(fleet.call(node, target="/approve/1"))
@@ -234,8 +235,8 @@
 
 
 async def test_request_under_which_a_server_hangs_is_a_suspect(fleet):
-    """A server hangs under a request until somebody ends it. The request was given up
-    long before, but nothing was answered since.
+    """A server hangs under a request until it is stopped. The request timed out long
+    before, but the server has answered nothing since.
     """
     node = fleet.of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
@@ -246,9 +247,9 @@
     await until(lambda: len(node.sidecar._crash_suspects))
 
 
-async def test_page_that_everybody_asks_for_outlives_crashes():
-    """Servers end by themselves, one after the other, while many callers ask for one
-    page. It runs on each server that ends, and must never be held back for it.
+async def test_popular_page_is_served_through_independent_crashes():
+    """Servers crash one after the other, not because of a request, while many callers
+    request one page. It runs on each server that crashes, and must never be held back.
     """
     async with running_fleet(*["archiv"] * 3, "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
@@ -256,14 +257,14 @@
         statuses = []
         stopped = asyncio.Event()
 
-        async def ask_on(node, number):
+        async def request_page(node, number):
             while not stopped.is_set():
                 got = await fleet.call(node, request_id=f"p-{number}-{len(statuses)}")
                 statuses.append(got.status)
                 await asyncio.sleep(0.01)
 
-        asking = [
-            asyncio.create_task(ask_on(node, number))
+        callers = [
+            asyncio.create_task(request_page(node, number))
             for number, node in enumerate(fleet.nodes * 2)
         ]
         for number in range(4):
@@ -272,21 +273,21 @@
             node.backend.close()
             await servers.restart(node)
         stopped.set()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*callers)
         assert statuses.count(200) > 0.9 * len(statuses)
         got = await fleet.call(fleet.nodes[3], request_id="last")
         assert got.status == 200
 
 
 async def test_two_suspects_dont_run_at_one_server_together():
-    """A lookup was lost twice with a bad request. Run beside it once more, it would be
-    lost a third time and held back; its server runs one such request at a time.
+    """A lookup was lost twice together with a bad request. Run beside it once more, it
+    would be lost a third time and held back; a server runs one suspect at a time.
     """
     async with running_fleet("archiv", "schvaleni") as fleet:
         for target in (b"/orders/1", b"/orders/2"):
-            for end in ("i-1/a", "i-2/b"):
+            for exit_name in ("i-1/a", "i-2/b"):
                 digests = digests_of_get(target.decode())
-                fleet.nodes[0].sidecar._suspects.ended(digests, end)
+                fleet.nodes[0].sidecar._suspects.ended(digests, exit_name)
         (archiv,) = fleet.of("archiv")
         held = []
         archiv.backend.behaviour = lambda connection, seen: held.append(
@@ -302,9 +303,9 @@
         assert len(held) == 1
 
 
-async def test_page_that_everybody_asks_for_outlives_the_end_of_all_servers():
-    """All servers of a service end at the same moment, and the page that everybody
-    asks for ran on each of them. It is served as soon as they are up again.
+async def test_popular_page_is_served_after_all_servers_exited_together():
+    """All servers of a service exit at the same moment, and a page that many callers
+    request was running on each. It is served as soon as the servers are up again.
     """
     async with running_fleet(*["archiv"] * 3, "schvaleni") as fleet:
         for number in range(30):
@@ -332,33 +333,33 @@
 
 
 async def test_trial_runs_at_one_server_of_the_fleet(monkeypatch):
-    """A request was held back for long enough. Its copies arrive at all hosts at once;
-    one of them may run, and ends one server more.
+    """A held back request is due for its trial. Its copies arrive at all hosts at once;
+    one of them may run, and crashes one more server.
     """
     monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 2_000.0)
     async with running_fleet(*["archiv"] * 3, "schvaleni", "vydej") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
+        await crash_three_servers(fleet, servers)
         await asyncio.sleep(2.2)
-        await servers.all_up()
-        known = len(servers.ends)
+        await servers.wait_until_all_up()
+        known = len(servers.crashes)
         calls = (
             fleet.call(node, target=BAD, request_id=f"copy-{number}")
             for number, node in enumerate(fleet.nodes * 3)
         )
         await asyncio.gather(*calls)
-        assert len(servers.ends) == known + 1
+        assert len(servers.crashes) == known + 1
 
 
-async def test_mended_servers_serve_the_request_again(monkeypatch):
-    """The servers' fault is mended. The first trial shows it, and the request goes its
-    usual way from then on, at every host.
+async def test_repaired_servers_serve_the_request_again(monkeypatch):
+    """The servers' fault is repaired. The first trial succeeds, and the request is
+    unrestricted from then on, at every host.
     """
     monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 1_500.0)
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
-        await servers.all_up()
+        await crash_three_servers(fleet, servers)
+        await servers.wait_until_all_up()
         servers.fatal.clear()
         await asyncio.sleep(1.7)
         got = await fleet.call(fleet.nodes[2], target=BAD, request_id="trial")
@@ -372,20 +373,20 @@
 
 
 async def test_operator_sees_and_clears_a_request_that_is_held_back(log_stream):
-    """An operator follows a 502 to the request that ended three servers, has the
-    servers mended, and lets the request go again without waiting for its trial.
+    """An operator follows a 502 to the request that crashed three servers, has the
+    servers repaired, and clears the request without waiting for its trial.
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        await end_three_servers(fleet, servers)
+        await crash_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
-        await servers.all_up()
-        (told,) = [
+        await servers.wait_until_all_up()
+        (held_line,) = [
             line
             for line in log_stream.getvalue().splitlines()
             if "request_held_back" in line
         ][:1]
-        digest = told.partition("digest=")[2].split()[0]
+        digest = held_line.partition("digest=")[2].split()[0]
         node = fleet.nodes[2]
         page = Address(ip=node.ip, port=node.settings.metrics_port)
         listed = await call(page, target="/suspects")
--- a/packages/sassafraswinch-sidecar/tests/test_idle_limit.py
+++ b/packages/sassafraswinch-sidecar/tests/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""How long connections may rest, learnt from those that were lost."""
+"""Tests of the idle limit and its adaptation to lost connections."""
 
 from sassafraswinch_sidecar.idle_limit import (
     FRESH_MS,
@@ -8,7 +8,7 @@
 )
 
 
-def test_each_loss_halves_the_rest_that_is_trusted_for_a_while():
+def test_each_loss_halves_the_trusted_idle_time_for_a_while():
     limit = IdleLimit()
     limit.lost(400.0, 0.0)
     assert limit.limit_ms(1.0) == 200.0
@@ -19,9 +19,9 @@
     assert limit.limit_ms(2_000.0 + SHORTENED_MS) == FRESH_MS
 
 
-def test_losses_of_busy_connections_say_nothing_of_idle_ones():
-    """A server runs requests and resets their connections, busy ones too. Trusting none
-    any more would open a connection for each request, beyond what the server accepts.
+def test_losses_of_busy_connections_do_not_shorten_the_idle_limit():
+    """A server resets connections of running requests too. If no connection were
+    trusted any more, each request would open one, more than the server accepts.
     """
     limit = IdleLimit()
     for number in range(50):
--- a/packages/sassafraswinch-sidecar/tests/test_placement.py
+++ b/packages/sassafraswinch-sidecar/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go: the emptiest, nearest, soundest and fastest instance."""
+"""Tests of placement by load, zone, failure rate and latency."""
 
 import random
 from collections import Counter
@@ -36,7 +36,7 @@
     return {found.ip: PeerLoad(limit=60, **fields) for found in instances}
 
 
-def test_unreachable_leaving_and_dead_instances_get_nothing():
+def test_unreachable_leaving_and_down_instances_get_no_requests():
     found = [new_instance(n) for n in range(1, 5)]
     loads = loads_of(found)
     del loads["10.0.0.1"]
@@ -46,7 +46,7 @@
     assert choices({}, found) == {None: 200}
 
 
-def test_own_zone_is_used_until_it_is_clearly_fuller():
+def test_own_zone_is_preferred_until_it_is_clearly_fuller():
     near, far = new_instance(1), new_instance(2, zone="brno-b")
     loads = loads_of([near, far])
     loads[near.ip].in_flight = 10
@@ -56,9 +56,9 @@
 
 
 def test_long_answers_stay_in_the_zone_while_its_server_has_room():
-    """Order lookups with answers of 5 KB cross to another zone whose server is a bit
-    emptier, though the own one has half of its slots free: bytes between zones for no
-    gain. A full one still gives way.
+    """Order lookups have answers of 5 KB. The server in another zone is slightly less
+    loaded, but the one in the own zone has half of its slots free: crossing would cause
+    traffic between zones for no gain. A full server in the own zone still gets none.
     """
     near, far = new_instance(1), new_instance(2, zone="brno-b")
     loads = loads_of([near, far])
@@ -70,7 +70,7 @@
     assert placement.choose([near, far], (), 0.0, 50_000.0) is far
 
 
-def test_mean_length_of_answers_follows_them():
+def test_running_mean_follows_its_values():
     sizes = RunningMeans()
     assert sizes.mean("r") == 0.0
     sizes.count("r", 1_000)
@@ -81,8 +81,8 @@
 
 
 def test_requests_in_a_row_spread_before_a_new_report():
-    """Reports come a few times a second. A sidecar that sent all requests of the
-    meantime to the one that was emptiest would overrun it.
+    """Reports arrive a few times a second. A sidecar that sent all requests between two
+    reports to the least loaded instance would overload it.
     """
     found = [new_instance(n) for n in range(1, 4)]
     loads = loads_of(found)
@@ -96,7 +96,7 @@
 
 
 def test_server_that_fails_half_of_its_requests_is_the_last_choice():
-    """A server fails part of its requests and answers health checks well."""
+    """A server fails some of its requests while its health checks succeed."""
     found = [new_instance(1), new_instance(2)]
     loads = loads_of(found)
     for number in range(30):
@@ -113,8 +113,8 @@
     assert load.failing_share(15_000.0) < 0.05
 
 
-def test_server_five_times_slower_gets_less():
-    """A server turns slow and has as many requests in flight as the others."""
+def test_server_five_times_slower_gets_fewer_requests():
+    """A server becomes slow and has as many requests in flight as the others."""
     found = [new_instance(1), new_instance(2)]
     loads = loads_of(found, in_flight=20)
     meter = PaceMeter()
@@ -127,9 +127,9 @@
 
 
 def test_slow_first_requests_do_not_make_all_later_ones_look_fast():
-    """After a start the first requests are slow. Their time must not stay the mean for
-    the next dozens: the one instance that was tried so far would look twice as fast as
-    those that weren't, and get all requests until it is full.
+    """After a start the first requests are slow. Their latency must not remain the mean
+    for the next dozens: the only instance tried so far would look twice as fast as the
+    others, and get all requests until it is full.
     """
     meter = PaceMeter()
     load = PeerLoad(limit=60)
@@ -140,7 +140,7 @@
 
 
 def test_fast_instances_tried_first_do_not_outrank_untried_ones():
-    """Guards against requests that all go to the first of some instances."""
+    """Guards against all requests going to the first of several instances."""
     found = [new_instance(number) for number in (1, 2, 3)]
     for seed in range(200):
         loads = loads_of(found)
@@ -154,7 +154,7 @@
         assert chosen == {"i-1", "i-2", "i-3"}
 
 
-def test_cold_instance_is_spared_but_not_left_out():
+def test_cold_instance_gets_fewer_requests_but_not_none():
     warm, cold = new_instance(1), new_instance(2, cold_ms=2_000.0)
     loads = loads_of([warm, cold])
     assert choices(loads, [warm, cold]) == {"i-1": 200}
@@ -162,9 +162,9 @@
     assert choices(loads, [warm, cold]) == {"i-2": 200}
 
 
-def test_server_that_starts_again_under_its_id_isnt_avoided_for_what_it_was():
-    """A server that failed every request is started anew under the id that it had. It
-    would get no work for seconds, while the others run at their limit.
+def test_server_restarted_under_its_id_is_not_avoided_for_former_failures():
+    """A server that failed every request is restarted under the same id. It would get
+    no requests for seconds, while the others run at their limit.
     """
     first, other = new_instance(1), new_instance(2)
     loads = loads_of([first, other])
@@ -179,10 +179,10 @@
     assert placement.choose([again, other], (first.identity,), 0.0) is again
 
 
-def test_large_service_is_compared_in_the_own_zone_and_beyond():
-    """A service has ninety servers, a fifth of them in the own zone. Ten drawn by
-    chance have none of the own zone in one draw of ten, and answers cross between zones
-    that needn't; drawn from the own zone alone, a full zone would stay full.
+def test_large_service_is_sampled_in_the_own_zone_and_in_others():
+    """A service has ninety servers, a fifth of them in the own zone. One in ten random
+    samples of ten would hold none of the own zone, and answers would cross zones
+    needlessly; with samples from the own zone only, a full zone would stay full.
     """
     near = [new_instance(n) for n in range(1, 19)]
     far = [new_instance(n, zone="brno-b") for n in range(19, 91)]
@@ -194,9 +194,9 @@
     assert not choices(loads, [*near, *far]).keys() & own
 
 
-def test_entries_that_were_told_the_same_dont_all_choose_the_same_server():
-    """All entries of a zone are told the loads at once. If each compared all servers,
-    the emptiest would get the requests of all of them until the next word.
+def test_sidecars_with_the_same_loads_dont_all_choose_the_same_server():
+    """All sidecars of a zone receive the same loads at once. If each compared all
+    servers, the least loaded would get all their requests until the next report.
     """
     found = [new_instance(n) for n in range(1, 19)]
     loads = loads_of(found, in_flight=20)
--- a/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
@@ -1,4 +1,4 @@
-"""The greatest value of a sliding window."""
+"""Tests of the maximum over a sliding window."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -9,7 +9,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 15), st.integers(0, 9)), min_size=1))
-def test_it_is_the_greatest_of_the_values_that_held_in_the_window(steps):
+def test_maximum_is_the_greatest_value_held_within_the_window(steps):
     maximum = RecentMaximum(window_ms=WINDOW_MS)
     now_ms, history = 0.0, []
     for step_ms, value in steps:
@@ -25,9 +25,9 @@
         assert maximum.value(now_ms) == max(held)
 
 
-def test_hosts_that_are_gone_leave_the_count_after_the_window():
-    """Each replaced host makes the fleet look larger by one. If that stayed for good,
-    each sidecar's part of the slack would shrink until nothing is repeated.
+def test_removed_hosts_no_longer_count_after_the_window():
+    """Each replaced host makes the fleet look larger by one. If that were permanent,
+    each sidecar's share of the retry slack would shrink until nothing is retried.
     """
     maximum = RecentMaximum(window_ms=WINDOW_MS)
     maximum.note(200, 0.0)
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -1,4 +1,4 @@
-"""Order, bounds and refusals of the requests before one backend server."""
+"""Tests of the order, bounds and refusals of a backend server's queue."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -28,9 +28,9 @@
     return order
 
 
-def test_calls_of_running_requests_start_before_new_ones_of_their_priority():
+def test_child_calls_start_before_root_requests_of_their_priority():
     """The deepest service is full while requests that are half done call it in turn.
-    A call that is refused fails the whole request above it and wastes its work.
+    A refused call fails the entire request above it and wastes its work.
     """
     order = start_all(
         ServerQueue(limit=1),
@@ -42,16 +42,16 @@
     assert order == ["high call", "high", "low call", "low"]
 
 
-def test_status_checks_pass_a_service_that_is_full_of_lookups():
-    """Lookups in a surge keep a service full with four calls each, which can wait for
-    long. Status checks go there too, matter more, and wait for a tenth of the time:
-    behind the calls each of them is refused at each of its servers.
+def test_status_checks_get_through_a_service_full_of_lookups():
+    """Lookups in a surge keep a service full with four calls each, which may wait long.
+    Status checks use it too, are more important, and may wait for a tenth of that time:
+    behind the calls, each of them would be refused at each of its servers.
     """
     queue = ServerQueue(limit=4, hold_ms=50.0)
     refused = []
     for step in range(400):
         now_ms = step * 10.0
-        # A quarter more than four slots of 50 ms can run.
+        # A quarter more than four slots can run at 50 ms each.
         give_up_at_ms = now_ms + 280.0
         call = request("call", inner=True, priority=2, give_up_at_ms=give_up_at_ms)
         queue.offer(call, now_ms)
@@ -66,9 +66,10 @@
     assert not refused
 
 
-def test_further_calls_of_a_priority_start_first():
-    """Lookups make five calls in turn of a service that is full. In order of arrival
-    each of them is refused at some call, and most of what the service runs is wasted.
+def test_calls_with_more_progress_start_first_within_a_priority():
+    """Lookups make five sequential calls to a service that is full. In order of
+    arrival, each lookup is refused at some call, and most of the service's work is
+    wasted.
     """
     order = start_all(
         ServerQueue(limit=1),
@@ -79,9 +80,9 @@
     assert order == ["urgent first call", "last call", "first call"]
 
 
-def test_request_that_makes_no_calls_goes_with_the_calls():
-    """Lookups' calls fill the office that forms need alone. Behind all calls of their
-    priority, forms run out of their short wait though their entry let them in.
+def test_request_without_calls_ranks_with_the_child_calls():
+    """Lookups' calls fill the only service that forms need. Behind all calls of their
+    priority, forms would exceed their short wait although their ingress admitted them.
     """
     order = start_all(
         ServerQueue(limit=1),
@@ -102,7 +103,7 @@
     assert queue.queued == 1
 
 
-def test_waiting_request_leaves_at_its_time_and_only_once():
+def test_queued_request_expires_in_time_and_only_once():
     queue = ServerQueue(limit=1, hold_ms=1.0)
     queue.offer(request("running"), 0.0)
     started(queue)
@@ -115,7 +116,7 @@
     assert started(queue) == []
 
 
-def test_lower_limit_stops_starts_until_enough_has_ended():
+def test_lower_limit_stops_starts_until_enough_requests_finished():
     queue = ServerQueue(limit=2)
     for name in ("a", "b", "c"):
         queue.offer(request(name), 0.0)
@@ -127,9 +128,9 @@
     assert started(queue) == ["c"]
 
 
-def test_requests_that_left_do_not_pile_up_below_more_important_ones():
-    """An overload of minutes: calls of running requests take every slot, and new
-    requests give up waiting by the thousand without ever reaching the top.
+def test_withdrawn_requests_do_not_accumulate_below_more_important_ones():
+    """In an overload of minutes, child calls take every slot, and thousands of root
+    requests expire in the heap without ever reaching its top.
     """
     queue = ServerQueue(limit=1, hold_ms=1.0)
     queue.offer(request("running"), 0.0)
--- a/packages/sassafraswinch-sidecar/tests/test_slot_times.py
+++ b/packages/sassafraswinch-sidecar/tests/test_slot_times.py
@@ -1,4 +1,4 @@
-"""Slot times of a tree, added up and told."""
+"""Tests of adding and serializing the slot times of a call tree."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -13,8 +13,8 @@
 
 @settings(derandomize=True, deadline=None)
 @given(times)
-def test_what_is_written_is_read(taken_ms):
-    assert parse_slot_times(serialize_slot_times(taken_ms)) == taken_ms
+def test_slot_times_survive_serialization(times_ms):
+    assert parse_slot_times(serialize_slot_times(times_ms)) == times_ms
 
 
 @settings(derandomize=True, deadline=None)
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -1,4 +1,4 @@
-"""What sidecars tell each other of requests that ended servers."""
+"""Tests of the exchange of crash suspects between sidecars."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -18,7 +18,7 @@
 
 
 class Link:
-    """A link that keeps what is sent, or is closed."""
+    """Link that records sent messages, or refuses them while closed."""
 
     def __init__(self, *, takes_suspects=True, is_open=True):
         self.takes_suspects = takes_suspects
@@ -64,12 +64,12 @@
         max_size=4,
     )
 )
-def test_words_come_back_equal(words):
-    payload = serialize_message(serialize_news(words))[LENGTH_BYTES:]
-    assert parse_news(parse_message(payload)) == words
+def test_reports_survive_serialization(reports):
+    payload = serialize_message(serialize_news(reports))[LENGTH_BYTES:]
+    assert parse_news(parse_message(payload)) == reports
 
 
-def test_link_is_told_only_what_is_new(exchange, suspects):
+def test_only_changes_are_sent_to_a_link(exchange, suspects):
     link = Link()
     suspects.ended(BAD, "i-1", 900.0)
     exchange.tell(link)
@@ -80,7 +80,7 @@
     assert len(link.sent) == 2
 
 
-def test_what_was_not_sent_is_told_again(exchange, suspects):
+def test_changes_that_could_not_be_sent_are_sent_later(exchange, suspects):
     link = Link(is_open=False)
     suspects.ended(BAD, "i-1", 900.0)
     exchange.tell(link)
@@ -89,9 +89,9 @@
     assert len(link.sent) == 1
 
 
-def test_older_sidecar_is_told_nothing(exchange, suspects):
-    """A release replaces the sidecars one by one. An older one would give up the link
-    for a message that it doesn't know.
+def test_nothing_is_sent_to_an_older_sidecar(exchange, suspects):
+    """A release replaces the sidecars one by one. An older one would close the link on
+    a message type that it doesn't know.
     """
     link = Link(takes_suspects=False)
     for number in range(3):
@@ -101,7 +101,7 @@
     assert not link.sent
 
 
-def test_greeting_tells_of_requests_that_must_not_run_freely(exchange, suspects):
+def test_new_link_is_sent_the_requests_that_must_not_run_freely(exchange, suspects):
     link = Link()
     suspects.ended((b"o" * 16,), "i-1", 900.0)
     exchange.greet(link)
@@ -109,13 +109,13 @@
     for number in range(3):
         suspects.ended(BAD, f"i-{number}", 900.0)
     exchange.greet(link)
-    (news,) = link.sent
-    assert [told.digest for told in news.suspects] == list(BAD)
+    (message,) = link.sent
+    assert [suspect.digest for suspect in message.suspects] == list(BAD)
 
 
-def test_news_is_handed_on_once(exchange, suspects, changes):
-    words = [SuspectWord(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
-    exchange.take(serialize_news(words))
-    exchange.take(serialize_news(words))
+def test_received_change_is_announced_once(exchange, suspects, changes):
+    reports = [SuspectWord(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
+    exchange.take(serialize_news(reports))
+    exchange.take(serialize_news(reports))
     assert len(changes) == 1
     assert suspects.judge(BAD, 1_000.0).standing is Standing.HELD
