--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -6,9 +6,15 @@
 
 
 def request(
-    name, *, inner=False, priority=0, give_up_at_ms=1_000.0, progress=0, last=False
+    name,
+    *,
+    is_child=False,
+    priority=0,
+    give_up_at_ms=1_000.0,
+    progress=0,
+    is_leaf=False,
 ):
-    return QueuedRequest(name, inner, priority, give_up_at_ms, progress, last)
+    return QueuedRequest(name, is_child, priority, give_up_at_ms, progress, is_leaf)
 
 
 def started(queue, now_ms=0.0):
@@ -36,8 +42,8 @@
         ServerQueue(limit=1),
         request("low", priority=2),
         request("high", priority=0),
-        request("low call", inner=True, priority=2),
-        request("high call", inner=True, priority=0),
+        request("low call", is_child=True, priority=2),
+        request("high call", is_child=True, priority=0),
     )
     assert order == ["high call", "high", "low call", "low"]
 
@@ -53,7 +59,7 @@
         now_ms = step * 10.0
         # A quarter more than four slots can run at 50 ms each.
         give_up_at_ms = now_ms + 280.0
-        call = request("call", inner=True, priority=2, give_up_at_ms=give_up_at_ms)
+        call = request("call", is_child=True, priority=2, give_up_at_ms=give_up_at_ms)
         queue.offer(call, now_ms)
         if step % 10 == 0:
             check = request("check", priority=1, give_up_at_ms=now_ms + 36.0)
@@ -73,9 +79,9 @@
     """
     order = start_all(
         ServerQueue(limit=1),
-        request("first call", inner=True, priority=2, progress=3),
-        request("last call", inner=True, priority=2, progress=6),
-        request("urgent first call", inner=True, priority=0, progress=2),
+        request("first call", is_child=True, priority=2, progress=3),
+        request("last call", is_child=True, priority=2, progress=6),
+        request("urgent first call", is_child=True, priority=0, progress=2),
     )
     assert order == ["urgent first call", "last call", "first call"]
 
@@ -87,9 +93,9 @@
     order = start_all(
         ServerQueue(limit=1),
         request("lookup", priority=2),
-        request("call", inner=True, priority=2, progress=3),
-        request("form", priority=2, last=True),
-        request("urgent call", inner=True, priority=0, progress=2),
+        request("call", is_child=True, priority=2, progress=3),
+        request("form", priority=2, is_leaf=True),
+        request("urgent call", is_child=True, priority=0, progress=2),
     )
     assert order == ["urgent call", "form", "call", "lookup"]
 
@@ -138,7 +144,7 @@
     for number in range(1_000):
         now_ms = number * 10.0
         queue.offer(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
-        queue.offer(request("call", inner=True, give_up_at_ms=1e9), now_ms)
+        queue.offer(request("call", is_child=True, give_up_at_ms=1e9), now_ms)
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
         queue.expired(now_ms)
@@ -157,11 +163,11 @@
 def test_no_more_than_the_limit_run_and_counts_hold(limit, steps):
     queue = ServerQueue(limit=limit)
     waiting, running = [], []
-    for number, (step, inner, priority) in enumerate(steps):
+    for number, (step, is_child, priority) in enumerate(steps):
         now_ms = number * 10.0
         if step == "offer":
             new = request(
-                number, inner=inner, priority=priority, give_up_at_ms=now_ms + 200
+                number, is_child=is_child, priority=priority, give_up_at_ms=now_ms + 200
             )
             if queue.offer(new, now_ms):
                 waiting.append(new)
