--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -61,11 +61,11 @@
     ):
         self.up = True
         self.ended = False
-        self._looked = looked
+        self._on_exit_checked = looked
         self._exit_check: asyncio.Task | None = None
         self._client = client
         self._service = service
-        self._went_down = went_down
+        self._on_down = went_down
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
         self._answered_ms = 0.0
@@ -138,14 +138,14 @@
             self.ended = True
             self._instance_id = None
             self._set_down()
-        self._looked(refused)
+        self._on_exit_checked(refused)
 
     def _set_down(self) -> None:
         if not self.up:
             return
         self.up = False
         log_event("backend_down", level="warning", service=self._service)
-        self._went_down()
+        self._on_down()
         self._client.close()
         self._probing = self._loop.create_task(self._probe_until_up())
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -88,10 +88,12 @@
         isolated: whether the peer's host can't reach the platform, which therefore
             doesn't list its server.
         failing: share of recent requests that failed there.
-        failing_at_ms: time at which ``failing`` was updated.
-        pace: latency of recent requests relative to the mean of all instances.
-        pace_at_ms: time at which ``pace`` was updated.
-        identity: lifetime of the server that ``failing`` and ``pace`` belong to.
+        failing_at_ms: time of the last update of that share.
+        pace: latency of recent requests, relative to the mean of all
+            instances.
+        pace_at_ms: time of the last update of that latency.
+        identity: lifetime of the server in which the failures and latencies were
+            measured.
     """
 
     in_flight: int = 0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -47,8 +47,8 @@
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._learnt_here = learnt_here
-        self._told_here = told_here
+        self._on_local_change = learnt_here
+        self._on_received_change = told_here
         self._held: frozenset[bytes] = frozenset()
         self._scheduled: asyncio.Handle | None = None
         self._expiry_checked_ms = -math.inf
@@ -102,12 +102,12 @@
         """Merge the suspects that a peer sent."""
         if self._suspects.take(parse_news(message), self._now_ms()):
             self._log_held()
-            self._told_here()
+            self._on_received_change()
 
     def _announce_changes(self) -> None:
         self._scheduled = None
         self._log_held()
-        self._learnt_here()
+        self._on_local_change()
 
     def _log_held(self) -> None:
         """Log each request that has become, or is no longer, held back."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -34,7 +34,7 @@
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._changed = changed
+        self._on_change = changed
 
     def judge(self, request: SentRequest) -> Judgement:
         """Return whether and under which restrictions a request may run."""
@@ -45,11 +45,11 @@
     def ended(self, digests: Digests, exit_name: str) -> None:
         """Record that a server exited while it ran a request."""
         if self._suspects.ended(digests, exit_name, self._now_ms()):
-            self._changed()
+            self._on_change()
 
     def answered(self, request: SentRequest) -> None:
         """Record that a server ran a request successfully."""
         if not self._suspects.may_know(request.target):
             return
         if self._suspects.answered(digest_request(request), self._now_ms()):
-            self._changed()
+            self._on_change()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -41,7 +41,7 @@
         self._suspects = suspects
         self._others = others
         self._now_ms = now_ms
-        self._cleared = cleared
+        self._on_cleared = cleared
 
     def handle(self, request: HttpRequest, connection: CallerConnection) -> None:
         """Answer one request (RequestHandler)."""
@@ -80,7 +80,7 @@
         if not digests or not self._suspects.answered(digests, now_ms):
             return False
         log_event("suspect_cleared", level="warning", digest=digest)
-        self._cleared()
+        self._on_cleared()
         return True
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -10,11 +10,11 @@
     *,
     is_child=False,
     priority=0,
-    give_up_at_ms=1_000.0,
+    queue_deadline_ms=1_000.0,
     progress=0,
     is_leaf=False,
 ):
-    return QueuedRequest(name, is_child, priority, give_up_at_ms, progress, is_leaf)
+    return QueuedRequest(name, is_child, priority, queue_deadline_ms, progress, is_leaf)
 
 
 def started(queue, now_ms=0.0):
@@ -58,11 +58,13 @@
     for step in range(400):
         now_ms = step * 10.0
         # A quarter more than four slots can run at 50 ms each.
-        give_up_at_ms = now_ms + 280.0
-        call = request("call", is_child=True, priority=2, give_up_at_ms=give_up_at_ms)
+        queue_deadline_ms = now_ms + 280.0
+        call = request(
+            "call", is_child=True, priority=2, queue_deadline_ms=queue_deadline_ms
+        )
         queue.offer(call, now_ms)
         if step % 10 == 0:
-            check = request("check", priority=1, give_up_at_ms=now_ms + 36.0)
+            check = request("check", priority=1, queue_deadline_ms=now_ms + 36.0)
             if not queue.offer(check, now_ms):
                 refused.append(check)
         refused += [found for found in queue.expired(now_ms) if found.item == "check"]
@@ -104,8 +106,8 @@
     queue = ServerQueue(limit=1, hold_ms=100.0)
     queue.offer(request("running"), 0.0)
     started(queue)
-    assert not queue.offer(request("hasty", give_up_at_ms=50.0), 0.0)
-    assert queue.offer(request("patient", give_up_at_ms=150.0), 0.0)
+    assert not queue.offer(request("hasty", queue_deadline_ms=50.0), 0.0)
+    assert queue.offer(request("patient", queue_deadline_ms=150.0), 0.0)
     assert queue.queued == 1
 
 
@@ -113,7 +115,7 @@
     queue = ServerQueue(limit=1, hold_ms=1.0)
     queue.offer(request("running"), 0.0)
     started(queue)
-    waiting = request("waiting", give_up_at_ms=50.0)
+    waiting = request("waiting", queue_deadline_ms=50.0)
     queue.offer(waiting, 0.0)
     assert queue.expired(49.0) == []
     assert [found.item for found in queue.expired(50.0)] == ["waiting"]
@@ -143,8 +145,8 @@
     started(queue)
     for number in range(1_000):
         now_ms = number * 10.0
-        queue.offer(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
-        queue.offer(request("call", is_child=True, give_up_at_ms=1e9), now_ms)
+        queue.offer(request(number, priority=2, queue_deadline_ms=now_ms + 50), now_ms)
+        queue.offer(request("call", is_child=True, queue_deadline_ms=1e9), now_ms)
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
         queue.expired(now_ms)
@@ -167,7 +169,10 @@
         now_ms = number * 10.0
         if step == "offer":
             new = request(
-                number, is_child=is_child, priority=priority, give_up_at_ms=now_ms + 200
+                number,
+                is_child=is_child,
+                priority=priority,
+                queue_deadline_ms=now_ms + 200,
             )
             if queue.offer(new, now_ms):
                 waiting.append(new)
