--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -44,7 +44,8 @@
         client: connections to the server.
         service: its service, for the log.
         went_down: called when the server is found to be down.
-        looked: called after an exit check, with whether the server's process exited.
+        looked: called after an exit check, with whether the server's process
+            exited.
 
     Attributes:
         up: whether requests may be sent to the server.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
@@ -120,8 +120,8 @@
 
     Attributes:
         fits: routes that aren't admitted in full, as of the last decision.
-        wanted: slots that the arrivals of all ingress sidecars require, by service, as
-            of the last decision.
+        wanted: slots that the arrivals of all ingress sidecars require, by
+            service, as of the last decision.
     """
 
     def __init__(self, *, worths: Sequence[float] = ()):
@@ -225,8 +225,8 @@
         Args:
             capacities: reachable slots of each service.
             now_ms: monotonic time.
-            told: demand of all ingress sidecars, this one included; if empty, the
-                demand of this sidecar is used alone.
+            told: demand of all ingress sidecars, this one included; if it is
+                empty, the demand of this sidecar is used alone.
         """
         self._update_rates(now_ms)
         claims = told or self.demand()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
@@ -39,8 +39,8 @@
 
     Attributes:
         item: the caller's object for the request.
-        inner: whether it is a child call of a running request. Within a priority, child
-            calls go first, since refusing one wastes all work done for its root
+        inner: whether it is a child call of a running request. Within a priority,
+            child calls go first, since refusing one wastes all work done for its root
             request.
         priority: priority of the root request; 0 is the most important.
         give_up_at_ms: time at which it leaves the queue if it hasn't started.
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -8,13 +8,13 @@
 def request(
     name,
     *,
-    is_child=False,
+    inner=False,
     priority=0,
-    queue_deadline_ms=1_000.0,
+    give_up_at_ms=1_000.0,
     progress=0,
-    is_leaf=False,
+    last=False,
 ):
-    return QueuedRequest(name, is_child, priority, queue_deadline_ms, progress, is_leaf)
+    return QueuedRequest(name, inner, priority, give_up_at_ms, progress, last)
 
 
 def started(queue, now_ms=0.0):
@@ -42,8 +42,8 @@
         ServerQueue(limit=1),
         request("low", priority=2),
         request("high", priority=0),
-        request("low call", is_child=True, priority=2),
-        request("high call", is_child=True, priority=0),
+        request("low call", inner=True, priority=2),
+        request("high call", inner=True, priority=0),
     )
     assert order == ["high call", "high", "low call", "low"]
 
@@ -58,13 +58,11 @@
     for step in range(400):
         now_ms = step * 10.0
         # A quarter more than four slots can run at 50 ms each.
-        queue_deadline_ms = now_ms + 280.0
-        call = request(
-            "call", is_child=True, priority=2, queue_deadline_ms=queue_deadline_ms
-        )
+        give_up_at_ms = now_ms + 280.0
+        call = request("call", inner=True, priority=2, give_up_at_ms=give_up_at_ms)
         queue.offer(call, now_ms)
         if step % 10 == 0:
-            check = request("check", priority=1, queue_deadline_ms=now_ms + 36.0)
+            check = request("check", priority=1, give_up_at_ms=now_ms + 36.0)
             if not queue.offer(check, now_ms):
                 refused.append(check)
         refused += [found for found in queue.expired(now_ms) if found.item == "check"]
@@ -81,9 +79,9 @@
     """
     order = start_all(
         ServerQueue(limit=1),
-        request("first call", is_child=True, priority=2, progress=3),
-        request("last call", is_child=True, priority=2, progress=6),
-        request("urgent first call", is_child=True, priority=0, progress=2),
+        request("first call", inner=True, priority=2, progress=3),
+        request("last call", inner=True, priority=2, progress=6),
+        request("urgent first call", inner=True, priority=0, progress=2),
     )
     assert order == ["urgent first call", "last call", "first call"]
 
@@ -95,9 +93,9 @@
     order = start_all(
         ServerQueue(limit=1),
         request("lookup", priority=2),
-        request("call", is_child=True, priority=2, progress=3),
-        request("form", priority=2, is_leaf=True),
-        request("urgent call", is_child=True, priority=0, progress=2),
+        request("call", inner=True, priority=2, progress=3),
+        request("form", priority=2, last=True),
+        request("urgent call", inner=True, priority=0, progress=2),
     )
     assert order == ["urgent call", "form", "call", "lookup"]
 
@@ -106,8 +104,8 @@
     queue = ServerQueue(limit=1, hold_ms=100.0)
     queue.offer(request("running"), 0.0)
     started(queue)
-    assert not queue.offer(request("hasty", queue_deadline_ms=50.0), 0.0)
-    assert queue.offer(request("patient", queue_deadline_ms=150.0), 0.0)
+    assert not queue.offer(request("hasty", give_up_at_ms=50.0), 0.0)
+    assert queue.offer(request("patient", give_up_at_ms=150.0), 0.0)
     assert queue.queued == 1
 
 
@@ -115,7 +113,7 @@
     queue = ServerQueue(limit=1, hold_ms=1.0)
     queue.offer(request("running"), 0.0)
     started(queue)
-    waiting = request("waiting", queue_deadline_ms=50.0)
+    waiting = request("waiting", give_up_at_ms=50.0)
     queue.offer(waiting, 0.0)
     assert queue.expired(49.0) == []
     assert [found.item for found in queue.expired(50.0)] == ["waiting"]
@@ -145,8 +143,8 @@
     started(queue)
     for number in range(1_000):
         now_ms = number * 10.0
-        queue.offer(request(number, priority=2, queue_deadline_ms=now_ms + 50), now_ms)
-        queue.offer(request("call", is_child=True, queue_deadline_ms=1e9), now_ms)
+        queue.offer(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
+        queue.offer(request("call", inner=True, give_up_at_ms=1e9), now_ms)
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
         queue.expired(now_ms)
@@ -165,14 +163,14 @@
 def test_no_more_than_the_limit_run_and_counts_hold(limit, steps):
     queue = ServerQueue(limit=limit)
     waiting, running = [], []
-    for number, (step, is_child, priority) in enumerate(steps):
+    for number, (step, inner, priority) in enumerate(steps):
         now_ms = number * 10.0
         if step == "offer":
             new = request(
                 number,
-                is_child=is_child,
+                inner=inner,
                 priority=priority,
-                queue_deadline_ms=now_ms + 200,
+                give_up_at_ms=now_ms + 200,
             )
             if queue.offer(new, now_ms):
                 waiting.append(new)
