--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
@@ -39,9 +39,9 @@
 
     Attributes:
         item: the caller's object for the request.
-        inner: whether it is a child call of a running request. Within a priority,
-            child calls go first, since refusing one wastes all work done for its root
-            request.
+        inner: whether it is a child call of a running request. Child calls go
+            first within a priority, since refusing one wastes all work done for its
+            root request.
         priority: priority of the root request; 0 is the most important.
         give_up_at_ms: time at which it leaves the queue if it hasn't started.
         progress: finished calls of the requests above it. Those with more progress go
