--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -15,7 +15,7 @@
 wait meanwhile."""
 
 MIN_SILENCE_MS = 1_500.0
-"""Time without any answer, while requests run, after which a server may be dead; at
+"""Time without any answer, while requests run, after which a server counts as down; at
 least ``SILENCE_FACTOR`` times the mean time of a request."""
 
 SILENCE_FACTOR = 8.0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
@@ -16,8 +16,8 @@
 from sassafraswinch.ranks import route_priority_of
 
 LEVELS = 1_000
-"""Number of admission levels. A root request draws a level at random, which its whole
-call tree keeps; it is admitted if the admitted share of its route exceeds the level."""
+"""Number of admission levels. A root request draws a level at random, which its call
+tree keeps; it is admitted if the admitted share of its route exceeds the level."""
 
 PLANNED_SLOT_SHARE = 0.97
 """Share of a service's slots that is planned for admitted requests, before correction.
@@ -183,7 +183,7 @@
                 estimates[service] = before_s + gain * (measured_ms / 1000 - before_s)
 
     def blocking(self, route: str, level: int) -> str | None:
-        """Return the service that lacks room for a request; None if it is admitted."""
+        """Return the service that lacks slots for a request; None if it is admitted."""
         fit = self.fits.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/idle_limit.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/idle_limit.py
@@ -1,8 +1,9 @@
 """Idle limit of connections that carry requests which must not run twice."""
 
 FRESH_MS = 1_000.0
-"""Idle time up to which such a request may use a connection. If the server has dropped
-the connection meanwhile, the request is reset, and it isn't known whether it ran."""
+"""Idle time up to which a request that must not run twice may use a connection. If the
+server has dropped the connection meanwhile, the request is reset, and it isn't known
+whether it ran."""
 
 LOST_IDLE_SHARE = 0.5
 """Share of the idle time of a lost connection that is still trusted."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -15,9 +15,9 @@
 3 ms, and traffic between zones is billed."""
 
 OTHER_ZONE_COST_PER_KB = 0.05
-"""Added to it for each KB of the mean answer of the route. Long answers make up most of
-the traffic between zones, and callers lose nothing by a fuller server as long as it has
-free slots."""
+"""Addition to ``OTHER_ZONE_COST`` for each KB of the mean answer of the route. Long
+answers make up most of the traffic between zones, and callers lose nothing by a fuller
+server as long as it has free slots."""
 
 MAX_OTHER_ZONE_BYTES_COST = 0.35
 """Bound of that addition: an idle server in another zone is still preferred to a full
@@ -84,7 +84,7 @@
         refuses_until_ms: time until which the peer is assumed to refuse requests, by
             its last answer.
         told_ms: time of the report, by the clock of this sidecar.
-        following: whether the peer is connected to the platform.
+        following: whether the peer follows the platform's data itself.
         isolated: whether the peer's host can't reach the platform, which therefore
             doesn't list its server.
         failing: share of recent requests that failed there.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -6,14 +6,14 @@
 from sassafraswinch.request_digest import Digests, SentRequest, digest_request
 
 HELD_BACK = "held-back"
-"""Reason of refusals: servers crashed under this request, so it must not run now."""
+"""Refusal reason: servers crashed under this request, so it must not run now."""
 
 COPY_RUNS = "copy-runs"
-"""Reason of refusals: a copy of this request, which is a suspect, is running."""
+"""Refusal reason: a copy of this request, which is a suspect, is running."""
 
 SUSPECT_RUNS = "suspect-runs"
-"""Reason of refusals: this request is a suspect, and another suspect is running at the
-server. Run separately, the next crash or answer shows which of them is at fault."""
+"""Refusal reason: this request is a suspect, and another suspect is running at the
+server. If they run separately, the next crash or answer shows which is at fault."""
 
 
 class SuspectRequests:
