--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from sassafraswinch_node.logs import log_event
-from sassafraswinch_sidecar.http_client import HttpClient, Probe
+from sassafraswinch_sidecar.http_client import HttpClient, ProbeResult
 
 PROBE_INTERVAL_S = 0.4
 """Pause between attempts to connect to a backend server that is down."""
@@ -133,7 +133,7 @@
                 task.cancel()
 
     async def _check_exit(self) -> None:
-        refused = await self._client.probe(EXIT_CHECK_TIMEOUT_S) is Probe.REFUSED
+        refused = await self._client.probe(EXIT_CHECK_TIMEOUT_S) is ProbeResult.REFUSED
         self._exit_check = None
         if refused:
             self.ended = True
@@ -151,7 +151,7 @@
         self._probing = self._loop.create_task(self._probe_until_up())
 
     async def _probe_until_up(self) -> None:
-        while await self._client.probe() is not Probe.CONNECTED:
+        while await self._client.probe() is not ProbeResult.CONNECTED:
             await asyncio.sleep(PROBE_INTERVAL_S)
         self.up = True
         self.ended = False
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
@@ -61,7 +61,7 @@
             body="".join(f"{line}\n" for line in lines).encode(),
         )
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """Do nothing: each request is answered at once (RequestHandler)."""
 
     def _line(self, organisation: Organisation, version: int) -> str:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -92,11 +92,11 @@
         if not link.takes_suspects:
             return
         last_change = self._suspects.last_change
-        if link.suspects_told == last_change:
+        if link.suspects_sent_up_to == last_change:
             return
-        reports = self._suspects.words(self._now_ms(), after=link.suspects_told)
+        reports = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
         if not reports or link.send(serialize_news(reports)):
-            link.suspects_told = last_change
+            link.suspects_sent_up_to = last_change
 
     def take(self, message: SuspectNews) -> None:
         """Merge the suspects that a peer sent."""
--- a/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
+++ b/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
     lost, or the server's process exited while it ran, and recognise two such requests
     with different ids as the same.
     """
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
 
     def lose(connection, seen):
         connection.transport.abort()
@@ -129,7 +129,7 @@
         await crash_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
         await servers.wait_until_all_up()
-        node = fleet.of("archiv")[0]
+        node = fleet.nodes_of("archiv")[0]
         await node.kill()
         node.start()
         await until(lambda: node.sidecar.is_ready)
@@ -163,7 +163,7 @@
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        (caller,) = fleet.of("schvaleni")
+        (caller,) = fleet.nodes_of("schvaleni")
         statuses = []
 
         async def make_bad_call(connection, seen):
@@ -186,7 +186,7 @@
 
 async def test_lost_answers_make_no_suspects(fleet):
     """A server drops connections and loses answers, but keeps running."""
-    for node in fleet.of("archiv"):
+    for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = lambda connection, seen: connection.transport.abort()
     for number in range(6):
         await fleet.call(fleet.nodes[2], request_id=f"r-{number}")
@@ -209,7 +209,7 @@
 
         return behave
 
-    for node in fleet.of("archiv"):
+    for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = crash_first(node)
         node.sidecar._suspects.answered = lambda request: None
     got = await fleet.call(fleet.nodes[2])
@@ -223,7 +223,7 @@
 
 async def test_exit_of_a_leaving_server_makes_no_suspects(fleet):
     """A server exits as planned, and cuts off the requests that still run there."""
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
     call = asyncio.create_task(fleet.call(node, target="/approve/1"))
     await until(lambda: node.backend.seen)
@@ -238,7 +238,7 @@
     """A server hangs under a request until it is stopped. The request timed out long
     before, but the server has answered nothing since.
     """
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
     await fleet.call(node, target="/approve/1", time_left_ms=100)
     assert not len(node.sidecar._crash_suspects)
@@ -269,7 +269,7 @@
         ]
         for number in range(4):
             await asyncio.sleep(0.3)
-            node = fleet.of("archiv")[number % 3]
+            node = fleet.nodes_of("archiv")[number % 3]
             node.backend.close()
             await servers.restart(node)
         stopped.set()
@@ -288,7 +288,7 @@
             for exit_name in ("i-1/a", "i-2/b"):
                 digests = digests_of_get(target.decode())
                 fleet.nodes[0].sidecar._suspects.ended(digests, exit_name)
-        (archiv,) = fleet.of("archiv")
+        (archiv,) = fleet.nodes_of("archiv")
         held = []
         archiv.backend.behaviour = lambda connection, seen: held.append(
             (connection, seen)
@@ -310,7 +310,7 @@
     async with running_fleet(*["archiv"] * 3, "schvaleni") as fleet:
         for number in range(30):
             await fleet.call(fleet.nodes[number % 4], request_id=f"p-{number}")
-        archives = fleet.of("archiv")
+        archives = fleet.nodes_of("archiv")
         assert all(node.backend.seen for node in archives)
         running = []
         for node in archives:
