--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sassafraswinch_sidecar.backend_watch import BackendWatch
 from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_client import (
@@ -24,8 +23,13 @@
     Verdict,
 )
 from sassafraswinch_sidecar.request_log import RequestLog
-from sassafraswinch_sidecar.server_ends import ServerEnds
-from sassafraswinch_sidecar.server_queue import SLOT_SHARE, QueuedRequest, ServerQueue
+from sassafraswinch_sidecar.server_exits import ServerExits
+from sassafraswinch_sidecar.server_monitor import ServerMonitor
+from sassafraswinch_sidecar.server_queue import (
+    USABLE_SLOT_SHARE,
+    QueuedRequest,
+    ServerQueue,
+)
 from sassafraswinch_sidecar.server_request import serialize_request
 from sassafraswinch_sidecar.slot_times import add_slot_times, serialize_slot_times
 from sassafraswinch_sidecar.suspect_gate import SuspectGate
@@ -117,7 +121,7 @@
         suspects: SuspectRequests,
         log: RequestLog,
     ):
-        self.queue = ServerQueue(limit=int(UNKNOWN_SLOTS * SLOT_SHARE))
+        self.queue = ServerQueue(limit=int(UNKNOWN_SLOTS * USABLE_SLOT_SHARE))
         self.running: dict[str, Execution] = {}
         self.leaving = False
         self._service = service
@@ -134,23 +138,23 @@
             suspects=suspects,
             running=lambda: (each.request for each in self.running.values()),
         )
-        self._server_exits = ServerEnds(
+        self._server_exits = ServerExits(
             suspects=suspects,
             is_leaving=self._leaves,
             log=log,
             now_ms=lambda: self._loop.time() * 1000,
         )
         self._broken_executions: list[Execution] = []
-        self._watch = BackendWatch(
+        self._watch = ServerMonitor(
             client=client,
             service=service,
-            went_down=self._refuse_queued,
-            looked=self._on_server_checked,
+            on_down=self._refuse_queued,
+            on_exit_checked=self._on_server_checked,
         )
 
     def set_slots(self, slots: int) -> None:
         """Set the number of requests that the server runs concurrently."""
-        self.queue.limit = max(1, int(slots * SLOT_SHARE))
+        self.queue.limit = max(1, int(slots * USABLE_SLOT_SHARE))
 
     def load(self) -> ServerLoad:
         """Return the load of the server, as reported to peers."""
@@ -158,7 +162,7 @@
         return ServerLoad(
             in_flight=queue.running,
             queued=queue.queued,
-            limit=queue.limit if self._watch.up else 0,
+            limit=queue.limit if self._watch.is_up else 0,
         )
 
     def submit(self, request: RelayRequest, reply: Reply, owner: object) -> None:
@@ -190,7 +194,7 @@
             request.progress,
             request.last,
         )
-        if not self.queue.offer(execution.queue_entry, now_ms):
+        if not self.queue.enqueue(execution.queue_entry, now_ms):
             self._end_not_run(execution, "overloaded")
             return
         self._open_executions[owner, request.call_id] = execution
@@ -245,21 +249,21 @@
             return "other-service"
         if self._is_leaving(request.instance_id):
             return INSTANCE_LEAVING
-        if self._watch.is_another(request.instance_id):
+        if self._watch.is_other_instance(request.instance_id):
             return OTHER_INSTANCE
-        if not self._watch.up:
+        if not self._watch.is_up:
             return "server-down"
         if request.remaining_ms <= 0:
             return "deadline"
         if request.body and not self._held.fits(len(request.body)):
             return "no-memory"
-        return self._gate.refusal(request)
+        return self._gate.refusal_reason(request)
 
     def _start_queued(self, now_ms: float) -> None:
-        for queued in self.queue.startable(now_ms):
+        for queued in self.queue.pop_startable(now_ms):
             execution = queued.item
             # Servers may have crashed while running it since it was queued.
-            refusal = self._gate.refusal(execution.request)
+            refusal = self._gate.refusal_reason(execution.request)
             if refusal:
                 self._end_not_run(execution, refusal)
             else:
@@ -279,7 +283,7 @@
             )
 
         if self.queue.running == 1:
-            self._watch.alive()
+            self._watch.record_activity()
         execution.exchange = Exchange(
             payload,
             request.method.encode(),
@@ -295,17 +299,17 @@
     ) -> None:
         execution = exchange.context
         if isinstance(end, HttpResponse):
-            self._watch.alive()
-            self._server_exits.answered()
+            self._watch.record_activity()
+            self._server_exits.clear_abandoned_requests()
             self._handle_response(execution, end)
         elif end is Fault.UNREACHABLE:
-            self._watch.unreachable()
-            if self._server_exits.has_given_up:
-                self._watch.look()
+            self._watch.record_unreachable()
+            if self._server_exits.has_abandoned_requests:
+                self._watch.check_exit()
             self._end(execution, Verdict.NOT_RUN, "server-down")
         else:
             # The server may have exited: the next response may be another instance's.
-            self._watch.is_instance(None)
+            self._watch.record_instance(None)
             execution.offered = True
             if end is Fault.RESET:
                 self._handle_broken_connection(execution)
@@ -314,11 +318,11 @@
 
     def _handle_broken_connection(self, execution: Execution) -> None:
         """End a request once the cause of its broken connection is known."""
-        if self._watch.ended:
+        if self._watch.has_exited:
             self._end_at_server_exit(execution)
             return
         self._broken_executions.append(execution)
-        self._watch.look()
+        self._watch.check_exit()
 
     def _on_server_checked(self, server_exited: bool) -> None:
         broken, self._broken_executions = self._broken_executions, []
@@ -327,7 +331,7 @@
             instance_id = (
                 open_executions[0].request.instance_id if open_executions else ""
             )
-            self._server_exits.begin(instance_id)
+            self._server_exits.record_exit(instance_id)
         for execution in open_executions:
             if server_exited:
                 self._end_at_server_exit(execution)
@@ -335,7 +339,9 @@
                 self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_RESET)
 
     def _end_at_server_exit(self, execution: Execution) -> None:
-        execution.server_end = self._server_exits.add(execution.request)
+        execution.server_end = self._server_exits.record_running_request(
+            execution.request
+        )
         self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_EXITED)
 
     def _leaves(self, instance_id: str) -> bool:
@@ -347,21 +353,23 @@
         lowered = {name: value for name, _, value in response.fields}
         if response.status == MISDIRECTED_STATUS:
             actual_id = lowered.get(names.actual_instance.lower())
-            self._watch.is_instance(actual_id.decode("latin-1") if actual_id else None)
+            self._watch.record_instance(
+                actual_id.decode("latin-1") if actual_id else None
+            )
             execution.actual_instance_id = self._watch.trusted_instance_id()
             self._end(execution, Verdict.NOT_RUN, OTHER_INSTANCE)
             return
         if names.not_executed.lower() in lowered:
             self._end(execution, Verdict.NOT_RUN, "server-shed")
             return
-        self._watch.is_instance(execution.request.instance_id)
+        self._watch.record_instance(execution.request.instance_id)
         encoded = b"content-encoding" in lowered
         signed = names.signature.lower() in lowered
         if encoded or (response.status < 300 and not signed):
             self._end(execution, Verdict.MAY_HAVE_RUN, "server-garbled")
             return
         if response.status < SERVER_FAILURE_STATUS:
-            self._server_exits.ran_well(execution.request)
+            self._server_exits.record_answered_request(execution.request)
             self._suspects.answered(execution.request)
         lines = serialize_end_to_end(response.fields, NOT_FORWARDED)
         self._end(
@@ -377,7 +385,7 @@
         """Subtract a process pause that the clock did not count from all deadlines."""
         for execution in self._open_executions.values():
             execution.deadline_ms -= paused_ms
-            execution.queue_entry.give_up_at_ms -= paused_ms
+            execution.queue_entry.queue_deadline_ms -= paused_ms
 
     def expire(self, now_ms: float) -> None:
         """Time out the running requests that are past their deadline."""
@@ -394,16 +402,16 @@
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._server_exits.gave_up(execution.request)
+        self._server_exits.record_abandoned_request(execution.request)
         execution.offered = True
         self._end(execution, Verdict.MAY_HAVE_RUN, "deadline")
-        self._watch.overdue(self.queue.hold_ms)
+        self._watch.record_overdue(self.queue.mean_hold_ms)
 
     def _abort(self, execution: Execution) -> None:
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._server_exits.gave_up(execution.request)
+        self._server_exits.record_abandoned_request(execution.request)
         self._release(execution)
         self._remove(execution)
         self._start_queued(self._loop.time() * 1000)
@@ -457,7 +465,7 @@
         queue_entry = execution.queue_entry
         if queue_entry is None or queue_entry.started_at_ms is None or execution.ended:
             return
-        held_ms = self.queue.finished(queue_entry, self._loop.time() * 1000)
+        held_ms = self.queue.release_slot(queue_entry, self._loop.time() * 1000)
         add_slot_times(execution.slot_ms, {self._service: held_ms})
 
     def _remove(self, execution: Execution) -> None:
@@ -472,7 +480,7 @@
     def _tick(self) -> None:
         self._tick_timer = None
         now_ms = self._loop.time() * 1000
-        for queued in self.queue.expired(now_ms):
+        for queued in self.queue.pop_expired(now_ms):
             self._end_not_run(queued.item, "queue-timeout")
         if self.queue.queued:
             self._tick_timer = self._loop.call_later(TICK_S, self._tick)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -132,7 +132,7 @@
         aggregators = self._view.aggregators(self._now_ms())
         for link in self._links.accepted:
             if link.peer_ip in aggregators:
-                self._suspects.tell(link)
+                self._suspects.send_changes(link)
                 link.send(self._report_for(link.peer_ip))
 
     def forward_suspects(self) -> None:
@@ -166,7 +166,7 @@
 
     def accepted_message(self, link: PeerLink, message: Message) -> None:
         """Reply to an aggregator of this zone or of another one."""
-        self._suspects.tell(link)
+        self._suspects.send_changes(link)
         if isinstance(message, FleetDigest):
             self._handle_digest(link, message)
         else:
@@ -256,4 +256,4 @@
         peers = (self._links.peers.get(ip) for ip in ips)
         for peer in peers:
             if peer is not None and peer.link is not None:
-                self._suspects.tell(peer.link)
+                self._suspects.send_changes(peer.link)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
@@ -111,7 +111,7 @@
         }
 
 
-class EntryAdmission:
+class IngressAdmission:
     """Estimates the cost of routes and decides which share of each is admitted.
 
     Args:
@@ -119,25 +119,25 @@
             important priorities; empty for a strict order of priorities.
 
     Attributes:
-        fits: routes that aren't admitted in full, as of the last decision.
-        wanted: slots that the arrivals of all ingress sidecars require, by
+        limited_routes: routes that aren't admitted in full, as of the last decision.
+        required_slots: slots that the arrivals of all ingress sidecars require, by
             service, as of the last decision.
     """
 
     def __init__(self, *, worths: Sequence[float] = ()):
         self._worths = worths
-        self.fits: Mapping[str, Fit] = {}
-        self.wanted: Mapping[str, float] = {}
+        self.limited_routes: Mapping[str, Fit] = {}
+        self.required_slots: Mapping[str, float] = {}
         self._routes: dict[str, _RouteDemand] = {}
         self._corrections: dict[str, float] = {}
         self._unreachable: dict[str, int] = {}
         self._decided_at_ms: float | None = None
 
-    def trim_of(self, service: str) -> float:
+    def correction_of(self, service: str) -> float:
         """Return the factor that currently corrects a service's slots."""
         return self._corrections.get(service, 1.0)
 
-    def offered(self, route: str, priority: int) -> None:
+    def record_arrival(self, route: str, priority: int) -> None:
         """Count a root request that arrived."""
         demand = self._routes.get(route)
         if demand is None:
@@ -145,7 +145,9 @@
         demand.priority = priority
         demand.arrivals += 1
 
-    def learn(self, route: str, slot_ms: Mapping[str, float], now_ms: float) -> None:
+    def record_completed_cost(
+        self, route: str, slot_ms: Mapping[str, float], now_ms: float
+    ) -> None:
         """Update a route's cost from the slot times of a completed request."""
         demand = self._routes.get(route)
         if demand is None:
@@ -165,7 +167,7 @@
             else:
                 estimates[service] = before_s + gain * (measured_s - before_s)
 
-    def learn_at_least(self, route: str, slot_ms: Mapping[str, float]) -> None:
+    def record_partial_cost(self, route: str, slot_ms: Mapping[str, float]) -> None:
         """Raise a route's cost to the slot times of a request that failed on its way.
 
         They are a lower bound of what a completed request costs. In an overload that
@@ -182,14 +184,14 @@
                 gain = MIN_COST_GAIN if demand.completions else FAILED_COST_GAIN
                 estimates[service] = before_s + gain * (measured_ms / 1000 - before_s)
 
-    def blocking(self, route: str, level: int) -> str | None:
+    def find_blocking_service(self, route: str, level: int) -> str | None:
         """Return the service that lacks slots for a request; None if it is admitted."""
-        fit = self.fits.get(route)
+        fit = self.limited_routes.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
         return fit.lacks
 
-    def needs_only(self, route: str, service: str) -> bool:
+    def uses_only(self, route: str, service: str) -> bool:
         """Return whether completed requests of a route used one service only."""
         demand = self._routes.get(route)
         if demand is None or not demand.completions:
@@ -208,36 +210,36 @@
             for name, route in self._routes.items()
         ]
 
-    def due(self, now_ms: float) -> bool:
+    def is_due(self, now_ms: float) -> bool:
         """Return whether the decision interval has ended."""
         if self._decided_at_ms is None:
             self._decided_at_ms = now_ms
         return now_ms - self._decided_at_ms >= INTERVAL_MS
 
-    def decide(
+    def decide_shares(
         self,
         capacities: Mapping[str, Capacity],
         now_ms: float,
-        told: Collection[Claim] = (),
+        fleet_demand: Collection[Claim] = (),
     ) -> None:
         """End an interval: set the share of each route that is admitted.
 
         Args:
             capacities: reachable slots of each service.
             now_ms: monotonic time.
-            told: demand of all ingress sidecars, this one included; if it is
+            fleet_demand: demand of all ingress sidecars, this one included; if it is
                 empty, the demand of this sidecar is used alone.
         """
         self._update_rates(now_ms)
-        claims = told or self.demand()
-        self.wanted = _required_slots(claims)
+        claims = fleet_demand or self.demand()
+        self.required_slots = _required_slots(claims)
         available_slots = {
             service: self._available_slots(
                 service, capacities.get(service, NO_CAPACITY)
             )
-            for service in self.wanted
+            for service in self.required_slots
         }
-        self.fits = fitting_shares(
+        self.limited_routes = fitting_shares(
             claims,
             {s: slots for s, slots in available_slots.items() if slots is not None},
             self._worth_of if self._worths else None,
@@ -274,7 +276,7 @@
     def _update_correction(self, service: str, capacity: Capacity) -> float:
         correction = self._corrections.get(service, 1.0)
         utilisation = capacity.used / capacity.slots
-        is_full = any(fit.lacks == service for fit in self.fits.values())
+        is_full = any(fit.lacks == service for fit in self.limited_routes.values())
         if is_full or utilisation > TARGET_UTILISATION:
             step = CORRECTION_GAIN * (TARGET_UTILISATION - utilisation)
         else:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Hashable, Iterable
 from dataclasses import dataclass
 
-from sassafraswinch_sidecar.entry_admission import NO_CAPACITY, Capacity
+from sassafraswinch_sidecar.ingress_admission import NO_CAPACITY, Capacity
 from sassafraswinch_sidecar.instances import Instance, InstanceIdentity
 from sassafraswinch_sidecar.relay_protocol.ttypes import ServerLoad
 
@@ -64,7 +64,7 @@
 tried again."""
 
 
-LEAVING_WORD_MS = 1_000.0
+LEAVING_REFUSAL_MS = 1_000.0
 """Time for which a host gets no requests after it refused one because its server is
 leaving. The host is the first to know; the platform reports it to the others within a
 second, and also reports if the server stays after all."""
@@ -79,19 +79,19 @@
         queued: requests that wait for it.
         limit: requests that it may run at once; None before the first report, 0 while
             it is down.
-        sent_since: requests sent to it since the report.
+        sent_since_report: requests sent to it since the report.
         leaving: whether the peer accepts no new requests.
         refuses_until_ms: time until which the peer is assumed to refuse requests, by
             its last answer.
-        told_ms: time of the report, by the clock of this sidecar.
+        reported_ms: time of the report, by the clock of this sidecar.
         following: whether the peer follows the platform's data itself.
         isolated: whether the peer's host can't reach the platform, which therefore
             doesn't list its server.
-        failing: share of recent requests that failed there.
-        failing_at_ms: time of the last update of that share.
-        pace: latency of recent requests, relative to the mean of all
+        failure_rate: share of recent requests that failed there.
+        failure_rate_at_ms: time of the last update of that share.
+        relative_latency: latency of recent requests, relative to the mean of all
             instances.
-        pace_at_ms: time of the last update of that latency.
+        relative_latency_at_ms: time of the last update of that latency.
         identity: lifetime of the server in which the failures and latencies were
             measured.
     """
@@ -99,19 +99,19 @@
     in_flight: int = 0
     queued: int = 0
     limit: int | None = None
-    sent_since: int = 0
+    sent_since_report: int = 0
     leaving: bool = False
     refuses_until_ms: float = 0.0
-    told_ms: float = -math.inf
+    reported_ms: float = -math.inf
     following: bool = False
     isolated: bool = False
-    failing: float = 0.0
-    failing_at_ms: float = 0.0
-    pace: float = 1.0
-    pace_at_ms: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at_ms: float = 0.0
+    relative_latency: float = 1.0
+    relative_latency_at_ms: float = 0.0
     identity: InstanceIdentity | None = None
 
-    def is_of(self, identity: InstanceIdentity) -> None:
+    def set_identity(self, identity: InstanceIdentity) -> None:
         """Set the lifetime of the server that requests go to from now on.
 
         Failure: a server that failed half of its requests is restarted, perhaps under
@@ -120,44 +120,46 @@
         if identity == self.identity:
             return
         if self.identity is not None:
-            self.failing = 0.0
-            self.pace = 1.0
+            self.failure_rate = 0.0
+            self.relative_latency = 1.0
         self.identity = identity
 
-    def report(self, reported: ServerLoad, now_ms: float) -> None:
+    def apply_report(self, reported: ServerLoad, now_ms: float) -> None:
         """Apply the peer's report on its backend server."""
-        self.told_ms = now_ms
+        self.reported_ms = now_ms
         self.in_flight = reported.in_flight
         self.queued = reported.queued
         self.limit = reported.limit
-        self.sent_since = 0
+        self.sent_since_report = 0
 
-    def ended(self, *, failed: bool, now_ms: float) -> None:
+    def record_result(self, *, failed: bool, now_ms: float) -> None:
         """Update the failure rate with a finished request."""
-        current = self.failing_share(now_ms)
-        self.failing = current + FAILURE_GAIN * (float(failed) - current)
-        self.failing_at_ms = now_ms
+        current = self.recent_failure_rate(now_ms)
+        self.failure_rate = current + FAILURE_GAIN * (float(failed) - current)
+        self.failure_rate_at_ms = now_ms
 
-    def failing_share(self, now_ms: float) -> float:
+    def recent_failure_rate(self, now_ms: float) -> float:
         """Return the share of recent requests that failed, decaying with time."""
-        if not self.failing:
+        if not self.failure_rate:
             return 0.0
-        return self.failing * _decay(now_ms - self.failing_at_ms)
+        return self.failure_rate * _decay(now_ms - self.failure_rate_at_ms)
 
-    def took(self, relative_latency: float, now_ms: float) -> None:
+    def record_latency(self, relative_latency: float, now_ms: float) -> None:
         """Update the relative latency with a finished request."""
         low, high = LATENCY_BOUNDS
-        current = self.pace_now(now_ms)
-        self.pace = current + LATENCY_GAIN * (
+        current = self.recent_relative_latency(now_ms)
+        self.relative_latency = current + LATENCY_GAIN * (
             min(max(relative_latency, low), high) - current
         )
-        self.pace_at_ms = now_ms
+        self.relative_latency_at_ms = now_ms
 
-    def pace_now(self, now_ms: float) -> float:
+    def recent_relative_latency(self, now_ms: float) -> float:
         """Return the relative latency, decaying to 1 with time."""
-        if self.pace == 1.0:
+        if self.relative_latency == 1.0:
             return 1.0
-        return 1.0 + (self.pace - 1.0) * _decay(now_ms - self.pace_at_ms)
+        return 1.0 + (self.relative_latency - 1.0) * _decay(
+            now_ms - self.relative_latency_at_ms
+        )
 
 
 class RunningMeans:
@@ -172,7 +174,7 @@
         self._means: dict[Hashable, float] = {}
         self._counts: Counter[Hashable] = Counter()
 
-    def count(self, kind: Hashable, value: float) -> None:
+    def add_value(self, kind: Hashable, value: float) -> None:
         """Add one value."""
         self._counts[kind] += 1
         # Later values weigh more at first: those just after a start are slow.
@@ -185,7 +187,7 @@
         return self._means.get(kind, 0.0)
 
 
-class PaceMeter:
+class RelativeLatencyMeter:
     """Measures requests relative to the mean latency of their kind."""
 
     def __init__(self):
@@ -193,7 +195,7 @@
 
     def measure(self, kind: Hashable, latency_ms: float) -> float:
         """Add a request's latency to the mean, and return it relative to the mean."""
-        self._latencies_ms.count(kind, latency_ms)
+        self._latencies_ms.add_value(kind, latency_ms)
         mean_ms = self._latencies_ms.mean(kind)
         return latency_ms / mean_ms if mean_ms else 1.0
 
@@ -229,7 +231,7 @@
         self._cold_left_ms = cold_left_ms
         self._rng = rng
 
-    def choose(
+    def choose_instance(
         self,
         instances: Iterable[Instance],
         tried: Collection[InstanceIdentity],
@@ -280,12 +282,12 @@
         if now_ms < load.refuses_until_ms:
             return None
         if load.identity != instance.identity:
-            load.is_of(instance.identity)
+            load.set_identity(instance.identity)
         limit = load.limit or max(instance.slots, 1)
-        cost = (load.in_flight + load.queued + load.sent_since) / limit
-        if load.failing:
-            cost += FAILURE_COST * load.failing_share(now_ms)
-        cost += LATENCY_COST * (load.pace_now(now_ms) - 1.0)
+        cost = (load.in_flight + load.queued + load.sent_since_report) / limit
+        if load.failure_rate:
+            cost += FAILURE_COST * load.recent_failure_rate(now_ms)
+        cost += LATENCY_COST * (load.recent_relative_latency(now_ms) - 1.0)
         cost += JITTER_COST * self._rng.random()
         if instance.cold_ms and self._cold_left_ms(instance, now_ms):
             cost += COLD_COST
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
@@ -38,14 +38,14 @@
         self._view = view
         self._now_ms = now_ms
 
-    def of(self, ip: str) -> PeerLoad | None:
+    def load_of(self, ip: str) -> PeerLoad | None:
         """Return the load of the server at an address; None if it can't be reached.
 
         A link with recent traffic is stronger evidence than the aggregators' reports:
         aggregators may be down or cut off themselves.
         """
         if ip == self._own_ip:
-            self.own.report(self._executor.load(), self._now_ms())
+            self.own.apply_report(self._executor.load(), self._now_ms())
             self.own.leaving = self._executor.leaving
             return self.own
         now_ms = self._now_ms()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
@@ -14,7 +14,7 @@
         self._window_ms = window_ms
         self._decreasing: deque[tuple[float, int]] = deque()
 
-    def note(self, value: int, now_ms: float) -> None:
+    def record_value(self, value: int, now_ms: float) -> None:
         """Record the value that holds from now on."""
         decreasing = self._decreasing
         since_ms = now_ms
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -13,7 +13,6 @@
     TIMEOUT_STATUS,
     CallerResponses,
 )
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import (
     INSTANCE_LEAVING,
     SERVER_FAILURE_STATUS,
@@ -23,6 +22,7 @@
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.peer_links import PeerLinks
@@ -39,11 +39,14 @@
     MIN_RETRY_REMAINING_MS,
     RelayRetryPolicy,
 )
+from sassafraswinch_sidecar.reported_instance_ids import ReportedInstanceIds
 from sassafraswinch_sidecar.request_log import RequestLog
 from sassafraswinch_sidecar.retry_budget import RetryBudget
-from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
+from sassafraswinch_sidecar.server_choice import (
+    choose_server,
+    choose_server_for_suspect,
+)
 from sassafraswinch_sidecar.slot_times import add_slot_times, parse_slot_times
-from sassafraswinch_sidecar.substitutes import Substitutes
 from sassafraswinch_sidecar.suspect_requests import (
     COPY_RUNS,
     HELD_BACK,
@@ -91,7 +94,7 @@
         executor: Executor,
         placement: Placement,
         rates: OrganisationRates,
-        admission: EntryAdmission,
+        admission: IngressAdmission,
         budget: RetryBudget,
         suspects: SuspectRequests,
         held: HeldBytes,
@@ -120,7 +123,7 @@
         self._call_ids = itertools.count(1)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
-        self._substitutes = Substitutes()
+        self._substitutes = ReportedInstanceIds()
         self._open_by_http: dict[HttpRequest, Relay] = {}
 
     @property
@@ -182,7 +185,7 @@
     def handle_response(self, response: RelayResponse, load: PeerLoad | None) -> None:
         """Process the response of an executing sidecar."""
         if load is not None:
-            load.report(response.load, self._now_ms())
+            load.apply_report(response.load, self._now_ms())
         relay = self.relays.pop(response.call_id, None)
         if relay is None or relay.ended:
             return
@@ -222,19 +225,21 @@
     def _admit(self, relay: Relay) -> bool:
         if not self._check_rate(relay):
             return False
-        self._admission.offered(relay.admission_class, relay.priority)
+        self._admission.record_arrival(relay.admission_class, relay.priority)
         if not self._held.fits():
             # Its response might have to be buffered for a slow reader.
             self._fail(relay, "no-memory", NOT_RUN_STATUS)
             return False
-        overloaded_service = self._admission.blocking(
+        overloaded_service = self._admission.find_blocking_service(
             relay.admission_class, relay.level
         )
         if overloaded_service is None:
             self._spend_token(relay)
             return True
         self._responses.refuse_overloaded(
-            relay, overloaded_service, self._admission.fits[relay.admission_class].share
+            relay,
+            overloaded_service,
+            self._admission.limited_routes[relay.admission_class].share,
         )
         self._finish(relay)
         return False
@@ -284,7 +289,7 @@
     ) -> Instance | None:
         now_ms = self._now_ms()
         if judgement.standing is not Standing.FREE:
-            return choose_for_suspect(
+            return choose_server_for_suspect(
                 self._placement, relay, instances, now_ms, judgement
             )
         answer_bytes = self._outcomes.answer_bytes(relay.route.name)
@@ -319,14 +324,14 @@
         relay.ip = instance.ip
         relay.identity = instance.identity
         relay.instance_id = self._substitutes.actual_id(instance, self._now_ms())
-        is_leaf = relay.parent is None and self._admission.needs_only(
+        is_leaf = relay.parent is None and self._admission.uses_only(
             relay.admission_class, relay.service
         )
         request = request_of(relay, remaining_ms=remaining_ms, is_leaf=is_leaf)
         self.relays[relay.call_id] = relay
         self._retry_policy.record_sent(relay)
         if instance.ip == self._own_ip:
-            self._own_load.sent_since += 1
+            self._own_load.sent_since_report += 1
             self._executor.submit(request, self._own_response, self)
             return
         if not self._links.send_request(instance.ip, request):
@@ -335,12 +340,12 @@
             return
         load = self._view.load(instance.ip)
         if load is not None:
-            load.sent_since += 1
+            load.sent_since_report += 1
 
     def _record_actual_instance(self, relay: Relay, actual_id: str) -> None:
         for instance in self._fleet.of_service(relay.service):
             if instance.ip == relay.ip and instance.id != actual_id:
-                self._substitutes.note(instance, actual_id, self._now_ms())
+                self._substitutes.record_id(instance, actual_id, self._now_ms())
                 relay.tried.discard(instance.identity)
 
     def _deliver_response(self, relay: Relay, response: RelayResponse) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/substitutes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reported_instance_ids.py
@@ -7,7 +7,7 @@
 platform lists at its address: registrations of exited servers expire within it."""
 
 
-class Substitutes:
+class ReportedInstanceIds:
     """Current ids of restarted servers, so that requests can be addressed to them.
 
     Failure: after a power failure all servers have new ids. The platform lists the old
@@ -17,7 +17,7 @@
     def __init__(self):
         self._actual_ids: dict[InstanceIdentity, tuple[str, float]] = {}
 
-    def note(self, instance: Instance, actual_id: str, now_ms: float) -> None:
+    def record_id(self, instance: Instance, actual_id: str, now_ms: float) -> None:
         """Record the id that the server at an instance's address reported."""
         self._actual_ids[instance.identity] = (actual_id, now_ms)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_ends.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
@@ -24,7 +24,7 @@
 that many callers send arrives again within them."""
 
 
-class ServerEnds:
+class ServerExits:
     """Makes suspects of the requests that were running when the server exited.
 
     Only the sidecar beside a server can see that its process exited, so only this
@@ -63,19 +63,19 @@
         self._abandoned: deque[tuple[str, Digests]] = deque(maxlen=MAX_ABANDONED)
 
     @property
-    def has_given_up(self) -> bool:
+    def has_abandoned_requests(self) -> bool:
         """Whether requests were abandoned since the server's last answer."""
         return bool(self._abandoned)
 
-    def gave_up(self, request: RelayRequest) -> None:
+    def record_abandoned_request(self, request: RelayRequest) -> None:
         """Record a request that was cancelled or timed out, and may still run."""
         self._abandoned.append((request.instance_id, digest_request(request)))
 
-    def answered(self) -> None:
+    def clear_abandoned_requests(self) -> None:
         """Clear the abandoned requests: the server answers, so it survived them."""
         self._abandoned.clear()
 
-    def ran_well(self, request: RelayRequest) -> None:
+    def record_answered_request(self, request: RelayRequest) -> None:
         """Record that the server ran a request successfully."""
         answered_at_ms = self._answered_at_ms
         checksum = _checksum(request)
@@ -84,7 +84,7 @@
         if len(answered_at_ms) > MAX_ANSWERED:
             del answered_at_ms[next(iter(answered_at_ms))]
 
-    def begin(self, instance_id: str) -> None:
+    def record_exit(self, instance_id: str) -> None:
         """Record that the server's process exited.
 
         Args:
@@ -98,7 +98,7 @@
         for instance_id, digests in abandoned:
             self._add_suspect(instance_id, digests)
 
-    def add(self, request: RelayRequest) -> str | None:
+    def record_running_request(self, request: RelayRequest) -> str | None:
         """Record a request that was running at the exit.
 
         Returns:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_monitor.py
@@ -28,13 +28,13 @@
 have been given to another service, whose requests it must not run."""
 
 
-INSTANCE_WORD_MS = 1_000.0
+REPORTED_INSTANCE_LIFE_MS = 1_000.0
 """Time for which the instance id last reported by the server has requests for other
 instances refused unsent. Another instance may start at the address while no request is
 under way; one refusal a second by the server itself detects that."""
 
 
-class BackendWatch:
+class ServerMonitor:
     """Detects from requests whether the server is up, and which instance it is.
 
     No health check is sent: it would take a slot, and its result may be wrong. While
@@ -43,13 +43,13 @@
     Args:
         client: connections to the server.
         service: its service, for the log.
-        went_down: called when the server is found to be down.
-        looked: called after an exit check, with whether the server's process
+        on_down: called when the server is found to be down.
+        on_exit_checked: called after an exit check, with whether the server's process
             exited.
 
     Attributes:
-        up: whether requests may be sent to the server.
-        ended: whether its process exited, and no other runs in its place yet.
+        is_up: whether requests may be sent to the server.
+        has_exited: whether its process exited, and no other runs in its place yet.
     """
 
     def __init__(
@@ -57,29 +57,29 @@
         *,
         client: HttpClient,
         service: str,
-        went_down: Callable[[], None],
-        looked: Callable[[bool], None],
+        on_down: Callable[[], None],
+        on_exit_checked: Callable[[bool], None],
     ):
-        self.up = True
-        self.ended = False
-        self._on_exit_checked = looked
+        self.is_up = True
+        self.has_exited = False
+        self._on_exit_checked = on_exit_checked
         self._exit_check: asyncio.Task | None = None
         self._client = client
         self._service = service
-        self._on_down = went_down
+        self._on_down = on_down
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
         self._answered_ms = 0.0
         self._instance_id: str | None = None
-        self._told_ms = 0.0
+        self._reported_ms = 0.0
         self._reported_ids: set[str] = set()
         self._probing: asyncio.Task | None = None
 
-    def is_another(self, instance_id: str) -> bool:
+    def is_other_instance(self, instance_id: str) -> bool:
         """Return whether the server recently reported to be another instance."""
         if self._instance_id is None or self._instance_id == instance_id:
             return False
-        return self._now_ms() - self._told_ms < INSTANCE_WORD_MS
+        return self._now_ms() - self._reported_ms < REPORTED_INSTANCE_LIFE_MS
 
     def trusted_instance_id(self) -> str | None:
         """Return the server's instance id if it alone suffices to send it requests.
@@ -90,23 +90,23 @@
         is_recent = self._now_ms() - self._started_ms < TRUSTED_START_MS
         return self._instance_id if is_recent and len(self._reported_ids) == 1 else None
 
-    def alive(self) -> None:
+    def record_activity(self) -> None:
         """Restart the silence period: at an answer, or a request to an idle server."""
         self._answered_ms = self._now_ms()
 
-    def is_instance(self, instance_id: str | None) -> None:
+    def record_instance(self, instance_id: str | None) -> None:
         """Record the instance that the server reports; None if it may have exited."""
         self._instance_id = instance_id
-        self._told_ms = self._now_ms()
+        self._reported_ms = self._now_ms()
         if instance_id is not None and len(self._reported_ids) < 2:
             self._reported_ids.add(instance_id)
 
-    def unreachable(self) -> None:
+    def record_unreachable(self) -> None:
         """Record that no connection could be made."""
         self._instance_id = None
         self._set_down()
 
-    def look(self) -> None:
+    def check_exit(self) -> None:
         """Check whether the server's process exited, after a connection broke.
 
         Failure: a connection breaks when a server drops it, when it loses an answer,
@@ -116,7 +116,7 @@
         if self._exit_check is None:
             self._exit_check = self._loop.create_task(self._check_exit())
 
-    def overdue(self, mean_hold_ms: float) -> None:
+    def record_overdue(self, mean_hold_ms: float) -> None:
         """Record a request that wasn't answered in time.
 
         Args:
@@ -136,15 +136,15 @@
         refused = await self._client.probe(EXIT_CHECK_TIMEOUT_S) is ProbeResult.REFUSED
         self._exit_check = None
         if refused:
-            self.ended = True
+            self.has_exited = True
             self._instance_id = None
             self._set_down()
         self._on_exit_checked(refused)
 
     def _set_down(self) -> None:
-        if not self.up:
+        if not self.is_up:
             return
-        self.up = False
+        self.is_up = False
         log_event("backend_down", level="warning", service=self._service)
         self._on_down()
         self._client.close()
@@ -153,8 +153,8 @@
     async def _probe_until_up(self) -> None:
         while await self._client.probe() is not ProbeResult.CONNECTED:
             await asyncio.sleep(PROBE_INTERVAL_S)
-        self.up = True
-        self.ended = False
+        self.is_up = True
+        self.has_exited = False
         self._instance_id = None
         self._answered_ms = self._now_ms()
         log_event("backend_up", service=self._service)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SLOT_SHARE = 0.95
+USABLE_SLOT_SHARE = 0.95
 """Share of the slots that is used: a new connection and a health check hold a slot
 for a moment, and some servers slow down when they are nearly full."""
 
@@ -39,34 +39,34 @@
 
     Attributes:
         item: the caller's object for the request.
-        inner: whether it is a child call of a running request. Child calls go
+        is_child_call: whether it is a child call of a running request. Child calls go
             first within a priority, since refusing one wastes all work done for its
             root request.
         priority: priority of the root request; 0 is the most important.
-        give_up_at_ms: time at which it leaves the queue if it hasn't started.
+        queue_deadline_ms: time at which it leaves the queue if it hasn't started.
         progress: finished calls of the requests above it. Those with more progress go
             first: refusing them wastes more, and a full server then spends its slots on
             requests that are completed.
-        last: whether it makes no calls.
+        is_leaf_call: whether it makes no calls.
         started_at_ms: time at which it got a slot; None while it is queued.
-        left: whether it was withdrawn from the queue.
+        is_withdrawn: whether it was withdrawn from the queue.
     """
 
     item: Any
-    inner: bool
+    is_child_call: bool
     priority: int
-    give_up_at_ms: float
+    queue_deadline_ms: float
     progress: int = 0
-    last: bool = False
+    is_leaf_call: bool = False
     started_at_ms: float | None = None
-    left: bool = False
+    is_withdrawn: bool = False
 
     @property
     def rank(self) -> Rank:
         """Sort key of the queue, before the order of arrival: the lowest goes first."""
-        if self.last:
+        if self.is_leaf_call:
             return self.priority, False, -math.inf
-        return self.priority, not self.inner, -self.progress
+        return self.priority, not self.is_child_call, -self.progress
 
 
 @dataclass(slots=True)
@@ -76,12 +76,12 @@
     Attributes:
         limit: slots that may be in use at once.
         running: slots in use.
-        hold_ms: mean time that a request holds its slot.
+        mean_hold_ms: mean time that a request holds its slot.
     """
 
     limit: int
     running: int = 0
-    hold_ms: float = INITIAL_HOLD_MS
+    mean_hold_ms: float = INITIAL_HOLD_MS
     _heap: list[tuple[Rank, int, QueuedRequest]] = field(default_factory=list)
     _sequence: Any = field(default_factory=itertools.count)
     _queued: int = 0
@@ -91,38 +91,38 @@
         """Number of requests that wait for a slot."""
         return self._queued
 
-    def delay_ms(self, rank: Rank) -> float:
+    def expected_wait_ms(self, rank: Rank) -> float:
         """Return the expected wait of a new request of this rank."""
         if self.running < self.limit and not self._queued:
             return 0.0
         ahead = sum(
             1
             for queued_rank, _, request in self._heap
-            if not request.left and queued_rank <= rank
+            if not request.is_withdrawn and queued_rank <= rank
         )
-        return (ahead + 1) * self.hold_ms / max(self.limit, 1)
+        return (ahead + 1) * self.mean_hold_ms / max(self.limit, 1)
 
-    def offer(self, request: QueuedRequest, now_ms: float) -> bool:
-        """Add a request, which ``startable`` yields once it gets a slot.
+    def enqueue(self, request: QueuedRequest, now_ms: float) -> bool:
+        """Add a request, which ``pop_startable`` yields once it gets a slot.
 
         Returns:
             False if its expected wait is longer than allowed. It is then refused at
             once, so that it can be sent elsewhere or retried later.
         """
         rank = request.rank
-        delay_ms = self.delay_ms(rank)
-        if delay_ms and now_ms + delay_ms > request.give_up_at_ms:
+        delay_ms = self.expected_wait_ms(rank)
+        if delay_ms and now_ms + delay_ms > request.queue_deadline_ms:
             return False
         order = (rank, next(self._sequence), request)
         heapq.heappush(self._heap, order)
         self._queued += 1
         return True
 
-    def startable(self, now_ms: float) -> Iterable[QueuedRequest]:
+    def pop_startable(self, now_ms: float) -> Iterable[QueuedRequest]:
         """Remove and yield the requests that get a slot now."""
         while self._heap and self.running < self.limit:
             request = heapq.heappop(self._heap)[-1]
-            if request.left:
+            if request.is_withdrawn:
                 continue
             self._queued -= 1
             self.running += 1
@@ -131,27 +131,27 @@
 
     def withdraw(self, request: QueuedRequest) -> bool:
         """Remove a queued request; return False if it isn't queued any more."""
-        if request.left or request.started_at_ms is not None:
+        if request.is_withdrawn or request.started_at_ms is not None:
             return False
-        request.left = True
+        request.is_withdrawn = True
         self._queued -= 1
         if len(self._heap) > 2 * self._queued + MAX_WITHDRAWN:
             self._compact()
         return True
 
-    def finished(self, request: QueuedRequest, now_ms: float) -> float:
+    def release_slot(self, request: QueuedRequest, now_ms: float) -> float:
         """Release the slot of a started request; return how long it was held."""
         self.running -= 1
         held_ms = now_ms - request.started_at_ms
-        self.hold_ms += HOLD_TIME_GAIN * (held_ms - self.hold_ms)
+        self.mean_hold_ms += HOLD_TIME_GAIN * (held_ms - self.mean_hold_ms)
         return held_ms
 
-    def expired(self, now_ms: float) -> list[QueuedRequest]:
+    def pop_expired(self, now_ms: float) -> list[QueuedRequest]:
         """Remove and return the requests that have waited as long as allowed."""
         late = [
             request
             for *_, request in self._heap
-            if not request.left and now_ms >= request.give_up_at_ms
+            if not request.is_withdrawn and now_ms >= request.queue_deadline_ms
         ]
         for request in late:
             self.withdraw(request)
@@ -164,12 +164,12 @@
         heap never reach its top. Thousands of withdrawn requests accumulate there, and
         each pass over the queue visits them.
         """
-        self._heap = [order for order in self._heap if not order[-1].left]
+        self._heap = [order for order in self._heap if not order[-1].is_withdrawn]
         heapq.heapify(self._heap)
 
     def drain(self) -> list[QueuedRequest]:
         """Remove and return all queued requests."""
-        queued = [request for *_, request in self._heap if not request.left]
+        queued = [request for *_, request in self._heap if not request.is_withdrawn]
         for request in queued:
             self.withdraw(request)
         self._heap.clear()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -15,7 +15,7 @@
 from sassafraswinch_sidecar.peer_link import PeerLink
 from sassafraswinch_sidecar.relay_protocol.ttypes import Suspect, SuspectNews
 
-LONGEST_AGE_MS = 2**31 - 1
+MAX_WIRE_AGE_MS = 2**31 - 1
 """Greatest age on the wire; anything of nearly that age has expired long before."""
 
 EXPIRY_INTERVAL_MS = 10_000.0
@@ -33,8 +33,8 @@
     Args:
         suspects: the suspects known to this host.
         now_ms: monotonic clock.
-        learnt_here: called after a change that no other host knows of.
-        told_here: called after a change that a peer sent.
+        on_local_change: called after a change that no other host knows of.
+        on_received_change: called after a change that a peer sent.
     """
 
     def __init__(
@@ -42,18 +42,18 @@
         *,
         suspects: CrashSuspects,
         now_ms: Callable[[], float],
-        learnt_here: Callable[[], None],
-        told_here: Callable[[], None],
+        on_local_change: Callable[[], None],
+        on_received_change: Callable[[], None],
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._on_local_change = learnt_here
-        self._on_received_change = told_here
+        self._on_local_change = on_local_change
+        self._on_received_change = on_received_change
         self._held: frozenset[bytes] = frozenset()
         self._scheduled: asyncio.Handle | None = None
         self._expiry_checked_ms = -math.inf
 
-    def note(self) -> None:
+    def schedule_announcement(self) -> None:
         """Schedule one announcement of local changes.
 
         Dozens of requests are lost with a server, each of which is a change.
@@ -63,7 +63,7 @@
                 self._announce_changes
             )
 
-    def tick(self) -> None:
+    def discard_expired(self) -> None:
         """Discard expired suspects from time to time."""
         now_ms = self._now_ms()
         if now_ms - self._expiry_checked_ms >= EXPIRY_INTERVAL_MS:
@@ -77,7 +77,7 @@
             "requests_held_back": len(self._suspects.held_back(self._now_ms())),
         }
 
-    def greet(self, link: PeerLink) -> None:
+    def send_restricted(self, link: PeerLink) -> None:
         """Send a new peer the requests that must not run freely.
 
         Failure: a sidecar starts and gets requests before the next round reaches it. It
@@ -85,9 +85,9 @@
         """
         reports = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
         if reports and link.takes_suspects:
-            link.send(serialize_news(reports))
+            link.send(serialize_suspect_reports(reports))
 
-    def tell(self, link: PeerLink) -> None:
+    def send_changes(self, link: PeerLink) -> None:
         """Send a peer the changes since the last ones sent to it."""
         if not link.takes_suspects:
             return
@@ -95,12 +95,12 @@
         if link.suspects_sent_up_to == last_change:
             return
         reports = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
-        if not reports or link.send(serialize_news(reports)):
+        if not reports or link.send(serialize_suspect_reports(reports)):
             link.suspects_sent_up_to = last_change
 
-    def take(self, message: SuspectNews) -> None:
+    def merge_message(self, message: SuspectNews) -> None:
         """Merge the suspects that a peer sent."""
-        if self._suspects.take(parse_news(message), self._now_ms()):
+        if self._suspects.take(parse_suspect_reports(message), self._now_ms()):
             self._log_held()
             self._on_received_change()
 
@@ -119,12 +119,12 @@
         self._held = frozenset(held)
 
 
-def serialize_news(reports: list[SuspectWord]) -> SuspectNews:
+def serialize_suspect_reports(reports: list[SuspectWord]) -> SuspectNews:
     """Serialize reports on suspects."""
     return SuspectNews([_serialize_report(report) for report in reports])
 
 
-def parse_news(message: SuspectNews) -> list[SuspectWord]:
+def parse_suspect_reports(message: SuspectNews) -> list[SuspectWord]:
     """Parse reports on suspects."""
     return [
         SuspectWord(
@@ -147,7 +147,7 @@
 
 
 def _wire_age_ms(age_ms: float) -> int:
-    return min(max(int(age_ms), 0), LONGEST_AGE_MS)
+    return min(max(int(age_ms), 0), MAX_WIRE_AGE_MS)
 
 
 def _log_held_back(judged: Judgement) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -22,7 +22,7 @@
     Args:
         suspects: the suspects known to this host.
         now_ms: monotonic clock.
-        changed: called after a change that other hosts don't know of.
+        on_change: called after a change that other hosts don't know of.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         *,
         suspects: CrashSuspects,
         now_ms: Callable[[], float],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._on_change = changed
+        self._on_change = on_change
 
     def judge(self, request: SentRequest) -> Judgement:
         """Return whether and under which restrictions a request may run."""
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -289,5 +289,7 @@
 
 def sees_all(node: Node, fleet: TestFleet) -> bool:
     """Return whether a node is ready and may send requests to all nodes."""
-    loads_known = [node.sidecar._loads.of(each.ip) is not None for each in fleet.nodes]
+    loads_known = [
+        node.sidecar._loads.load_of(each.ip) is not None for each in fleet.nodes
+    ]
     return node.sidecar.is_ready and all(loads_known)
--- a/packages/sassafraswinch-sidecar/tests/test_http_client.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_client.py
@@ -14,7 +14,7 @@
     HttpResponse,
     ProbeResult,
 )
-from sassafraswinch_sidecar.idle_limit import FRESH_MS
+from sassafraswinch_sidecar.idle_limit import DEFAULT_SERVER_IDLE_LIMIT_MS
 from sidecar_standins.backend import Backend, answer
 from sidecar_standins.fleet import request_bytes, until
 
@@ -78,7 +78,7 @@
     sent on one is lost, and it is unknown whether it ran.
     """
     await send_request(client)
-    client._idle[0].idle_since_ms -= FRESH_MS + 1
+    client._idle[0].idle_since_ms -= DEFAULT_SERVER_IDLE_LIMIT_MS + 1
     await send_request(client, "r-2", fresh=True)
     assert len(backend.connections) == 2
 
--- a/packages/sassafraswinch-sidecar/tests/test_entry_admission.py
+++ b/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
@@ -6,11 +6,11 @@
 import pytest
 
 from sassafraswinch.fitting_shares import Claim
-from sassafraswinch_sidecar.entry_admission import (
+from sassafraswinch_sidecar.ingress_admission import (
     INTERVAL_MS,
     LEVELS,
     Capacity,
-    EntryAdmission,
+    IngressAdmission,
     merge_claims,
 )
 
@@ -34,7 +34,7 @@
         the admitted ones use at each service.
     """
     rng = random.Random(7)
-    sidecars = [EntryAdmission() for _ in range(sidecar_count)]
+    sidecars = [IngressAdmission() for _ in range(sidecar_count)]
     offered, admitted, used = Counter(), Counter(), Counter()
     steps = int(seconds * 1000 / INTERVAL_MS)
     for step in range(steps):
@@ -43,11 +43,11 @@
         for name, rate in rates_per_s.items():
             for _ in range(round(rate * INTERVAL_MS / 1000)):
                 admission = rng.choice(sidecars)
-                admission.offered(name, PRIORITIES[name])
+                admission.record_arrival(name, PRIORITIES[name])
                 level = rng.randrange(LEVELS)
-                passed = admission.blocking(name, level) is None
+                passed = admission.find_blocking_service(name, level) is None
                 if passed:
-                    admission.learn(name, slot_ms[name], now_ms)
+                    admission.record_completed_cost(name, slot_ms[name], now_ms)
                     for service, time_ms in slot_ms[name].items():
                         in_use[service] += time_ms / INTERVAL_MS
                 if step > steps / 2:
@@ -58,8 +58,8 @@
         capacities = {s: Capacity(n, in_use[s]) for s, n in slots.items()}
         claims = merge_claims(admission.demand() for admission in sidecars)
         for admission in sidecars:
-            if admission.due(now_ms):
-                admission.decide(capacities, now_ms, claims)
+            if admission.is_due(now_ms):
+                admission.decide_shares(capacities, now_ms, claims)
     measured = steps - steps // 2 - 1
     shares = {name: admitted[name] / offered[name] for name in offered}
     return shares, {service: total / measured for service, total in used.items()}
@@ -118,21 +118,21 @@
 
 def test_refusals_end_soon_after_the_surge():
     """Recovery: a second after the load is back to normal, nothing is refused."""
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     now_ms = 0.0
     for rate in [400] * 20 + [50] * 12:
         for _ in range(rate):
-            admission.offered(HISTORY, 2)
-            if admission.blocking(HISTORY, 500) is None:
-                admission.learn(HISTORY, SLOT_MS[HISTORY], now_ms)
+            admission.record_arrival(HISTORY, 2)
+            if admission.find_blocking_service(HISTORY, 500) is None:
+                admission.record_completed_cost(HISTORY, SLOT_MS[HISTORY], now_ms)
         now_ms += INTERVAL_MS
-        admission.due(now_ms)
-        admission.decide(
+        admission.is_due(now_ms)
+        admission.decide_shares(
             {"prehled": Capacity(100.0, 90.0), "archiv": Capacity(600.0, 90.0)}, now_ms
         )
         if rate == 400 and now_ms > 2_000:
-            assert admission.fits
-    assert not admission.fits
+            assert admission.limited_routes
+    assert not admission.limited_routes
 
 
 def test_backlog_limits_admission_at_once_and_leaves_no_idle_slots_afterwards():
@@ -141,16 +141,23 @@
     once; but if the correction fell for as long, half of the requests would be refused
     for seconds after the queue has drained, beside idle slots.
     """
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     slots = 400.0
     available_shares = []
     for number, used in enumerate([380.0] * 4 + [720.0] * 10 + [280.0] * 2, 1):
         for _ in range(773):  # 1.7 times the capacity
-            admission.offered(HISTORY, 2)
-            admission.learn(HISTORY, {"prehled": 220.0}, number * INTERVAL_MS)
-        admission.due(0.0)
-        admission.decide({"prehled": Capacity(slots, used)}, number * INTERVAL_MS)
-        available = admission.fits[HISTORY].share * admission.wanted["prehled"]
+            admission.record_arrival(HISTORY, 2)
+            admission.record_completed_cost(
+                HISTORY, {"prehled": 220.0}, number * INTERVAL_MS
+            )
+        admission.is_due(0.0)
+        admission.decide_shares(
+            {"prehled": Capacity(slots, used)}, number * INTERVAL_MS
+        )
+        available = (
+            admission.limited_routes[HISTORY].share
+            * admission.required_slots["prehled"]
+        )
         available_shares.append(available / slots)
     assert available_shares[3] > 0.85
     assert available_shares[4] < 0.75
@@ -161,15 +168,15 @@
     """All aggregators of the zone are down for a moment. Their last reports have
     expired, and this sidecar's own requests are within the capacity.
     """
-    admission = EntryAdmission()
-    admission.offered(STATUS, 1)
-    admission.learn(STATUS, SLOT_MS[STATUS], 0.0)
-    admission.due(0.0)
+    admission = IngressAdmission()
+    admission.record_arrival(STATUS, 1)
+    admission.record_completed_cost(STATUS, SLOT_MS[STATUS], 0.0)
+    admission.is_due(0.0)
     capacities = {"prehled": Capacity(100.0, 50.0)}
-    admission.decide(capacities, 300.0, [demand_of(STATUS, 500.0)])
-    assert admission.fits[STATUS].share < 1
-    admission.decide(capacities, 3_000.0)
-    assert not admission.fits
+    admission.decide_shares(capacities, 300.0, [demand_of(STATUS, 500.0)])
+    assert admission.limited_routes[STATUS].share < 1
+    admission.decide_shares(capacities, 3_000.0)
+    assert not admission.limited_routes
 
 
 def test_route_that_needs_an_unreachable_service_is_refused_at_its_ingress():
@@ -177,18 +184,20 @@
     Requests would run, their calls would find no server, and non-repeatable ones would
     fail for good. Refused at once and unrun, they can be retried after the cut.
     """
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     for number in range(1, 5):
-        admission.offered(STATUS, 1)
-        admission.offered(HISTORY, 2)
-        admission.learn(STATUS, SLOT_MS[STATUS], 0.0)
-        admission.learn(HISTORY, SLOT_MS[HISTORY], 0.0)
-        admission.decide({"prehled": Capacity(100.0, 10.0)}, number * INTERVAL_MS)
-    assert admission.blocking(HISTORY, 0) == "archiv"
-    assert admission.blocking(STATUS, 0) is None
+        admission.record_arrival(STATUS, 1)
+        admission.record_arrival(HISTORY, 2)
+        admission.record_completed_cost(STATUS, SLOT_MS[STATUS], 0.0)
+        admission.record_completed_cost(HISTORY, SLOT_MS[HISTORY], 0.0)
+        admission.decide_shares(
+            {"prehled": Capacity(100.0, 10.0)}, number * INTERVAL_MS
+        )
+    assert admission.find_blocking_service(HISTORY, 0) == "archiv"
+    assert admission.find_blocking_service(STATUS, 0) is None
     back = {"prehled": Capacity(100.0, 10.0), "archiv": Capacity(600.0, 10.0)}
-    admission.decide(back, 5 * INTERVAL_MS)
-    assert admission.blocking(HISTORY, 0) is None
+    admission.decide_shares(back, 5 * INTERVAL_MS)
+    assert admission.find_blocking_service(HISTORY, 0) is None
 
 
 def test_cost_is_estimated_from_failed_requests_before_any_is_completed():
@@ -196,23 +205,23 @@
     half way, so no completed request gives the cost; the slot times of the failed ones
     must suffice to refuse further requests.
     """
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     for number in range(1, 5):
         for _ in range(100):
-            admission.offered(HISTORY, 2)
-            admission.learn_at_least(HISTORY, {"prehled": 200.0})
-        admission.due(0.0)
-        admission.decide({"prehled": Capacity(40.0, 60.0)}, number * INTERVAL_MS)
-    assert admission.blocking(HISTORY, 900) == "prehled"
-    assert admission.blocking(HISTORY, 100) is None
+            admission.record_arrival(HISTORY, 2)
+            admission.record_partial_cost(HISTORY, {"prehled": 200.0})
+        admission.is_due(0.0)
+        admission.decide_shares({"prehled": Capacity(40.0, 60.0)}, number * INTERVAL_MS)
+    assert admission.find_blocking_service(HISTORY, 900) == "prehled"
+    assert admission.find_blocking_service(HISTORY, 100) is None
 
 
 def test_failed_requests_do_not_lower_the_cost_of_completed_ones():
-    admission = EntryAdmission()
-    admission.offered(HISTORY, 2)
-    admission.learn(HISTORY, {"prehled": 220.0}, 0.0)
+    admission = IngressAdmission()
+    admission.record_arrival(HISTORY, 2)
+    admission.record_completed_cost(HISTORY, {"prehled": 220.0}, 0.0)
     for _ in range(100):
-        admission.learn_at_least(HISTORY, {"prehled": 20.0})
+        admission.record_partial_cost(HISTORY, {"prehled": 20.0})
     assert admission._routes[HISTORY].slot_s["prehled"] == 0.22
 
 
@@ -238,16 +247,16 @@
 
 
 def test_routes_that_use_one_service_only_are_known_from_completed_requests():
-    admission = EntryAdmission()
-    assert not admission.needs_only(STATUS, "prehled")
-    admission.offered(STATUS, 1)
-    admission.learn_at_least(STATUS, SLOT_MS[STATUS])
-    assert not admission.needs_only(STATUS, "prehled")
-    admission.learn(STATUS, SLOT_MS[STATUS], 0.0)
-    assert admission.needs_only(STATUS, "prehled")
-    admission.offered(HISTORY, 2)
-    admission.learn(HISTORY, SLOT_MS[HISTORY], 0.0)
-    assert not admission.needs_only(HISTORY, "prehled")
+    admission = IngressAdmission()
+    assert not admission.uses_only(STATUS, "prehled")
+    admission.record_arrival(STATUS, 1)
+    admission.record_partial_cost(STATUS, SLOT_MS[STATUS])
+    assert not admission.uses_only(STATUS, "prehled")
+    admission.record_completed_cost(STATUS, SLOT_MS[STATUS], 0.0)
+    assert admission.uses_only(STATUS, "prehled")
+    admission.record_arrival(HISTORY, 2)
+    admission.record_completed_cost(HISTORY, SLOT_MS[HISTORY], 0.0)
+    assert not admission.uses_only(HISTORY, "prehled")
 
 
 def test_slots_are_filled_again_within_a_second_after_a_service_was_slow():
@@ -255,17 +264,25 @@
     requests there is still overestimated by that factor. They would be refused beside
     idle slots; the correction must rise as fast as the error was large.
     """
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     slots = 400.0
     admitted = []
     for number in range(1, 13):
         for _ in range(400):
-            admission.offered(HISTORY, 2)
-            admission.learn(HISTORY, {"prehled": 880.0}, number * INTERVAL_MS)
-        admission.due(0.0)
-        share = admission.fits[HISTORY].share if HISTORY in admission.fits else 1.0
+            admission.record_arrival(HISTORY, 2)
+            admission.record_completed_cost(
+                HISTORY, {"prehled": 880.0}, number * INTERVAL_MS
+            )
+        admission.is_due(0.0)
+        share = (
+            admission.limited_routes[HISTORY].share
+            if HISTORY in admission.limited_routes
+            else 1.0
+        )
         used = 400 * share * 4 * 0.22 if number > 4 else slots
-        admission.decide({"prehled": Capacity(slots, used)}, number * INTERVAL_MS)
+        admission.decide_shares(
+            {"prehled": Capacity(slots, used)}, number * INTERVAL_MS
+        )
         admitted.append(share)
     assert admitted[4] < 0.35
     assert admitted[-1] > 2 * admitted[4]
@@ -275,11 +292,13 @@
     """A service was four times slower, and few requests are still admitted. The first
     ones that are completed afterwards must show that it is fast again.
     """
-    admission = EntryAdmission()
-    admission.offered(HISTORY, 2)
+    admission = IngressAdmission()
+    admission.record_arrival(HISTORY, 2)
     for number in range(200):
-        admission.learn(HISTORY, {"prehled": 880.0}, number * 10.0)
+        admission.record_completed_cost(HISTORY, {"prehled": 880.0}, number * 10.0)
     for number in range(6):
-        admission.learn(HISTORY, {"prehled": 220.0}, 2_500.0 + number * 500.0)
+        admission.record_completed_cost(
+            HISTORY, {"prehled": 220.0}, 2_500.0 + number * 500.0
+        )
     (claim,) = admission.demand()
     assert claim.needs["prehled"] < 0.3
--- a/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
@@ -14,7 +14,7 @@
     now_ms, history = 0.0, []
     for step_ms, value in steps:
         now_ms += step_ms
-        maximum.note(value, now_ms)
+        maximum.record_value(value, now_ms)
         history.append((now_ms, value))
         ends_ms = [at_ms for at_ms, _ in history[1:]] + [now_ms + 1]
         held = [
@@ -30,7 +30,7 @@
     each sidecar's share of the retry slack would shrink until nothing is retried.
     """
     maximum = RecentMaximum(window_ms=WINDOW_MS)
-    maximum.note(200, 0.0)
-    maximum.note(196, 5.0)
+    maximum.record_value(200, 0.0)
+    maximum.record_value(196, 5.0)
     assert maximum.value(24.0) == 200
     assert maximum.value(25.0) == 196
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -18,15 +18,15 @@
 
 
 def started(queue, now_ms=0.0):
-    return [found.item for found in queue.startable(now_ms)]
+    return [found.item for found in queue.pop_startable(now_ms)]
 
 
 def start_all(queue, *waiting):
     """Offer requests to a full queue, and return the order in which they start."""
-    queue.offer(request("running"), 0.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     for found in waiting:
-        queue.offer(found, 0.0)
+        queue.enqueue(found, 0.0)
     order = []
     for _ in waiting:
         queue.running -= 1
@@ -53,22 +53,24 @@
     Status checks use it too, are more important, and may wait for a tenth of that time:
     behind the calls, each of them would be refused at each of its servers.
     """
-    queue = ServerQueue(limit=4, hold_ms=50.0)
+    queue = ServerQueue(limit=4, mean_hold_ms=50.0)
     refused = []
     for step in range(400):
         now_ms = step * 10.0
         # A quarter more than four slots can run at 50 ms each.
         give_up_at_ms = now_ms + 280.0
         call = request("call", inner=True, priority=2, give_up_at_ms=give_up_at_ms)
-        queue.offer(call, now_ms)
+        queue.enqueue(call, now_ms)
         if step % 10 == 0:
             check = request("check", priority=1, give_up_at_ms=now_ms + 36.0)
-            if not queue.offer(check, now_ms):
+            if not queue.enqueue(check, now_ms):
                 refused.append(check)
-        refused += [found for found in queue.expired(now_ms) if found.item == "check"]
+        refused += [
+            found for found in queue.pop_expired(now_ms) if found.item == "check"
+        ]
         if step % 5 == 0 and queue.running:
             queue.running = 0
-        list(queue.startable(now_ms))
+        list(queue.pop_startable(now_ms))
     assert not refused
 
 
@@ -101,22 +103,22 @@
 
 
 def test_request_that_would_wait_too_long_is_refused_at_once():
-    queue = ServerQueue(limit=1, hold_ms=100.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=100.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
-    assert not queue.offer(request("hasty", give_up_at_ms=50.0), 0.0)
-    assert queue.offer(request("patient", give_up_at_ms=150.0), 0.0)
+    assert not queue.enqueue(request("hasty", give_up_at_ms=50.0), 0.0)
+    assert queue.enqueue(request("patient", give_up_at_ms=150.0), 0.0)
     assert queue.queued == 1
 
 
 def test_queued_request_expires_in_time_and_only_once():
-    queue = ServerQueue(limit=1, hold_ms=1.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=1.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     waiting = request("waiting", give_up_at_ms=50.0)
-    queue.offer(waiting, 0.0)
-    assert queue.expired(49.0) == []
-    assert [found.item for found in queue.expired(50.0)] == ["waiting"]
+    queue.enqueue(waiting, 0.0)
+    assert queue.pop_expired(49.0) == []
+    assert [found.item for found in queue.pop_expired(50.0)] == ["waiting"]
     assert not queue.withdraw(waiting)
     queue.running -= 1
     assert started(queue) == []
@@ -125,12 +127,12 @@
 def test_lower_limit_stops_starts_until_enough_requests_finished():
     queue = ServerQueue(limit=2)
     for name in ("a", "b", "c"):
-        queue.offer(request(name), 0.0)
-    running = list(queue.startable(0.0))
+        queue.enqueue(request(name), 0.0)
+    running = list(queue.pop_startable(0.0))
     queue.limit = 1
-    queue.finished(running[0], 10.0)
+    queue.release_slot(running[0], 10.0)
     assert started(queue) == []
-    queue.finished(running[1], 10.0)
+    queue.release_slot(running[1], 10.0)
     assert started(queue) == ["c"]
 
 
@@ -138,16 +140,16 @@
     """In an overload of minutes, child calls take every slot, and thousands of root
     requests expire in the heap without ever reaching its top.
     """
-    queue = ServerQueue(limit=1, hold_ms=1.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=1.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     for number in range(1_000):
         now_ms = number * 10.0
-        queue.offer(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
-        queue.offer(request("call", inner=True, give_up_at_ms=1e9), now_ms)
+        queue.enqueue(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
+        queue.enqueue(request("call", inner=True, give_up_at_ms=1e9), now_ms)
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
-        queue.expired(now_ms)
+        queue.pop_expired(now_ms)
         assert len(queue._heap) < 60
 
 
@@ -172,16 +174,16 @@
                 priority=priority,
                 give_up_at_ms=now_ms + 200,
             )
-            if queue.offer(new, now_ms):
+            if queue.enqueue(new, now_ms):
                 waiting.append(new)
         elif step == "finish" and running:
-            queue.finished(running.pop(), now_ms)
+            queue.release_slot(running.pop(), now_ms)
         elif step == "withdraw" and waiting:
             queue.withdraw(waiting.pop())
         elif step == "expire":
-            late = queue.expired(now_ms)
+            late = queue.pop_expired(now_ms)
             waiting = [found for found in waiting if found not in late]
-        new_running = list(queue.startable(now_ms))
+        new_running = list(queue.pop_startable(now_ms))
         running += new_running
         waiting = [found for found in waiting if found not in new_running]
         assert queue.running == len(running) <= limit
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar.py
@@ -381,7 +381,7 @@
     first, second = fleet.nodes_of("archiv")
     ingress = fleet.nodes[2].sidecar
     first.sidecar._executor._is_leaving = lambda instance_id: True
-    first_load, second_load = (ingress._loads.of(n.ip) for n in (first, second))
+    first_load, second_load = (ingress._loads.load_of(n.ip) for n in (first, second))
     second_load.refuses_until_ms = float("inf")
     assert (await fleet.call(fleet.nodes[2])).status == 503
     assert first_load.refuses_until_ms > ingress._now_ms()
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from sassafraswinch_sidecar.backend_watch import INSTANCE_WORD_MS
 from sassafraswinch_sidecar.placement import capacities_of
+from sassafraswinch_sidecar.server_monitor import REPORTED_INSTANCE_LIFE_MS
 from sidecar_standins.backend import serve_as
 from sidecar_standins.fleet import INSTANCE, running_fleet, until
 
@@ -91,7 +91,7 @@
     await until(
         lambda: [i.id for i in node_fleet.of_service("schvaleni")] == ["i-second"]
     )
-    node.sidecar._executor._watch._told_ms -= INSTANCE_WORD_MS
+    node.sidecar._executor._watch._reported_ms -= REPORTED_INSTANCE_LIFE_MS
     got = await fleet.call(fleet.nodes[0], target="/approve/1", request_id="r-2")
     assert got.status == 200
     expected = node.backend.seen[-1].headers[b"x-expected-instance"]
@@ -109,7 +109,7 @@
     await until(lambda: node.sidecar._data.revision == fleet.store.revision)
     assert [i.id for i in node_fleet.of_service("schvaleni")] == ["i-second"]
     # Counting the slots twice would admit twice the server's capacity.
-    slots = capacities_of(node_fleet.serving(), node.sidecar._loads.of)[
+    slots = capacities_of(node_fleet.serving(), node.sidecar._loads.load_of)[
         "schvaleni"
     ].slots
     assert slots == node.sidecar._executor.load().limit
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -7,14 +7,14 @@
 from sassafraswinch_node.frames import LENGTH_BYTES
 from sassafraswinch_sidecar.message_codec import parse_message, serialize_message
 from sassafraswinch_sidecar.suspect_exchange import (
-    LONGEST_AGE_MS,
+    MAX_WIRE_AGE_MS,
     SuspectExchange,
-    parse_news,
-    serialize_news,
+    parse_suspect_reports,
+    serialize_suspect_reports,
 )
 
 BAD = (b"b" * 16,)
-AGES = st.integers(0, LONGEST_AGE_MS)
+AGES = st.integers(0, MAX_WIRE_AGE_MS)
 
 
 class Link:
@@ -47,8 +47,8 @@
     return SuspectExchange(
         suspects=suspects,
         now_ms=lambda: 1_000.0,
-        learnt_here=lambda: None,
-        told_here=lambda: changes.append(1),
+        on_local_change=lambda: None,
+        on_received_change=lambda: changes.append(1),
     )
 
 
@@ -65,27 +65,27 @@
     )
 )
 def test_reports_survive_serialization(reports):
-    payload = serialize_message(serialize_news(reports))[LENGTH_BYTES:]
-    assert parse_news(parse_message(payload)) == reports
+    payload = serialize_message(serialize_suspect_reports(reports))[LENGTH_BYTES:]
+    assert parse_suspect_reports(parse_message(payload)) == reports
 
 
 def test_only_changes_are_sent_to_a_link(exchange, suspects):
     link = Link()
     suspects.ended(BAD, "i-1", 900.0)
-    exchange.tell(link)
-    exchange.tell(link)
+    exchange.send_changes(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 1
     suspects.ended(BAD, "i-2", 950.0)
-    exchange.tell(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 2
 
 
 def test_changes_that_could_not_be_sent_are_sent_later(exchange, suspects):
     link = Link(is_open=False)
     suspects.ended(BAD, "i-1", 900.0)
-    exchange.tell(link)
+    exchange.send_changes(link)
     link.is_open = True
-    exchange.tell(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 1
 
 
@@ -96,26 +96,26 @@
     link = Link(takes_suspects=False)
     for number in range(3):
         suspects.ended(BAD, f"i-{number}", 900.0)
-    exchange.greet(link)
-    exchange.tell(link)
+    exchange.send_restricted(link)
+    exchange.send_changes(link)
     assert not link.sent
 
 
 def test_new_link_is_sent_the_requests_that_must_not_run_freely(exchange, suspects):
     link = Link()
     suspects.ended((b"o" * 16,), "i-1", 900.0)
-    exchange.greet(link)
+    exchange.send_restricted(link)
     assert not link.sent
     for number in range(3):
         suspects.ended(BAD, f"i-{number}", 900.0)
-    exchange.greet(link)
+    exchange.send_restricted(link)
     (message,) = link.sent
     assert [suspect.digest for suspect in message.suspects] == list(BAD)
 
 
 def test_received_change_is_announced_once(exchange, suspects, changes):
     reports = [SuspectWord(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
-    exchange.take(serialize_news(reports))
-    exchange.take(serialize_news(reports))
+    exchange.merge_message(serialize_suspect_reports(reports))
+    exchange.merge_message(serialize_suspect_reports(reports))
     assert len(changes) == 1
     assert suspects.judge(BAD, 1_000.0).standing is Standing.HELD
