--- a/packages/sassafraswinch/sassafraswinch/crash_suspects.py
+++ b/packages/sassafraswinch/sassafraswinch/crash_suspects.py
@@ -1,14 +1,15 @@
-"""Which requests ended the backend servers that ran them, and what may still run.
+"""Crash suspects: requests that were running when backend servers crashed.
 
-Load pattern: one request ends the process of each server that begins to run it. Its
-caller sends it again, at any host and under new ids, a host repeats what was lost with
+Load pattern: one request crashes the process of each server that starts to run it. Its
+caller sends it again, to any host and under new ids, a host retries what was lost with
 a server, and within seconds all servers of a service are down together.
 
-What ran on a server when its process ended is a suspect. Ends are counted by request,
-each once, however often it is told; an answer since then clears the request. After one
-end it goes its usual way, for dozens of innocent requests were lost with it. After two
-it runs once at a time; after three it is held back, and tried now and then, since it
-may be innocent after all, or the servers mended.
+Each request that was running on a server when its process crashed is a suspect. Crashes
+are counted by request, each once, however often it is reported; a later answer clears
+the request. After one crash it runs without restriction, for dozens of innocent
+requests were lost with it. After two it runs one copy at a time; after three it is held
+back and given a trial run now and then, since it may be innocent after all, or the
+servers may have been mended.
 """
 
 import enum
@@ -20,63 +21,67 @@
 from sassafraswinch.request_digest import TAG_BYTES, Digests, path_tag
 
 ENDS_TO_RUN_ALONE = 2
-"""Ends after which a request runs once at a time, and beside no other such request:
-each copy would end one more server, and others would be lost with it once more."""
+"""Crashes after which a request runs one copy at a time, and beside no other such
+request: each copy would crash one more server, and innocent requests would be lost
+with it again."""
 
 ENDS_TO_HOLD = 3
-"""Ends after which a request is held back. Few innocent ones share three: whoever is
-lost with a server is repeated at another one, which has to end under it as well."""
+"""Crashes after which a request is held back. Few innocent requests share three: one
+that is lost with a server is retried at another, which has to crash under it as
+well."""
 
 FIRST_TRIAL_MS = 120_000.0
-"""Time after the last end until a request that is held back may run once. An innocent
-caller waits no longer. Hosts that all forgot, by a loss of power, let three more
-servers end before they know again; trials that came sooner would add to those."""
+"""Delay after the last crash until a request that is held back may run once, and so the
+longest wait of an innocent caller. After a power failure in which all hosts lose their
+state, three more servers crash before the request is held back again; a shorter delay
+would add the crashes of trials to those."""
 
 TRIAL_FACTOR = 5
-"""Factor on that time for each trial that ended a server: 2 minutes, 10, then the
-longest, so that a bad request which keeps coming ends two servers an hour."""
+"""Factor on the trial delay for each trial that crashed a server: 2 minutes, then 10,
+then the maximum, so that a bad request that keeps arriving crashes two servers an
+hour."""
 
 LONGEST_TRIAL_MS = 1_800_000.0
-"""Longest such time: mended servers serve a request again within half an hour."""
+"""Maximum trial delay: mended servers serve a request again within half an hour."""
 
 MEMORY_MS = 2 * LONGEST_TRIAL_MS
-"""Age at which an end is forgotten: well past the trial that follows it."""
+"""Age at which a crash expires: well past the trial that follows it."""
 
 CLEARED_MEMORY_MS = 60_000.0
-"""Time for which a cleared request is remembered: a host that was cut off may tell of
-the former ends after it."""
+"""Time for which a cleared request is kept: a host that was partitioned may still
+report the earlier crashes."""
 
 MAX_SUSPECTS = 2_048
-"""Requests that are remembered: about a megabyte, and twenty busy servers' worth."""
+"""Limit on stored suspects: about a megabyte, and the load of twenty busy servers."""
 
 KEPT_SHARE = 0.9
-"""Part that is kept when they are too many; dropping some at a time is cheaper."""
+"""Share that is kept when the limit is reached; evicting in batches is cheaper."""
 
 
 class Standing(enum.IntEnum):
-    """What a request may do; the later, the less."""
+    """Restriction on running a request, in order of strictness."""
 
     FREE = 0
-    """It goes its usual way."""
+    """No restriction."""
 
     ALONE = 1
-    """It may run where no copy of it runs, and no other request that may run alone."""
+    """May run only beside no copy of it and no other request with this restriction."""
 
     TRIAL = 2
-    """It was held back; one server of the fleet may run it once, alone."""
+    """Was held back; one server of the fleet may run it once, alone."""
 
     HELD = 3
-    """It must not run."""
+    """Must not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """What a request may do, and why.
+    """Restriction that applies to a request, and the reason for it.
 
     Attributes:
-        standing: what it may do.
-        digest: the digest that decided.
-        ends: servers that ended under it since it was answered last.
+        standing: restriction on running it.
+        digest: digest of the request to which the restriction applies.
+        ends: names of the crashes since the request was last answered.
         wait_ms: time until its next trial, if it is held back.
     """
 
@@ -91,11 +96,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectWord:
-    """What one host tells another of a suspect; ages pass between clocks.
+    """One suspect as a host reports it; times are sent as ages, as clocks differ.
 
     Attributes:
         digest: digest of the request.
-        end_ages_ms: age of each end by its name.
+        end_ages_ms: age of each crash by its name.
         answered_age_ms: age of the answer that cleared it; None without one.
     """
 
@@ -106,25 +111,26 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    ends: dict[str, float] = field(default_factory=dict)
+    crashes: dict[str, float] = field(default_factory=dict)
     answered_ms: float = -math.inf
     change: int = 0
 
     def counted(self) -> list[tuple[float, str]]:
-        """Return the ends since the last answer, by time."""
+        """Return the crashes since the last answer, by time."""
         return sorted(
             (at_ms, name)
-            for name, at_ms in self.ends.items()
+            for name, at_ms in self.crashes.items()
             if at_ms > self.answered_ms
         )
 
 
 class CrashSuspects:
-    """The suspects that a host knows of.
+    """Crash suspects known to one host.
 
-    A union of what all hosts tell: an end has one name, which the sidecar beside the
-    server gives it, so told twice, late or by several hosts it counts once. No host
-    decides for others, and two zones that were cut off agree once they have talked.
+    The state is the union of all reports: the sidecar beside the server names a crash,
+    so a crash that is reported twice, late or by several hosts counts once. No host
+    decides for others, and two partitioned zones agree once they have exchanged
+    reports.
     """
 
     def __init__(self):
@@ -139,91 +145,91 @@
     def may_know(self, target: bytes) -> bool:
         """Return whether a request for this path may be a suspect.
 
-        Nearly all aren't, and needn't be digested.
+        Nearly all requests are not, and need no digest.
         """
         return bool(self._tags) and path_tag(target) in self._tags
 
     def ended(self, digests: Digests, end: str, now_ms: float) -> bool:
-        """Note that a server's process ended while it ran a request.
+        """Record that a server process crashed while it ran a request.
 
         Args:
             digests: the request's digests.
-            end: name of the end, the same for all requests that ran there.
+            end: name of the crash, the same for all requests that ran there.
             now_ms: monotonic time.
 
         Returns:
-            Whether that is news.
+            Whether this changed the state.
         """
-        news = [self._add_end(digest, end, now_ms) for digest in digests]
-        return any(news)
+        changed = [self._add_crash(digest, end, now_ms) for digest in digests]
+        return any(changed)
 
     def answered(self, digests: Digests, now_ms: float) -> bool:
-        """Clear a request that a server has run to its end.
+        """Clear a request that a server has run to completion.
 
         Returns:
-            Whether that is news.
+            Whether this changed the state.
         """
-        news = [self._clear(digest, now_ms) for digest in digests]
-        return any(news)
+        changed = [self._clear(digest, now_ms) for digest in digests]
+        return any(changed)
 
     def judge(self, digests: Digests, now_ms: float) -> Judgement:
-        """Return what a request may do now."""
-        judgements = (self._judge(digest, now_ms) for digest in digests)
-        return max(judgements, key=lambda each: each.standing, default=UNSUSPECTED)
+        """Return the strictest restriction that now applies to any of the digests."""
+        decisions = (self._decide(digest, now_ms) for digest in digests)
+        return max(decisions, key=lambda each: each.standing, default=UNSUSPECTED)
 
     def restricted(self, now_ms: float) -> list[Judgement]:
-        """Return a judgement for each request that doesn't go its usual way."""
-        judgements = (self._judge(digest, now_ms) for digest in self._suspects)
-        return [each for each in judgements if each.standing is not Standing.FREE]
+        """Return a decision for each request that is restricted."""
+        decisions = (self._decide(digest, now_ms) for digest in self._suspects)
+        return [each for each in decisions if each.standing is not Standing.FREE]
 
     def held_back(self, now_ms: float) -> list[Judgement]:
-        """Return a judgement for each request that is held back, or on trial."""
+        """Return a decision for each request that is held back or due for a trial."""
         restricted = self.restricted(now_ms)
         return [each for each in restricted if each.standing >= Standing.TRIAL]
 
     def words(
         self, now_ms: float, *, after: int = 0, least_ends: int = 0
     ) -> list[SuspectWord]:
-        """Return what is known, for another host.
+        """Return the reports of suspects for another host.
 
         Args:
             now_ms: monotonic time.
-            after: number of the last change that the other one was told.
-            least_ends: leaves out suspects with fewer ends since their last answer.
+            after: number of the last change that was sent to the other host.
+            least_ends: leaves out suspects with fewer crashes since their last answer.
         """
         return [
-            _word(digest, suspect, now_ms)
+            _report(digest, suspect, now_ms)
             for digest, suspect in self._suspects.items()
             if suspect.change > after and len(suspect.counted()) >= least_ends
         ]
 
     def take(self, words: Iterable[SuspectWord], now_ms: float) -> bool:
-        """Take in what another host tells; return whether anything was news."""
-        news = [self._take(word, now_ms) for word in words]
-        return any(news)
+        """Merge the reports of another host; return whether the state changed."""
+        changed = [self._merge(report, now_ms) for report in words]
+        return any(changed)
 
     def forget(self, now_ms: float) -> None:
-        """Drop what is too old to matter."""
+        """Evict expired crashes and the suspects that no longer need any state."""
         for digest, suspect in list(self._suspects.items()):
-            suspect.ends = {
+            suspect.crashes = {
                 name: at_ms
-                for name, at_ms in suspect.ends.items()
+                for name, at_ms in suspect.crashes.items()
                 if now_ms - at_ms < MEMORY_MS
             }
             cleared = not suspect.counted()
             if cleared and now_ms - suspect.answered_ms >= CLEARED_MEMORY_MS:
                 del self._suspects[digest]
-        self._note_tags()
+        self._rebuild_tags()
 
     def stood_still(self, stood_ms: float) -> None:
-        """Add time that passed unknown to the clock to all ages."""
+        """Add the length of a process pause that the clock missed to all ages."""
         for suspect in self._suspects.values():
             suspect.answered_ms -= stood_ms
-            suspect.ends = {
-                name: at_ms - stood_ms for name, at_ms in suspect.ends.items()
+            suspect.crashes = {
+                name: at_ms - stood_ms for name, at_ms in suspect.crashes.items()
             }
 
-    def _judge(self, digest: bytes, now_ms: float) -> Judgement:
+    def _decide(self, digest: bytes, now_ms: float) -> Judgement:
         suspect = self._suspects.get(digest)
         counted = suspect.counted() if suspect else []
         if len(counted) < ENDS_TO_RUN_ALONE:
@@ -233,21 +239,21 @@
             return Judgement(Standing.ALONE, digest, names)
         times_ms = [at_ms for at_ms, _ in counted]
         wait_ms = times_ms[-1] + trial_pause_ms(times_ms) - now_ms
-        standing = Standing.HELD if wait_ms > 0 else Standing.TRIAL
-        return Judgement(standing, digest, names, max(wait_ms, 0.0))
+        restriction = Standing.HELD if wait_ms > 0 else Standing.TRIAL
+        return Judgement(restriction, digest, names, max(wait_ms, 0.0))
 
-    def _add_end(self, digest: bytes, end: str, at_ms: float) -> bool:
+    def _add_crash(self, digest: bytes, crash: str, at_ms: float) -> bool:
         suspect = self._suspects.get(digest)
         if suspect is None:
             self._make_room()
             suspect = self._suspects[digest] = _Suspect()
             self._tags.add(digest[:TAG_BYTES])
-        known_ms = suspect.ends.get(end)
-        # The earliest word is the nearest to the end itself: each way adds to it.
-        suspect.ends[end] = at_ms if known_ms is None else min(known_ms, at_ms)
+        known_ms = suspect.crashes.get(crash)
+        # Each hop adds delay, so the earliest reported time is the most accurate.
+        suspect.crashes[crash] = at_ms if known_ms is None else min(known_ms, at_ms)
         if known_ms is not None:
             return False
-        self._note_change(suspect)
+        self._record_change(suspect)
         return True
 
     def _clear(self, digest: bytes, at_ms: float) -> bool:
@@ -258,66 +264,66 @@
         suspect.answered_ms = at_ms
         if not counted or counted[0][0] > at_ms:
             return False
-        self._note_change(suspect)
+        self._record_change(suspect)
         return True
 
-    def _take(self, word: SuspectWord, now_ms: float) -> bool:
-        ends = {
+    def _merge(self, report: SuspectWord, now_ms: float) -> bool:
+        crashes = {
             name: age_ms
-            for name, age_ms in word.end_ages_ms.items()
+            for name, age_ms in report.end_ages_ms.items()
             if 0 <= age_ms < MEMORY_MS
         }
         added = [
-            self._add_end(word.digest, name, now_ms - age_ms)
-            for name, age_ms in ends.items()
+            self._add_crash(report.digest, name, now_ms - age_ms)
+            for name, age_ms in crashes.items()
         ]
-        cleared = word.answered_age_ms is not None and self._clear(
-            word.digest, now_ms - max(word.answered_age_ms, 0.0)
+        cleared = report.answered_age_ms is not None and self._clear(
+            report.digest, now_ms - max(report.answered_age_ms, 0.0)
         )
         return any(added) or cleared
 
-    def _note_change(self, suspect: _Suspect) -> None:
+    def _record_change(self, suspect: _Suspect) -> None:
         suspect.change = self.last_change = next(self._changes)
 
     def _make_room(self) -> None:
-        """Drop the least suspected when there are too many, the oldest first.
+        """Evict the suspects with the fewest crashes, the oldest first, when full.
 
-        Failure: a caller sends thousands of different requests that end servers, or
-        servers end by the dozen. Without a bound that would take this host's memory.
+        Failure: a caller sends thousands of different requests that crash servers, or
+        servers crash by the dozen. Unbounded, that would exhaust this host's memory.
         """
         if len(self._suspects) < MAX_SUSPECTS:
             return
         kept = sorted(self._suspects.items(), key=_weight, reverse=True)
         self._suspects = dict(kept[: int(MAX_SUSPECTS * KEPT_SHARE)])
-        self._note_tags()
+        self._rebuild_tags()
 
-    def _note_tags(self) -> None:
+    def _rebuild_tags(self) -> None:
         self._tags = {digest[:TAG_BYTES] for digest in self._suspects}
 
 
 def trial_pause_ms(times_ms: list[float]) -> float:
-    """Return the time from a request's last end to its next trial.
+    """Return the delay from a request's last crash to its next trial.
 
-    Ends that come together count as one: they say no more of a request than that all
-    servers were lost at once, which an innocent one that many send would share.
+    Crashes close together count as one: they only show that all servers were lost at
+    once, which also happens to an innocent request that many callers send.
 
     Args:
-        times_ms: times of its ends, in order, at least as many as hold it back.
+        times_ms: times of its crashes, in order, at least as many as hold it back.
     """
     later = itertools.pairwise(times_ms[ENDS_TO_HOLD - 1 :])
     trials = sum(1 for before, after in later if after - before >= FIRST_TRIAL_MS / 2)
     return min(FIRST_TRIAL_MS * TRIAL_FACTOR**trials, LONGEST_TRIAL_MS)
 
 
-def _word(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectWord:
+def _report(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectWord:
     cleared = suspect.answered_ms > -math.inf
     return SuspectWord(
         digest=digest,
-        end_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.ends.items()},
+        end_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.crashes.items()},
         answered_age_ms=now_ms - suspect.answered_ms if cleared else None,
     )
 
 
 def _weight(item: tuple[bytes, _Suspect]) -> tuple[int, float]:
     counted = item[1].counted()
-    return len(counted), max(item[1].ends.values(), default=-math.inf)
+    return len(counted), max(item[1].crashes.values(), default=-math.inf)
--- a/packages/sassafraswinch/sassafraswinch/fitting_shares.py
+++ b/packages/sassafraswinch/sassafraswinch/fitting_shares.py
@@ -1,13 +1,14 @@
-"""How large a part of each kind of request several full services carry together.
+"""Shares of each kind of request that several saturated services admit together.
 
-Load pattern: two services are full at once. Worked out one by one, the requests that
-one of them blocks still count against the other, which then refuses work beside empty
-slots. Here a kind takes room at a service only for the part that all services admit.
+Load pattern: two services are full at once. Computed service by service, the requests
+that one of them blocks still count against the other, which then refuses requests
+although it has empty slots. Here a kind uses capacity at a service only for the share
+that all services admit.
 
-The more important go first. Among equals each arriving request is given the same part
-of what is scarce, until a service that its kind needs is full; the others go on. So the
-cheaper kinds are admitted more often, no kind is starved by an equal, and no room is
-left that anybody could use.
+The more important kinds go first. Among kinds of equal priority each arriving request
+is given the same part of the scarce capacity, until a service on which its kind depends
+is full; the others continue (progressive filling). So cheaper kinds are admitted more
+often, no kind is starved by an equal one, and no usable capacity is left over.
 """
 
 from collections.abc import Callable, Collection, Hashable, Mapping
@@ -19,18 +20,18 @@
 """Worth of a request, by its priority."""
 
 EPSILON = 1e-9
-"""Rounding error of room and shares that counts as none."""
+"""Capacities and shares up to this value are rounding errors and count as zero."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Claim:
-    """What one kind of request asks of all services.
+    """Demand of one kind of request on all services.
 
     Attributes:
-        kind: names it.
+        kind: name of the kind.
         priority: 0 is the most important.
-        rate_per_s: requests that arrive.
-        needs: room that one request takes for a second, by resource.
+        rate_per_s: arrival rate of its requests.
+        needs: cost of one request per second, as capacity used by resource.
     """
 
     kind: str
@@ -39,13 +40,13 @@
     needs: Mapping[Hashable, float]
 
     def wanted(self, resource: Hashable) -> float:
-        """Return the room that all its requests would take."""
+        """Return the capacity of a resource that all its requests would use."""
         return self.rate_per_s * self.needs.get(resource, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The part of a kind that is carried, from 0 to 1, and what it lacks for more."""
+    """Admitted share of a kind, from 0 to 1, and the resource that limits it."""
 
     share: float
     lacks: Hashable
@@ -56,40 +57,40 @@
     rooms: Mapping[Hashable, float],
     worth_of: Worth | None = None,
 ) -> dict[str, Fit]:
-    """Return the kinds that can't be carried in full.
+    """Return the admitted share of each kind that can't be served in full.
 
     Args:
-        claims: all kinds of request, one for each kind.
-        rooms: what the resources carry; one that isn't named has no bound.
+        claims: all kinds of request, one claim for each kind.
+        rooms: capacity by resource; a resource that is not listed is unbounded.
         worth_of: worth of a request by its priority; without it the more important
-            go first, however little room the others take.
+            kinds go first, however little capacity the others use.
     """
-    if all(_wanted(claims, each) < room for each, room in rooms.items()):
+    if all(_total_demand(claims, each) < room for each, room in rooms.items()):
         return {}
     left = dict(rooms)
-    fits: dict[str, Fit] = {}
+    allocations: dict[str, Fit] = {}
     for tier in _tiers(claims, rooms, worth_of):
-        fits |= _fill(tier, left)
-    return fits
+        allocations |= _fill(tier, left)
+    return allocations
 
 
 def _tiers(
     claims: Collection[Claim],
-    rooms: Mapping[Hashable, float],
+    capacities: Mapping[Hashable, float],
     worth_of: Worth | None,
 ) -> list[list[Claim]]:
     """Return the claims that are filled together, the first ones first.
 
-    Load pattern: a few large important trees fill a service that many small, less
-    important requests need. Each such tree takes the room of several of them. A less
-    important kind that is worth more for its room joins the tier above and gets the
-    same share: it is never refused less often than what is more important.
+    Load pattern: a few large important call trees fill a service on which many small,
+    less important requests depend. Each such call tree uses the capacity of several of
+    them. A less important kind that is worth more for its capacity joins the tier above
+    and gets the same share: a more important kind is never refused less often than it.
     """
     priorities = sorted({claim.priority for claim in claims})
     groups = [[c for c in claims if c.priority == each] for each in priorities]
     if worth_of is None:
         return groups
-    costs = _scarce_costs(claims, rooms)
+    costs = _scarce_costs(claims, capacities)
     tiers: list[list[Claim]] = []
     for group in groups:
         tier = [claim for claim in group if costs[claim.kind]]
@@ -106,9 +107,9 @@
     costs: Mapping[str, float],
     worth_of: Worth,
 ) -> bool:
-    """Return whether a tier is worth more for its room than the one above it.
+    """Return whether a tier is worth more for its capacity than the one above it.
 
-    Organisations of a higher priority keep their place.
+    Tiers of different organisation priorities are never joined.
     """
     if not tier or _organisation_priority(tier) != _organisation_priority(above):
         return False
@@ -125,46 +126,49 @@
     return worth / cost if cost else 0.0
 
 
-def _wanted(claims: Collection[Claim], resource: Hashable) -> float:
+def _total_demand(claims: Collection[Claim], resource: Hashable) -> float:
     return sum(claim.wanted(resource) for claim in claims)
 
 
 def _fill(claims: list[Claim], left: dict[Hashable, float]) -> dict[str, Fit]:
-    """Raise the shares of equals together, and take what they need off ``left``."""
-    fits: dict[str, Fit] = {}
+    """Raise the shares of the claims together, and deduct their usage from ``left``."""
+    allocations: dict[str, Fit] = {}
     shares = dict.fromkeys((claim.kind for claim in claims), 0.0)
-    speeds = _speeds(claims, left)
+    speeds = _growth_rates(claims, left)
     growing = claims
-    while growing := _carried(growing, left, shares, fits):
+    while growing := _unblocked(growing, left, shares, allocations):
         step = min((1.0 - shares[c.kind]) / speeds[c.kind] for c in growing)
-        takes = {
+        usage = {
             resource: sum(speeds[c.kind] * c.wanted(resource) for c in growing)
             for resource in left
         }
-        fitting = (left[resource] / take for resource, take in takes.items() if take)
+        fitting = (left[resource] / used for resource, used in usage.items() if used)
         step = min([step, *fitting])
-        for resource, take in takes.items():
-            left[resource] -= step * take
+        for resource, used in usage.items():
+            left[resource] -= step * used
         for claim in growing:
             shares[claim.kind] += step * speeds[claim.kind]
         growing = [c for c in growing if shares[c.kind] < 1.0 - EPSILON]
-    return fits
+    return allocations
 
 
 def _scarce_costs(
     claims: Collection[Claim], left: Mapping[Hashable, float]
 ) -> dict[str, float]:
-    """Return the part of a scarce resource that one request a second takes."""
+    """Return the largest share of a scarce resource that one request/s of a kind uses.
+
+    A resource is scarce if the claims demand more of it than is left.
+    """
     scarce = {
-        resource: max(room, EPSILON)
-        for resource, room in left.items()
-        if _wanted(claims, resource) > room
+        resource: max(capacity, EPSILON)
+        for resource, capacity in left.items()
+        if _total_demand(claims, resource) > capacity
     }
     return {
         claim.kind: max(
             (
-                claim.needs.get(resource, 0.0) / room
-                for resource, room in scarce.items()
+                claim.needs.get(resource, 0.0) / capacity
+                for resource, capacity in scarce.items()
             ),
             default=0.0,
         )
@@ -172,15 +176,15 @@
     }
 
 
-def _speeds(
+def _growth_rates(
     claims: Collection[Claim], left: Mapping[Hashable, float]
 ) -> dict[str, float]:
-    """Return how fast the share of each kind grows, the fastest by 1.
+    """Return the rate at which the share of each kind grows, 1 for the fastest.
 
-    Each request that arrives is given the same part of what is scarce, so a kind that
-    takes half of it is admitted twice as often. That serves more requests, and starves
-    no kind. Kinds of several priorities grow alike, so that none overtakes a more
-    important one.
+    Each arriving request is given the same part of the scarce capacity, so a kind that
+    costs half as much is admitted twice as often. That serves more requests and starves
+    no kind. In a tier of several priorities all kinds grow at the same rate, so that
+    none overtakes a more important one.
     """
     if len({claim.priority for claim in claims}) > 1:
         return dict.fromkeys((claim.kind for claim in claims), 1.0)
@@ -189,22 +193,22 @@
     return {kind: least / cost if cost else 1.0 for kind, cost in costs.items()}
 
 
-def _carried(
+def _unblocked(
     growing: list[Claim],
     left: Mapping[Hashable, float],
     shares: Mapping[str, float],
-    fits: dict[str, Fit],
+    allocations: dict[str, Fit],
 ) -> list[Claim]:
-    """Return the kinds that no full resource stops, and note the share of the others.
+    """Return the kinds that no full resource blocks; record the share of the others.
 
-    A kind of which nothing arrives is stopped as well: its next request must be.
+    A kind with no arrivals is blocked as well: its next request must be refused.
     """
-    full = [resource for resource, room in left.items() if room <= EPSILON]
-    going_on = []
+    full = [resource for resource, capacity in left.items() if capacity <= EPSILON]
+    unblocked = []
     for claim in growing:
-        lacks = [resource for resource in full if claim.needs.get(resource, 0.0)]
-        if lacks:
-            fits[claim.kind] = Fit(shares[claim.kind], lacks[0])
+        blocking = [resource for resource in full if claim.needs.get(resource, 0.0)]
+        if blocking:
+            allocations[claim.kind] = Fit(shares[claim.kind], blocking[0])
         else:
-            going_on.append(claim)
-    return going_on
+            unblocked.append(claim)
+    return unblocked
--- a/packages/sassafraswinch/sassafraswinch/latencies.py
+++ b/packages/sassafraswinch/sassafraswinch/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies in hdrhistogram: recording, sums, quantiles and their text form."""
+"""Latency histograms (hdrhistogram): recording, addition, quantiles and encoding."""
 
 import weakref
 from bisect import bisect_left
@@ -13,27 +13,27 @@
 """Latencies are counted in tenths of a millisecond."""
 
 LONGEST_LATENCY_MS = 60_000
-"""Longer latencies are recorded as this one."""
+"""Longer latencies are recorded as this value."""
 
 SIGNIFICANT_FIGURES = 2
-"""A quantile is off by less than 1% of itself."""
+"""Precision of the histogram: the error of a quantile is below 1%."""
 
 COUNTER_BYTES = 4
-"""Size of one counter; 2**32 calls in one slot can't be reached."""
+"""Size of one counter; 2**32 calls of one latency are out of reach."""
 
 LatencyCounts = dict[int, int]
-"""Counts of fresh latencies by units, in the steps of the histogram."""
+"""Counts of latencies by units, rounded down to the steps of the histogram."""
 
 _EXACT_BITS = 8
-"""Values of so many bits have a counter each, at ``SIGNIFICANT_FIGURES``."""
+"""Values up to this many bits have a counter each, at ``SIGNIFICANT_FIGURES``."""
 
 _LONGEST_UNITS = LONGEST_LATENCY_MS * UNITS_PER_MS
 
 
 def new_histogram() -> "HdrHistogram":
-    """Return an empty histogram of the one shape that all nodes use."""
-    # Imported for the first report: it takes a fiftieth of a second, and processes
-    # that only count start without it.
+    """Return an empty histogram with the range and precision that all nodes use."""
+    # Imported at the first report: the import takes a fiftieth of a second, and
+    # processes that only count latencies start without it.
     from hdrh.histogram import HdrHistogram
 
     return _without_cycle(
@@ -42,18 +42,18 @@
 
 
 def _without_cycle(histogram: "HdrHistogram") -> "HdrHistogram":
-    # Failure: histogram and encoder of the library hold each other, so a dropped one
-    # stays until a full garbage collection; shows as memory that grows by megabytes
-    # with every report. A weak reference holds, for the encoder isn't used without
-    # its histogram.
+    # Failure: the library's histogram and its encoder refer to each other, so a
+    # discarded histogram is only freed by a full garbage collection, and memory grows
+    # by megabytes with every report. A weak reference is safe, as the encoder isn't
+    # used without its histogram.
     histogram.encoder.histogram = weakref.proxy(histogram)
     return histogram
 
 
 def count_latency(counts: LatencyCounts, latency_ms: float) -> None:
-    """Count one latency, at a quarter of what the library's own recording costs.
+    """Count one latency, at a quarter of the cost of the library's recording.
 
-    The value is rounded down to the lowest one that shares its counter in the
+    The value is rounded down to the lowest value that has the same counter in the
     histogram, so that no precision is lost and ``counts`` stays small.
     """
     units = min(int(latency_ms * UNITS_PER_MS), _LONGEST_UNITS)
@@ -72,7 +72,7 @@
 
 
 def add_histograms(histograms: "Iterable[HdrHistogram]") -> "HdrHistogram":
-    """Return a new histogram that holds the counts of all given ones."""
+    """Return a new histogram with the summed counts of all given histograms."""
     total = new_histogram()
     for histogram in histograms:
         total.add(histogram)
@@ -82,17 +82,17 @@
 def quantiles_ms(
     histogram: "HdrHistogram", percents: tuple[float, ...]
 ) -> tuple[float, ...]:
-    """Return the latencies that the given percents of calls didn't exceed.
+    """Return the latencies that the given percentages of calls didn't exceed.
 
-    The library's own method walks the counters one call at a time, which takes
-    about six times as long; a report asks for hundreds of them.
+    The library's own method iterates over the counters one call at a time, which takes
+    about six times as long; a report contains hundreds of quantiles.
 
     Args:
         histogram: made by ``new_histogram``, or decoded.
-        percents: each from 0 to 100.
+        percents: percentages, each from 0 to 100.
 
     Returns:
-        Milliseconds, one for each percent; zeros for an empty histogram.
+        Milliseconds, one value for each percentage; zeros for an empty histogram.
     """
     if not histogram.total_count:
         return (0.0,) * len(percents)
@@ -113,24 +113,27 @@
 
 
 def parse_histogram(text: str) -> "HdrHistogram":
-    """Decode the compressed text form that other hdrhistogram tools write too.
+    """Decode the compressed text form, which other hdrhistogram tools write as well.
 
     Raises:
-        ValueError: the text isn't a histogram of the shape that nodes use.
+        ValueError: the text isn't a histogram with the range that nodes use.
     """
     from hdrh.histogram import HdrHistogram
 
     try:
         histogram = HdrHistogram.decode(text)
     except Exception as error:
-        # The library raises its own types as well as those of base64 and zlib.
-        raise ValueError(f"not a histogram: {error}") from error
+        # The library raises its own exceptions as well as those of base64 and zlib.
+        raise ValueError(f"invalid latency histogram: {error}") from error
     shape = new_histogram()
     if histogram.counts_len != shape.counts_len:
-        raise ValueError(f"{histogram.counts_len} counters, not {shape.counts_len}")
+        raise ValueError(
+            f"{histogram.counts_len} counters in the latency histogram, "
+            f"expected {shape.counts_len}"
+        )
     return _without_cycle(histogram)
 
 
 def serialize_histogram(histogram: "HdrHistogram") -> str:
-    """Encode a histogram as base64 text of the compressed V2 form."""
+    """Encode a histogram as base64 text of the compressed V2 format."""
     return histogram.encode().decode("ascii")
--- a/packages/sassafraswinch/sassafraswinch/organisation_rates.py
+++ b/packages/sassafraswinch/sassafraswinch/organisation_rates.py
@@ -1,11 +1,13 @@
-"""Bounds what each organisation may send over all hosts, with no shared state.
+"""Fleet-wide rate limits of organisations, enforced without shared state.
 
-Every host counts what it lets in, tells it with its periodic report, and is told the
-sums of all. From the sums it works out the part of an organisation's requests that all
-hosts may let in, so organisations of any size get their limit wherever they send.
+Each host counts the requests that it admits, includes the counts in its periodic report
+and receives the totals of all hosts. From the totals it computes the share of an
+organisation's requests that all hosts may admit, so an organisation of any size gets
+its limit at whichever hosts its requests arrive.
 
-Load patterns: an organisation sends many times its rate at all hosts at once; hosts
-that are cut off from each other are flooded on both sides; all hosts lose their memory.
+Load patterns: an organisation sends many times its rate to all hosts at once; hosts
+that are partitioned from each other are flooded on both sides; all hosts lose their
+state.
 """
 
 from collections import defaultdict, deque
@@ -16,67 +18,70 @@
 from sassafraswinch.organisations import Organisation, RateLimit
 
 BUCKET_MS = 250.0
-"""Grain of the counts."""
+"""Time span of one bucket of counts."""
 
-ASKED_MS = 1_000.0
-"""Time over which the arrivals of an organisation are measured."""
+ARRIVAL_WINDOW_MS = 1_000.0
+"""Time span over which the arrival rate of an organisation is measured."""
 
-MIN_ASKED_MS = 100.0
-"""The same for a host that has just started."""
+MIN_ARRIVAL_WINDOW_MS = 100.0
+"""Minimum of that time span, for a host that has just started."""
 
 CATCH_UP_S = 2.0
-"""Time in which what is left of the limit, or overdrawn, is made up for. It is several
-times longer than the sums take to cross the fleet, so that the rate doesn't swing."""
+"""Time in which unused or overdrawn allowance is compensated. It is several times
+longer than totals take to propagate through the fleet, so that the rate doesn't
+oscillate."""
 
-TOLERATED = 1.2
-"""Rate, as multiple of the limit, up to which all is let in. The rule leaves more room
-than that; whoever wavers about its limit would be refused by chance."""
+TOLERATED_RATE_FACTOR = 1.2
+"""Rate, as multiple of the limit, up to which every request is admitted. The rate rule
+leaves more slack than that; below it, an organisation whose rate varies around its
+limit would be refused at random."""
 
 BURST_SHARE = 0.7
-"""Part of the burst that is handed out in a window besides the rate."""
+"""Share of the burst that is available in a window on top of the rate."""
 
 SLACK_SHARE = 0.5
-"""Part of the slack that is handed out; the rest is for what hosts let in before they
-hear of each other."""
+"""Share of the slack that is available; the rest covers requests that hosts admit
+before they receive each other's counts."""
 
-NEAR_SHARE = 0.7
-"""Part of a limit below which an organisation needn't be told of: by the sums, all of
-its requests are let in."""
+NEAR_LIMIT_SHARE = 0.7
+"""Share of a limit below which an organisation's usage need not be reported: according
+to the totals, all of its requests are admitted."""
 
-UNTOLD_TOKENS = 3.0
-"""Requests that one host may let in at once beyond its part of a limit. Small
-organisations' requests are few and come at any host."""
+LOCAL_BURST_TOKENS = 3.0
+"""Requests that one host may admit at once beyond its share of a limit. Small
+organisations send few requests, to any of the hosts."""
 
-UNTOLD_EXCESS = 2.0
-"""Rate, as multiple of a host's part, beyond which it waits for the next sums."""
+LOCAL_RATE_FACTOR = 2.0
+"""Rate, as multiple of a host's share of the limit, above which the host refuses
+requests until it receives the next totals."""
 
 MIN_WAIT_SHARE = 0.1
-"""Least part of a window that a refused caller is told to wait."""
+"""Minimum wait of a refused caller, as share of a window."""
 
 
 class Use(NamedTuple):
-    """What was asked and let in of one organisation.
+    """Arrived and admitted requests of one organisation.
 
     Attributes:
-        asked_per_s: requests that arrived, of late.
-        spent: requests that were let in within the window.
+        asked_per_s: recent arrival rate of its requests.
+        spent: requests that were admitted within the window.
     """
 
     asked_per_s: float
     spent: int
 
 
-NOTHING = Use(0.0, 0)
+NO_USAGE = Use(0.0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetUse:
-    """What several hosts tell.
+    """Usage as reported by several hosts, added up.
 
     Attributes:
-        uses: by organisation.
-        hosts: how many hosts tell it.
-        unknown_ms: time of the window before these hosts started, added up.
+        uses: usage by organisation.
+        hosts: number of hosts that reported.
+        unknown_ms: parts of the window before these hosts started, added up.
     """
 
     uses: Mapping[str, Use] = field(default_factory=dict)
@@ -84,57 +89,57 @@
     unknown_ms: float = 0.0
 
 
-def sum_uses(told: Iterable[FleetUse]) -> FleetUse:
-    """Return the sum of what hosts, or zones, tell."""
+def sum_uses(reports: Iterable[FleetUse]) -> FleetUse:
+    """Return the total of the usage that hosts, or zones, reported."""
     asked_per_s: dict[str, float] = defaultdict(float)
     spent: dict[str, int] = defaultdict(int)
     hosts = 0
     unknown_ms = 0.0
-    for each in told:
+    for each in reports:
         hosts += each.hosts
         unknown_ms += each.unknown_ms
-        for name, (asked, let_in) in each.uses.items():
-            asked_per_s[name] += asked
-            spent[name] += let_in
-    uses = {name: Use(asked, spent[name]) for name, asked in asked_per_s.items()}
-    return FleetUse(uses, hosts, unknown_ms)
+        for name, (arrived, admitted) in each.uses.items():
+            asked_per_s[name] += arrived
+            spent[name] += admitted
+    usages = {name: Use(arrived, spent[name]) for name, arrived in asked_per_s.items()}
+    return FleetUse(usages, hosts, unknown_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RateRule:
-    """How the limits are measured.
+    """Rule by which rate limits are measured.
 
     Attributes:
-        window_ms: span over which requests are counted.
-        slack: requests of an organisation in a window that are free.
+        window_ms: time span over which requests are counted.
+        slack: requests of an organisation in a window that don't count.
     """
 
     window_ms: float
     slack: float
 
     def allowance(self, limit: RateLimit) -> float:
-        """Return the requests of all hosts in a window that are aimed at, at most."""
+        """Return the target for the requests of all hosts in a window."""
         window = limit.rate_per_s * self.window_ms / 1000
         return window + BURST_SHARE * limit.burst + SLACK_SHARE * self.slack
 
-    def is_near(self, limit: RateLimit, use: Use) -> bool:
-        """Return whether an organisation comes near its limit."""
+    def is_near(self, limit: RateLimit, usage: Use) -> bool:
+        """Return whether an organisation's usage is near its limit."""
         return (
-            use.asked_per_s >= NEAR_SHARE * limit.rate_per_s
-            or use.spent >= NEAR_SHARE * self.allowance(limit)
+            usage.asked_per_s >= NEAR_LIMIT_SHARE * limit.rate_per_s
+            or usage.spent >= NEAR_LIMIT_SHARE * self.allowance(limit)
         )
 
 
 @dataclass(frozen=True, slots=True)
 class RateDecision:
-    """Whether a request is within its organisation's limit, and why.
+    """Rate limit decision on one request, and the figures behind it.
 
     Attributes:
-        admitted: whether it is.
-        share: part of the organisation's requests that is let in.
-        asked_per_s: requests of the organisation at all hosts, as told.
-        spent: requests let in at all hosts within the window, as told.
-        part: part of the limit that the hosts in view share.
+        admitted: whether the request is within its organisation's limit.
+        share: share of the organisation's requests that is admitted.
+        asked_per_s: arrival rate of the organisation at all hosts, as last reported.
+        spent: requests admitted at all hosts within the window, as last reported.
+        part: share of the limit that belongs to the hosts that reported.
     """
 
     admitted: bool
@@ -146,51 +151,52 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    began_ms: float
-    asked: int = 0
+    started_ms: float
+    arrived: int = 0
     spent: float = 0.0
 
 
 @dataclass(slots=True)
 class _Counts:
-    """What one host counted of one organisation."""
+    """Counts of one organisation at one host."""
 
     credit: float
     tokens: float
-    filled_ms: float
+    refilled_ms: float
     limit: RateLimit
     spent: float = 0.0
     buckets: deque[_Bucket] = field(default_factory=deque)
-    reported: Use = NOTHING
+    reported: Use = NO_USAGE
 
     def current(self, window_ms: float, now_ms: float) -> _Bucket:
         buckets = self.buckets
         self.advance(window_ms, now_ms)
-        if not buckets or now_ms - buckets[-1].began_ms >= BUCKET_MS:
+        if not buckets or now_ms - buckets[-1].started_ms >= BUCKET_MS:
             buckets.append(_Bucket(now_ms))
         return buckets[-1]
 
     def advance(self, window_ms: float, now_ms: float) -> None:
-        """Drop the buckets of which most was before the window."""
+        """Evict the buckets that lie mostly before the window."""
         buckets = self.buckets
-        while buckets and now_ms - buckets[0].began_ms >= window_ms + BUCKET_MS / 2:
+        while buckets and now_ms - buckets[0].started_ms >= window_ms + BUCKET_MS / 2:
             self.spent -= buckets.popleft().spent
 
-    def use(self, now_ms: float, age_ms: float) -> Use:
-        asked = 0
-        since_ms = now_ms - ASKED_MS
+    def usage(self, now_ms: float, age_ms: float) -> Use:
+        arrived = 0
+        since_ms = now_ms - ARRIVAL_WINDOW_MS
         for bucket in reversed(self.buckets):
-            if bucket.began_ms <= since_ms:
+            if bucket.started_ms <= since_ms:
                 break
-            asked += bucket.asked
-        over_ms = min(ASKED_MS, max(MIN_ASKED_MS, age_ms))
-        return Use(asked * 1000 / over_ms, max(0, round(self.spent)))
+            arrived += bucket.arrived
+        over_ms = min(ARRIVAL_WINDOW_MS, max(MIN_ARRIVAL_WINDOW_MS, age_ms))
+        return Use(arrived * 1000 / over_ms, max(0, round(self.spent)))
 
-    def take_over(self, limit: RateLimit) -> None:
-        """Follow a changed limit.
+    def update_limit(self, limit: RateLimit) -> None:
+        """Apply a changed limit.
 
-        A limit that falls binds from now on: what was let in by the former one counts
-        as the same part of the new one, else all would be refused for a whole window.
+        A lower limit applies from now on: requests admitted under the previous limit
+        are scaled to the same share of the new one, else all requests would be refused
+        for a whole window.
         """
         if limit == self.limit:
             return
@@ -202,14 +208,15 @@
 
 
 class OrganisationRates:
-    """One host's part in bounding what organisations send.
+    """Rate limiter of organisations at one host.
 
     Args:
-        rule: how the limits are measured.
+        rule: rule by which the limits are measured.
         now_ms: monotonic time at which this host started.
-        most_hosts: returns how many hosts there may be at the most. Those that aren't
-            in view let in requests as well, so their part is left to them.
-        told: returns what all hosts in view tell; no hosts where nothing is told.
+        most_hosts: returns the maximum number of hosts. Hosts without a current report
+            admit requests as well, so their share of the limits is left to them.
+        told: returns the usage that all hosts last reported; its number of hosts is 0
+            if there are no reports.
         random: returns a number from 0 to 1.
     """
 
@@ -224,13 +231,13 @@
     ):
         self._rule = rule
         self._started_ms = now_ms
-        self._most_hosts = most_hosts
-        self._told = told
+        self._max_hosts = most_hosts
+        self._reported_usage = told
         self._random = random
         self._counts: dict[str, _Counts] = {}
 
     def ask(self, organisation: Organisation, now_ms: float) -> RateDecision | None:
-        """Count a request that arrived, and decide on it.
+        """Count an arrived request, and decide whether it is admitted.
 
         Returns:
             None for an organisation without a limit.
@@ -239,57 +246,72 @@
         if limit is None:
             return None
         counts = self._counts_of(organisation.name, limit, now_ms)
-        counts.current(self._rule.window_ms, now_ms).asked += 1
-        told = self._view(now_ms)
-        share, use, part = self._share(organisation.name, counts, told, now_ms)
-        self._fill(counts, use, now_ms)
+        counts.current(self._rule.window_ms, now_ms).arrived += 1
+        fleet = self._fleet_usage(now_ms)
+        share, usage, limit_share = self._share(
+            organisation.name, counts, fleet, now_ms
+        )
+        self._refill_tokens(counts, usage, now_ms)
         counts.credit += share
         admitted = counts.credit >= 1.0 and counts.tokens >= 1.0
         counts.credit = min(counts.credit, 1.0)
         if admitted:
             counts.credit -= 1.0
-        return RateDecision(admitted, share, use.asked_per_s, use.spent, part)
+        return RateDecision(
+            admitted, share, usage.asked_per_s, usage.spent, limit_share
+        )
 
     def look(
         self, organisation: Organisation, now_ms: float
     ) -> tuple[RateDecision, int]:
-        """Return what a request would meet now, and what this host let in lately."""
+        """Return the decision that a request would get now, without counting it.
+
+        Returns:
+            The decision, and the requests that this host admitted within the window.
+        """
         limit = organisation.limit
         counts = self._counts.get(organisation.name)
         if counts is None:
-            counts = _Counts(0.0, UNTOLD_TOKENS, now_ms, limit)
+            counts = _Counts(0.0, LOCAL_BURST_TOKENS, now_ms, limit)
         counts.advance(self._rule.window_ms, now_ms)
-        view = self._view(now_ms)
-        share, use, part = self._share(organisation.name, counts, view, now_ms)
-        seen = RateDecision(share > 0.0, share, use.asked_per_s, use.spent, part)
-        return seen, counts.use(now_ms, now_ms - self._started_ms).spent
+        fleet = self._fleet_usage(now_ms)
+        share, usage, limit_share = self._share(
+            organisation.name, counts, fleet, now_ms
+        )
+        decision = RateDecision(
+            share > 0.0, share, usage.asked_per_s, usage.spent, limit_share
+        )
+        return decision, counts.usage(now_ms, now_ms - self._started_ms).spent
 
     def spend(self, organisation: Organisation, now_ms: float) -> None:
         """Count a request that is sent to a backend server."""
         self._add(organisation, 1, now_ms)
 
     def give_back(self, organisation: Organisation, now_ms: float) -> None:
-        """Take back what was spent on a request that proved not to have run."""
+        """Undo ``spend`` for a request that turned out not to have run."""
         self._add(organisation, -1, now_ms)
 
     def wait_ms(self, decision: RateDecision) -> float:
-        """Return when a refused caller may come back: spread over what is overdrawn."""
+        """Return the time after which a refused caller may retry.
+
+        Retries are spread over the overdrawn share of the window.
+        """
         overdrawn = max(1.0 - decision.share, MIN_WAIT_SHARE)
         return self._rule.window_ms * overdrawn * (0.5 + 0.5 * self._random())
 
     def report(self, now_ms: float) -> FleetUse:
-        """Return what this host tells."""
+        """Return the usage at this host for its host report."""
         window_ms = self._rule.window_ms
         age_ms = now_ms - self._started_ms
-        uses = {}
+        usages = {}
         for name, counts in list(self._counts.items()):
             counts.advance(window_ms, now_ms)
-            use = counts.reported = counts.use(now_ms, age_ms)
-            if use.spent or use.asked_per_s:
-                uses[name] = use
+            usage = counts.reported = counts.usage(now_ms, age_ms)
+            if usage.spent or usage.asked_per_s:
+                usages[name] = usage
             elif not counts.buckets:
                 del self._counts[name]
-        return FleetUse(uses, 1, self._unknown_ms(now_ms))
+        return FleetUse(usages, 1, self._unknown_ms(now_ms))
 
     def _add(self, organisation: Organisation, sign: int, now_ms: float) -> None:
         if organisation.limit is None:
@@ -302,57 +324,64 @@
     def _counts_of(self, name: str, limit: RateLimit, now_ms: float) -> _Counts:
         counts = self._counts.get(name)
         if counts is None:
-            # Hosts that see few requests of an organisation would otherwise all
-            # refuse the first one, or all let it in.
+            # Starts at random: hosts that receive few requests of an organisation
+            # would otherwise all refuse the first one, or all admit it.
             counts = self._counts[name] = _Counts(
-                self._random(), UNTOLD_TOKENS, now_ms, limit
+                self._random(), LOCAL_BURST_TOKENS, now_ms, limit
             )
-        counts.take_over(limit)
+        counts.update_limit(limit)
         return counts
 
-    def _view(self, now_ms: float) -> FleetUse:
-        told = self._told(now_ms)
-        return told if told.hosts else FleetUse({}, 1, self._unknown_ms(now_ms))
+    def _fleet_usage(self, now_ms: float) -> FleetUse:
+        usage = self._reported_usage(now_ms)
+        return usage if usage.hosts else FleetUse({}, 1, self._unknown_ms(now_ms))
 
     def _unknown_ms(self, now_ms: float) -> float:
         return max(0.0, self._rule.window_ms - (now_ms - self._started_ms))
 
     def _share(
-        self, name: str, counts: _Counts, told: FleetUse, now_ms: float
+        self, name: str, counts: _Counts, fleet: FleetUse, now_ms: float
     ) -> tuple[float, Use, float]:
-        """Return the part to let in, what is known of its use, and of its limit."""
+        """Return the share to admit, the known usage, and the share of the limit."""
         limit = counts.limit
-        own = counts.use(now_ms, now_ms - self._started_ms)
-        use = told.uses.get(name, NOTHING)
-        use = Use(max(use.asked_per_s, own.asked_per_s), max(use.spent, own.spent))
-        most_hosts = max(self._most_hosts(), told.hosts, 1)
-        part = told.hosts / most_hosts
-        # What hosts let in before they started isn't known: as much as they may.
-        unknown = told.unknown_ms / self._rule.window_ms / most_hosts
+        own = counts.usage(now_ms, now_ms - self._started_ms)
+        usage = fleet.uses.get(name, NO_USAGE)
+        usage = Use(
+            max(usage.asked_per_s, own.asked_per_s), max(usage.spent, own.spent)
+        )
+        max_hosts = max(self._max_hosts(), fleet.hosts, 1)
+        limit_share = fleet.hosts / max_hosts
+        # Requests admitted before a host started are unknown; assumes the allowance.
+        unknown = fleet.unknown_ms / self._rule.window_ms / max_hosts
         allowance = self._rule.allowance(limit)
-        spent = use.spent + allowance * unknown
-        rate_per_s = limit.rate_per_s * part
+        spent = usage.spent + allowance * unknown
+        rate_per_s = limit.rate_per_s * limit_share
         if (
-            use.asked_per_s <= TOLERATED * rate_per_s
-            and spent <= TOLERATED * rate_per_s * self._rule.window_ms / 1000
+            usage.asked_per_s <= TOLERATED_RATE_FACTOR * rate_per_s
+            and spent
+            <= TOLERATED_RATE_FACTOR * rate_per_s * self._rule.window_ms / 1000
         ):
-            return 1.0, use, part
-        target_per_s = rate_per_s + (allowance * part - spent) / CATCH_UP_S
+            return 1.0, usage, limit_share
+        target_per_s = rate_per_s + (allowance * limit_share - spent) / CATCH_UP_S
         if target_per_s <= 0.0:
-            return 0.0, use, part
-        return min(1.0, target_per_s / max(use.asked_per_s, 1e-9)), use, part
+            return 0.0, usage, limit_share
+        return (
+            min(1.0, target_per_s / max(usage.asked_per_s, 1e-9)),
+            usage,
+            limit_share,
+        )
 
-    def _fill(self, counts: _Counts, use: Use, now_ms: float) -> None:
-        """Add the tokens of the time that passed.
+    def _refill_tokens(self, counts: _Counts, usage: Use, now_ms: float) -> None:
+        """Add the tokens of the elapsed time.
 
-        They bound what one host lets in between two sums, however much it is sent.
+        Tokens bound what one host admits between two totals, however much arrives.
         """
-        even = 1.0 / max(self._most_hosts(), 1)
+        even = 1.0 / max(self._max_hosts(), 1)
         reported = counts.reported.asked_per_s
-        known = use.asked_per_s
-        part = max(even, reported / known if known else 0.0)
+        known = usage.asked_per_s
+        host_share = max(even, reported / known if known else 0.0)
         limit = counts.limit
-        most = UNTOLD_TOKENS + part * limit.burst
-        gained = (now_ms - counts.filled_ms) / 1000 * limit.rate_per_s * part
-        counts.tokens = min(most, counts.tokens + UNTOLD_EXCESS * gained)
-        counts.filled_ms = now_ms
+        capacity = LOCAL_BURST_TOKENS + host_share * limit.burst
+        gained = (now_ms - counts.refilled_ms) / 1000 * limit.rate_per_s * host_share
+        counts.tokens = min(capacity, counts.tokens + LOCAL_RATE_FACTOR * gained)
+        counts.refilled_ms = now_ms
--- a/packages/sassafraswinch/sassafraswinch/organisations.py
+++ b/packages/sassafraswinch/sassafraswinch/organisations.py
@@ -1,19 +1,19 @@
-"""Organisations: whose key a request carries, and how much each may send."""
+"""Organisations that send requests: their API keys, priorities and rate limits."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 BEARER = "bearer"
-"""Authentication scheme of keys (RFC 6750); its case doesn't matter (RFC 9110)."""
+"""Authentication scheme of keys (RFC 6750); case-insensitive (RFC 9110)."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RateLimit:
-    """How much an organisation may send over all hosts together.
+    """Rate limit of an organisation, over all hosts together.
 
     Attributes:
-        rate_per_s: lasting rate; above 0.
-        burst: requests that may come on top at once.
+        rate_per_s: sustained rate; above 0.
+        burst: requests that may arrive at once on top of the rate.
     """
 
     rate_per_s: float
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Organisation:
-    """One organisation.
+    """An organisation that sends requests.
 
     Attributes:
-        name: what backend servers, logs and pages know it by.
-        priority: rank of its requests before that of their route; None for the
-            route's alone.
-        limit: bound on its requests; None for no bound.
+        name: its name in request headers for backend servers, logs and pages.
+        priority: its priority, which ranks before that of a request's route; None to
+            rank by the route's priority alone.
+        limit: rate limit on its requests; None for no limit.
     """
 
     name: str
@@ -38,24 +38,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrganisationKeys:
-    """An organisation and its keys, which no text of an error or a log shows."""
+    """An organisation and its API keys, which never appear in errors or logs."""
 
     organisation: Organisation
     api_keys: tuple[str, ...] = field(repr=False)
 
 
 class AmbiguousOrganisationError(ValueError):
-    """A name or a key stands for two organisations."""
+    """A name or an API key is used by two organisations."""
 
 
 class Organisations:
     """All organisations of one configuration.
 
     Args:
-        entries: the organisations with their keys.
+        entries: the organisations with their API keys.
 
     Raises:
-        AmbiguousOrganisationError: two share a name or a key.
+        AmbiguousOrganisationError: two organisations share a name or an API key.
     """
 
     def __init__(self, *, entries: Iterable[OrganisationKeys]):
@@ -65,26 +65,28 @@
             organisation = entry.organisation
             name = organisation.name
             if name in self.by_name:
-                raise AmbiguousOrganisationError(f"{name} is listed twice")
+                raise AmbiguousOrganisationError(
+                    f"{name} is the name of two organisations"
+                )
             self.by_name[name] = organisation
             for key in entry.api_keys:
                 holder = self._by_key.setdefault(key, organisation)
                 if holder is not organisation:
                     raise AmbiguousOrganisationError(
-                        f"a key belongs to {holder.name} and to {name}"
+                        f"an API key is assigned to {holder.name} and to {name}"
                     )
 
     def find(self, key: str | None) -> Organisation | None:
-        """Return the organisation that holds a key."""
+        """Return the organisation with an API key; None if there is none."""
         return None if key is None else self._by_key.get(key)
 
 
 def parse_bearer_key(values: list[bytes]) -> str | None:
-    """Return the key of a request's ``Authorization`` fields.
+    """Return the bearer key of a request's ``Authorization`` fields.
 
     Args:
-        values: the value of each such field. Several of them leave open who sends
-            the request, so there is no key then.
+        values: the value of each such field. With several fields the sender is
+            ambiguous, so there is no key.
     """
     if len(values) != 1:
         return None
--- a/packages/sassafraswinch/sassafraswinch/ranks.py
+++ b/packages/sassafraswinch/sassafraswinch/ranks.py
@@ -1,19 +1,20 @@
-"""Ranks of requests: the priority of the organisation first, then that of the route.
+"""Ranks of requests: by the priority of the organisation, then by that of the route.
 
-Load pattern: a lasting overload. Within an organisation's priority the routes keep
-their order, so an organisation that goes first does not put its lookups level with its
-approvals, and organisations of one priority are equals.
+Load pattern: a sustained overload. Within an organisation priority the routes keep
+their order, so the lookups of a high-priority organisation still rank below its
+approvals, and organisations of equal priority are treated alike.
 """
 
 ROUTE_PRIORITIES = 16
-"""Priorities of routes that are told apart within one of organisations."""
+"""Number of distinct route priorities within one organisation priority."""
 
 
 def rank_of(organisation_priority: int | None, route_priority: int) -> int:
-    """Return the rank of a root request, 0 the first.
+    """Return the rank of a root request; 0 is the most important.
 
     Args:
-        organisation_priority: None where the organisation has none, or is unknown.
+        organisation_priority: priority of its organisation; None if the organisation
+            has none, or is unknown.
         route_priority: priority of its route.
     """
     if organisation_priority is None:
@@ -23,5 +24,5 @@
 
 
 def route_priority_of(rank: int) -> int:
-    """Return the priority of the route that a rank was made of."""
+    """Return the route priority that a rank contains."""
     return rank % ROUTE_PRIORITIES
--- a/packages/sassafraswinch/sassafraswinch/request_digest.py
+++ b/packages/sassafraswinch/sassafraswinch/request_digest.py
@@ -1,4 +1,4 @@
-"""Names of requests that stay the same when a caller sends them again."""
+"""Digests that identify a request by content, also when a caller sends it again."""
 
 import hashlib
 import zlib
@@ -7,31 +7,33 @@
 from typing import Protocol
 
 TAG_BYTES = 4
-"""Begin of a digest that the path alone decides, and that is worked out much faster."""
+"""Length of a digest's prefix, which depends on the path alone and is much faster to
+compute than the whole digest."""
 
 HASH_BYTES = 12
-"""The rest: long enough that nobody finds another request with a given digest."""
+"""Length of the rest: long enough to make it infeasible to construct another request
+with a given digest."""
 
 CALLER_FIELDS = frozenset({b"authorization"})
-"""Header fields, in lower case, that say who sends a request: two callers who ask for
-the same aren't taken for one."""
+"""Header fields, in lower case, that identify the sender, so that equal requests of two
+callers have different digests."""
 
-TEXT_BYTES = 8
-"""Bytes of a digest that logs show."""
+LOGGED_BYTES = 8
+"""Bytes of a digest that are written to logs."""
 
 Digests = tuple[bytes, ...]
-"""The digests of one request: with its query and, if it has one, without."""
+"""The digests of one request: with its query and, if it has one, also without."""
 
 
 class SentRequest(Protocol):
-    """What a caller sends, wherever a host holds it.
+    """A request as its caller sent it, in any representation.
 
     Attributes:
-        method: its method.
+        method: HTTP method.
         target: path and query.
         headers: header lines, each with its line end.
-        body: its body.
-        organisation: name of the organisation that sends it, whatever its key; or "".
+        body: request body.
+        organisation: name of the sending organisation, whichever key it used; or "".
     """
 
     method: str
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContent:
-    """A request that is nothing but what its caller sent (SentRequest)."""
+    """A plain ``SentRequest``: the request as its caller sent it."""
 
     method: str
     target: bytes
@@ -53,38 +55,38 @@
 
 
 def digest_request(request: SentRequest) -> Digests:
-    """Return the digests of a request, which tell nothing of its content.
+    """Return the digests of a request, which don't reveal its content.
 
-    What is left out differs each time that a request is sent again: its id, its time
-    limit, and the host at which it arrives. A caller may send a query anew as well
-    (a page, a time), so the request without it has a digest of its own.
+    They leave out what differs each time a request is sent: its id, its deadline and
+    the host at which it arrives. A caller may also change the query (a page, a time),
+    so the request without its query has a digest of its own.
     """
     hasher = hashlib.blake2b(digest_size=HASH_BYTES)
     sender = sorted(_sender_lines(request.headers))
-    # Without organisations it is the digest that earlier releases make.
+    # Without an organisation the digest equals that of earlier releases.
     if request.organisation:
         sender.append(b"organisation:" + request.organisation.encode())
     for part in (request.method.encode("latin-1"), *sender, request.body):
-        _add(hasher, part)
+        _add_part(hasher, part)
     path, mark, _ = request.target.partition(b"?")
     targets = (request.target, path) if mark else (path,)
     tag = path_tag(path)
-    return tuple(tag + _finished(hasher, target) for target in targets)
+    return tuple(tag + _digest_with(hasher, target) for target in targets)
 
 
 def path_tag(target: bytes) -> bytes:
-    """Return the begin of the digests of all requests for a target's path."""
+    """Return the digest prefix of all requests for the path of a target."""
     path = target.partition(b"?")[0]
     return zlib.crc32(path).to_bytes(TAG_BYTES, "big")
 
 
 def digest_text(digest: bytes) -> str:
-    """Return a digest as logs show it."""
-    return digest[:TEXT_BYTES].hex()
+    """Return the hexadecimal form of a digest for logs."""
+    return digest[:LOGGED_BYTES].hex()
 
 
 def _sender_lines(headers: bytes) -> Collection[bytes]:
-    """Return the lines that name the host asked for, and who asks."""
+    """Return the header lines that name the requested host and the sender."""
     lines = (line.partition(b":") for line in headers.split(b"\r\n") if line)
     return [
         b"%b:%b" % (name.lower(), value.strip())
@@ -93,13 +95,13 @@
     ]
 
 
-def _add(hasher: "hashlib.blake2b", part: bytes) -> None:
-    # With its length, so that no two lists of parts look alike.
+def _add_part(hasher: "hashlib.blake2b", part: bytes) -> None:
+    # The length prefix gives different lists of parts different digests.
     hasher.update(len(part).to_bytes(8, "big"))
     hasher.update(part)
 
 
-def _finished(hasher: "hashlib.blake2b", target: bytes) -> bytes:
-    finished = hasher.copy()
-    _add(finished, target)
-    return finished.digest()
+def _digest_with(hasher: "hashlib.blake2b", target: bytes) -> bytes:
+    copy = hasher.copy()
+    _add_part(copy, target)
+    return copy.digest()
--- a/packages/sassafraswinch/tests/test_organisation_rates.py
+++ b/packages/sassafraswinch/tests/test_organisation_rates.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sassafraswinch.organisation_rates import (
-    UNTOLD_TOKENS,
+    LOCAL_BURST_TOKENS,
     FleetUse,
     OrganisationRates,
     RateRule,
@@ -95,7 +95,7 @@
     """Guards against a flood at one host that the others haven't heard of yet."""
     host = Host()
     admitted = host.let_in(300, gap_ms=1.0) * 300
-    assert admitted <= UNTOLD_TOKENS + LIMIT.burst / HOSTS + 2
+    assert admitted <= LOCAL_BURST_TOKENS + LIMIT.burst / HOSTS + 2
 
 
 def test_what_did_not_run_comes_back():
