--- a/packages/sassafraswinch/tests/test_crash_suspects.py
+++ b/packages/sassafraswinch/tests/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are held back after servers ended, on hosts that talk."""
+"""Tests of crash suspects: restrictions, trials, and reports between hosts."""
 
 import itertools
 
@@ -22,11 +22,11 @@
 BAD = (b"t" * 16,)
 
 
-def standing(suspects, now_ms, digests=BAD):
+def restriction_of(suspects, now_ms, digests=BAD):
     return suspects.judge(digests, now_ms).standing
 
 
-def ended_at(*times_ms, digests=BAD):
+def crashed_at(*times_ms, digests=BAD):
     suspects = CrashSuspects()
     for number, at_ms in enumerate(times_ms):
         suspects.ended(digests, f"i-{number}", at_ms)
@@ -43,89 +43,89 @@
         (9, Standing.HELD),
     ],
 )
-def test_standing_falls_with_the_ends(ends, expected):
-    assert standing(ended_at(*range(ends)), 10.0) is expected
+def test_restriction_tightens_with_each_crash(ends, expected):
+    assert restriction_of(crashed_at(*range(ends)), 10.0) is expected
 
 
-def test_end_that_is_told_twice_counts_once():
-    """Two hosts tell of the same end of a server, one of them late. A lookup that was
-    lost with two servers must not be held back as if it had ended three.
+def test_crash_that_is_reported_twice_counts_once():
+    """Two hosts report the same crash, one of them late. A lookup that was lost with
+    two servers must not be held back as if it had crashed three.
     """
-    suspects = ended_at(0.0, 1.0)
+    suspects = crashed_at(0.0, 1.0)
     suspects.ended(BAD, "i-1", 500.0)
-    assert standing(suspects, 600.0) is Standing.ALONE
+    assert restriction_of(suspects, 600.0) is Standing.ALONE
 
 
 def test_request_that_was_answered_since_is_cleared():
-    """Many callers ask for the same page. It runs on each server that ends, and is
-    answered by the others all the time.
+    """Many callers request the same page, so it runs on each server that crashes, while
+    other servers keep answering it.
     """
-    suspects = ended_at(0.0, 1.0, 2.0)
+    suspects = crashed_at(0.0, 1.0, 2.0)
     assert suspects.answered(BAD, 3.0)
-    assert standing(suspects, 4.0) is Standing.FREE
+    assert restriction_of(suspects, 4.0) is Standing.FREE
     suspects.ended(BAD, "i-9", 5.0)
-    assert standing(suspects, 6.0) is Standing.FREE
+    assert restriction_of(suspects, 6.0) is Standing.FREE
 
 
-def test_end_after_the_answer_counts_though_it_is_told_later():
-    suspects = ended_at(0.0, 1.0)
+def test_crash_after_the_answer_counts_though_it_is_reported_later():
+    suspects = crashed_at(0.0, 1.0)
     suspects.answered(BAD, 2.0)
     suspects.take([SuspectWord(BAD[0], {"a": 5.0, "b": 6.0, "c": 7.0})], 10.0)
-    assert standing(suspects, 10.0) is Standing.HELD
+    assert restriction_of(suspects, 10.0) is Standing.HELD
 
 
-def test_trials_come_ever_later():
-    """A request that was held back wrongly is tried after two minutes. One that ends
-    the server again waits ten, then half an hour each.
+def test_trial_delay_grows_with_each_failed_trial():
+    """A request that was held back wrongly gets a trial after two minutes. One that
+    crashes the server again waits ten minutes, then half an hour each time.
     """
-    suspects = ended_at(0.0, 1.0, 2.0)
-    assert standing(suspects, FIRST_TRIAL_MS + 1) is Standing.HELD
+    suspects = crashed_at(0.0, 1.0, 2.0)
+    assert restriction_of(suspects, FIRST_TRIAL_MS + 1) is Standing.HELD
     at_ms = FIRST_TRIAL_MS + 2
-    assert standing(suspects, at_ms) is Standing.TRIAL
-    pauses_ms = []
+    assert restriction_of(suspects, at_ms) is Standing.TRIAL
+    delays_ms = []
     for number in range(3):
         suspects.ended(BAD, f"trial-{number}", at_ms)
-        pauses_ms.append(suspects.judge(BAD, at_ms).wait_ms)
-        at_ms += pauses_ms[-1]
-    assert pauses_ms == [5 * FIRST_TRIAL_MS, LONGEST_TRIAL_MS, LONGEST_TRIAL_MS]
+        delays_ms.append(suspects.judge(BAD, at_ms).wait_ms)
+        at_ms += delays_ms[-1]
+    assert delays_ms == [5 * FIRST_TRIAL_MS, LONGEST_TRIAL_MS, LONGEST_TRIAL_MS]
 
 
 def test_loss_of_all_servers_at_once_delays_the_trial_no_further():
-    """All servers of a service end together, and the page that everybody asks for ran
-    on each. It must not be held back for longer than a single one that ended three.
+    """All servers of a service crash together while each runs the same popular page. It
+    must not be held back for longer than a request that crashed three servers.
     """
-    suspects = ended_at(*[float(number) for number in range(12)])
-    assert standing(suspects, 12 + FIRST_TRIAL_MS) is Standing.TRIAL
+    suspects = crashed_at(*[float(number) for number in range(12)])
+    assert restriction_of(suspects, 12 + FIRST_TRIAL_MS) is Standing.TRIAL
 
 
-def test_one_digest_of_two_is_enough():
+def test_one_matching_digest_of_two_restricts_a_request():
     content = RequestContent("GET", b"/orders/1?page=1", b"Host: h\r\n", b"")
     other = RequestContent("GET", b"/orders/1?page=2", b"Host: h\r\n", b"")
-    suspects = ended_at(0.0, 1.0, 2.0, digests=digest_request(content))
+    suspects = crashed_at(0.0, 1.0, 2.0, digests=digest_request(content))
     assert suspects.may_know(other.target)
-    assert standing(suspects, 3.0, digest_request(other)) is Standing.HELD
+    assert restriction_of(suspects, 3.0, digest_request(other)) is Standing.HELD
 
 
-def test_other_path_is_not_even_digested():
+def test_request_for_another_path_needs_no_digest():
     content = RequestContent("GET", b"/orders/1", b"", b"")
-    suspects = ended_at(0.0, digests=digest_request(content))
+    suspects = crashed_at(0.0, digests=digest_request(content))
     assert not suspects.may_know(b"/orders/2")
 
 
-def test_bound_drops_the_least_suspected_first():
-    """A caller sends thousands of different requests that end servers."""
-    suspects = ended_at(0.0, 1.0, 2.0)
+def test_limit_evicts_the_suspects_with_the_fewest_crashes():
+    """A caller sends thousands of different requests that crash servers."""
+    suspects = crashed_at(0.0, 1.0, 2.0)
     for number in range(2 * MAX_SUSPECTS):
         suspects.ended((b"%16d" % number,), f"x-{number}", 10.0 + number)
     assert len(suspects) <= MAX_SUSPECTS
-    assert standing(suspects, 10.0) is Standing.HELD
+    assert restriction_of(suspects, 10.0) is Standing.HELD
 
 
-def test_old_ends_and_cleared_requests_are_forgotten():
-    suspects = ended_at(0.0)
+def test_old_crashes_and_cleared_requests_expire():
+    suspects = crashed_at(0.0)
     suspects.forget(MEMORY_MS)
     assert not len(suspects)
-    suspects = ended_at(0.0)
+    suspects = crashed_at(0.0)
     suspects.answered(BAD, 1.0)
     suspects.forget(CLEARED_MEMORY_MS)
     assert len(suspects) == 1
@@ -133,17 +133,17 @@
     assert not len(suspects)
 
 
-def test_words_are_told_once():
-    suspects = ended_at(0.0, 1.0)
-    told = suspects.last_change
-    assert not suspects.words(2.0, after=told)
+def test_reports_hold_only_changes_that_were_not_sent():
+    suspects = crashed_at(0.0, 1.0)
+    sent = suspects.last_change
+    assert not suspects.words(2.0, after=sent)
     suspects.ended(BAD, "i-9", 3.0)
-    (word,) = suspects.words(4.0, after=told)
-    assert word.end_ages_ms == {"i-0": 4.0, "i-1": 3.0, "i-9": 1.0}
+    (report,) = suspects.words(4.0, after=sent)
+    assert report.end_ages_ms == {"i-0": 4.0, "i-1": 3.0, "i-9": 1.0}
 
 
-def test_nothing_wrong_is_believed():
-    """A peer's clock jumped: ages below zero or of days say nothing."""
+def test_implausible_ages_are_ignored():
+    """A peer's clock jumped: ages below zero or of many days are not valid."""
     suspects = CrashSuspects()
     assert not suspects.take([SuspectWord(BAD[0], {"a": -5.0, "b": 1e12})], 10.0)
     assert not len(suspects)
@@ -152,31 +152,30 @@
 HOSTS = st.integers(0, 2)
 
 
-class TalkingHosts(RuleBasedStateMachine):
-    """Three hosts that tell each other late, twice, or not at all, and are reborn.
+class ReportingHosts(RuleBasedStateMachine):
+    """Three hosts whose reports arrive late, twice or not at all, and that restart.
 
-    The model knows every end and every answer; no host may count more ends than there
-    were since the last answer that it can know of, and after all have talked each
-    counts the same.
+    The model records every crash; no host may count a crash that did not happen, or one
+    twice, and after all hosts have exchanged reports each counts the same crashes.
     """
 
     def __init__(self):
         super().__init__()
         self.now_ms = 0.0
         self.hosts = [CrashSuspects() for _ in range(3)]
-        self.numbers = itertools.count()
-        self.ends: dict[str, float] = {}
-        self.on_the_way: list[tuple[float, list[SuspectWord]]] = []
+        self.crash_numbers = itertools.count()
+        self.crashes: dict[str, float] = {}
+        self.in_transit: list[tuple[float, list[SuspectWord]]] = []
 
     @rule(host=HOSTS)
-    def server_ends(self, host):
+    def server_crashes(self, host):
         self.now_ms += 1.0
-        name = f"i-{next(self.numbers)}"
-        self.ends[name] = self.now_ms
+        name = f"i-{next(self.crash_numbers)}"
+        self.crashes[name] = self.now_ms
         self.hosts[host].ended(BAD, name, self.now_ms)
 
     @rule(host=HOSTS)
-    def is_answered(self, host):
+    def request_is_answered(self, host):
         self.now_ms += 1.0
         self.hosts[host].answered(BAD, self.now_ms)
 
@@ -185,40 +184,40 @@
         self.now_ms += passes_ms
 
     @rule(host=HOSTS)
-    def sends(self, host):
-        self.on_the_way.append((self.now_ms, self.hosts[host].words(self.now_ms)))
+    def sends_report(self, host):
+        self.in_transit.append((self.now_ms, self.hosts[host].words(self.now_ms)))
 
     @rule(host=HOSTS, data=st.data())
-    def receives(self, host, data):
-        if self.on_the_way:
-            _, words = data.draw(st.sampled_from(self.on_the_way))
-            self.hosts[host].take(words, self.now_ms)
+    def receives_report(self, host, data):
+        if self.in_transit:
+            _, reports = data.draw(st.sampled_from(self.in_transit))
+            self.hosts[host].take(reports, self.now_ms)
 
     @rule(host=HOSTS)
-    def is_reborn(self, host):
+    def restarts(self, host):
         self.hosts[host] = CrashSuspects()
 
     @invariant()
-    def counts_each_end_once(self):
+    def counts_each_crash_once(self):
         for host in self.hosts:
-            judged = host.judge(BAD, self.now_ms)
-            assert len(judged.ends) <= len(self.ends)
-            assert set(judged.ends) <= set(self.ends)
-            assert (judged.standing >= Standing.TRIAL) == (
-                len(judged.ends) >= ENDS_TO_HOLD
+            decision = host.judge(BAD, self.now_ms)
+            assert len(decision.ends) <= len(self.crashes)
+            assert set(decision.ends) <= set(self.crashes)
+            assert (decision.standing >= Standing.TRIAL) == (
+                len(decision.ends) >= ENDS_TO_HOLD
             )
 
     @rule()
-    def all_talk(self):
-        for teller, hearer in itertools.permutations(self.hosts, 2):
-            hearer.take(teller.words(self.now_ms), self.now_ms)
-        for teller, hearer in itertools.permutations(self.hosts, 2):
-            hearer.take(teller.words(self.now_ms), self.now_ms)
-        judged = {host.judge(BAD, self.now_ms).ends for host in self.hosts}
-        assert len({frozenset(ends) for ends in judged}) == 1
+    def all_exchange_reports(self):
+        for sender, receiver in itertools.permutations(self.hosts, 2):
+            receiver.take(sender.words(self.now_ms), self.now_ms)
+        for sender, receiver in itertools.permutations(self.hosts, 2):
+            receiver.take(sender.words(self.now_ms), self.now_ms)
+        counted = {host.judge(BAD, self.now_ms).ends for host in self.hosts}
+        assert len({frozenset(ends) for ends in counted}) == 1
 
 
-TalkingHosts.TestCase.settings = settings(
+ReportingHosts.TestCase.settings = settings(
     derandomize=True, max_examples=60, stateful_step_count=30, deadline=None
 )
-test_hosts_that_talk_agree = TalkingHosts.TestCase
+test_hosts_agree_after_exchanging_reports = ReportingHosts.TestCase
--- a/packages/sassafraswinch/tests/test_latencies.py
+++ b/packages/sassafraswinch/tests/test_latencies.py
@@ -1,4 +1,4 @@
-"""Tests of latencies in hdrhistogram."""
+"""Tests of latency histograms."""
 
 import math
 
@@ -20,7 +20,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(latencies, st.sampled_from([1.0, 50.0, 90.0, 99.0, 100.0]))
-def test_quantile_is_within_a_hundredth_and_as_the_library_has_it(values, percent):
+def test_quantile_is_within_one_percent_and_equals_that_of_the_library(values, percent):
     counts = {}
     for value in values:
         count_latency(counts, value)
@@ -34,7 +34,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=30)
 @given(latencies)
-def test_counting_first_gives_the_histogram_of_recording_each(values):
+def test_counted_latencies_give_the_same_histogram_as_recording_each(values):
     counts, direct = {}, new_histogram()
     for value in values:
         count_latency(counts, value)
@@ -44,13 +44,13 @@
     assert list(parse_histogram(text).counts) == list(direct.counts)
 
 
-def test_empty_histogram_has_zero_quantiles_and_a_text():
+def test_empty_histogram_has_zero_quantiles_and_can_be_encoded():
     assert quantiles_ms(new_histogram(), (50.0, 99.0)) == (0.0, 0.0)
     text = serialize_histogram(new_histogram())
     assert parse_histogram(text).get_total_count() == 0
 
 
 @pytest.mark.parametrize("text", ["", "not base64!", "AAAA"])
-def test_what_is_no_histogram_is_refused(text):
+def test_text_that_is_no_histogram_raises_value_error(text):
     with pytest.raises(ValueError):
         parse_histogram(text)
--- a/packages/sassafraswinch/tests/test_organisation_rates.py
+++ b/packages/sassafraswinch/tests/test_organisation_rates.py
@@ -1,4 +1,4 @@
-"""One host's part in bounding what organisations send."""
+"""Tests of the rate limiter of organisations at one host."""
 
 import random
 
@@ -22,21 +22,21 @@
 
 
 class Host:
-    """A host that is told what a test chooses."""
+    """A host that receives the fleet usage that a test sets."""
 
-    def __init__(self, *, started_ms=0.0, **told):
-        self.told = FleetUse({"large": Use(**told)} if told else {}, HOSTS)
+    def __init__(self, *, started_ms=0.0, **usage):
+        self.reported = FleetUse({"large": Use(**usage)} if usage else {}, HOSTS)
         self.rates = OrganisationRates(
             rule=RULE,
             now_ms=started_ms,
             most_hosts=lambda: HOSTS,
-            told=lambda now_ms: self.told,
+            told=lambda now_ms: self.reported,
             random=random.Random(1).random,
         )
         self.now_ms = START_MS
 
-    def let_in(self, count, *, gap_ms=500.0, organisation=LARGE):
-        """Return the part of so many requests that is let in."""
+    def admitted_share(self, count, *, gap_ms=500.0, organisation=LARGE):
+        """Return the share of ``count`` requests that is admitted."""
         admitted = 0
         for _ in range(count):
             self.now_ms += gap_ms
@@ -51,54 +51,54 @@
     assert Host().rates.ask(Organisation(name="free"), START_MS) is None
 
 
-def test_all_is_let_in_below_the_limit():
-    assert Host(asked_per_s=60.0, spent=300).let_in(200) == 1.0
+def test_all_requests_are_admitted_below_the_limit():
+    assert Host(asked_per_s=60.0, spent=300).admitted_share(200) == 1.0
 
 
-def test_all_is_let_in_of_an_organisation_that_isnt_told_of():
-    assert Host().let_in(200) == 1.0
+def test_all_requests_of_an_unreported_organisation_are_admitted():
+    assert Host().admitted_share(200) == 1.0
 
 
-def test_a_flood_is_let_in_by_the_part_that_its_limit_is():
-    share = Host(asked_per_s=500.0, spent=570).let_in(400)
+def test_flood_is_admitted_in_proportion_to_its_limit():
+    share = Host(asked_per_s=500.0, spent=570).admitted_share(400)
     assert share == pytest.approx(0.2, abs=0.05)
 
 
-def test_nothing_is_let_in_far_beyond_the_limit():
-    assert Host(asked_per_s=500.0, spent=1_200).let_in(50) == 0.0
+def test_no_request_is_admitted_far_beyond_the_limit():
+    assert Host(asked_per_s=500.0, spent=1_200).admitted_share(50) == 0.0
 
 
-def test_hosts_that_arent_in_view_keep_their_part():
-    """Guards against two halves of a cut fleet that each use the whole limit."""
+def test_hosts_without_a_report_keep_their_share():
+    """Guards against two halves of a partitioned fleet that each use the full limit."""
     host = Host(asked_per_s=500.0, spent=285)
-    host.told = FleetUse(host.told.uses, HOSTS // 2)
+    host.reported = FleetUse(host.reported.uses, HOSTS // 2)
     decision = host.rates.ask(LARGE, START_MS)
     assert decision.part == 0.5
     assert decision.share == pytest.approx(0.1, abs=0.03)
 
 
-def test_a_host_that_hears_nobody_has_its_even_part():
+def test_isolated_host_has_an_even_share():
     host = Host()
-    host.told = FleetUse()
-    share = host.let_in(200, gap_ms=25.0)
+    host.reported = FleetUse()
+    share = host.admitted_share(200, gap_ms=25.0)
     assert share == pytest.approx(100.0 / HOSTS / 40.0, abs=0.03)
 
 
 def test_the_window_before_all_hosts_started_counts_as_spent():
-    """Guards against a burst that is handed out anew after all hosts were killed."""
+    """Guards against a second burst after all hosts were killed and restarted."""
     host = Host(asked_per_s=500.0, spent=0)
-    host.told = FleetUse(host.told.uses, HOSTS, HOSTS * RULE.window_ms)
+    host.reported = FleetUse(host.reported.uses, HOSTS, HOSTS * RULE.window_ms)
     assert host.rates.ask(LARGE, START_MS).share == pytest.approx(0.2, abs=0.01)
 
 
-def test_a_host_lets_in_little_more_than_its_part_before_it_is_told():
-    """Guards against a flood at one host that the others haven't heard of yet."""
+def test_host_admits_little_more_than_its_share_before_it_receives_totals():
+    """Guards against a flood at one host that isn't in the totals yet."""
     host = Host()
-    admitted = host.let_in(300, gap_ms=1.0) * 300
+    admitted = host.admitted_share(300, gap_ms=1.0) * 300
     assert admitted <= LOCAL_BURST_TOKENS + LIMIT.burst / HOSTS + 2
 
 
-def test_what_did_not_run_comes_back():
+def test_requests_that_did_not_run_are_given_back():
     host = Host()
     host.rates.spend(LARGE, START_MS)
     assert host.rates.report(START_MS).uses["large"].spent == 1
@@ -106,7 +106,7 @@
     assert host.rates.report(START_MS).uses == {}
 
 
-def test_counts_leave_with_their_window():
+def test_counts_expire_with_their_window():
     host = Host()
     host.rates.ask(LARGE, START_MS)
     host.rates.spend(LARGE, START_MS)
@@ -115,8 +115,8 @@
     assert not host.rates._counts
 
 
-def test_a_limit_that_falls_binds_from_now_on():
-    """Guards against refusing all for a window after a limit was cut to a tenth."""
+def test_lowered_limit_applies_from_now_on():
+    """Guards against refusing every request for a window after a limit fell to 10%."""
     host = Host()
     for _ in range(100):
         host.rates.spend(LARGE, START_MS)
@@ -125,7 +125,7 @@
     assert host.rates.report(START_MS).uses["large"].spent == 10
 
 
-def test_refused_callers_come_back_spread_over_what_is_overdrawn():
+def test_retries_of_refused_callers_are_spread_over_the_overdrawn_share():
     host = Host(asked_per_s=500.0, spent=570)
     decision = host.rates.ask(LARGE, START_MS)
     waits = [host.rates.wait_ms(decision) for _ in range(100)]
@@ -134,7 +134,7 @@
     assert len(set(waits)) == 100
 
 
-def test_sums_add_up_and_keep_their_hosts():
+def test_total_adds_usage_and_hosts():
     one = FleetUse({"a": Use(1.0, 2)}, 1, 100.0)
     other = FleetUse({"a": Use(2.0, 3), "b": Use(4.0, 5)}, 2, 50.0)
     total = FleetUse({"a": Use(3.0, 5), "b": Use(4.0, 5)}, 3, 150.0)
--- a/packages/sassafraswinch/tests/test_organisations.py
+++ b/packages/sassafraswinch/tests/test_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations and their keys."""
+"""Tests of organisations and their API keys."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return OrganisationKeys(organisation=Organisation(name=name), api_keys=keys)
 
 
-def test_a_key_leads_to_its_organisation():
+def test_key_identifies_its_organisation():
     organisations = Organisations(entries=[entry("a", "k1", "k2"), entry("b", "k3")])
     assert organisations.find("k2").name == "a"
     assert organisations.find("k3").name == "b"
@@ -23,7 +23,7 @@
     assert organisations.find(None) is None
 
 
-def test_an_organisation_may_have_no_key_left():
+def test_organisation_may_have_no_key():
     assert Organisations(entries=[entry("a")]).find("") is None
 
 
@@ -31,18 +31,18 @@
     "entries",
     [[entry("a", "k"), entry("b", "k")], [entry("a", "k"), entry("a", "l")]],
 )
-def test_names_and_keys_stand_for_one_organisation(entries):
+def test_shared_names_and_keys_are_refused(entries):
     with pytest.raises(AmbiguousOrganisationError) as caught:
         Organisations(entries=entries)
     assert "k" not in str(caught.value).replace("key", "").replace("listed twice", "")
 
 
-def test_ten_thousand_organisations_are_read():
+def test_ten_thousand_organisations_are_accepted():
     entries = [entry(f"o{n}", f"key-{n}") for n in range(10_000)]
     assert Organisations(entries=entries).find("key-9999").name == "o9999"
 
 
-def test_keys_do_not_show_in_texts():
+def test_keys_are_left_out_of_repr():
     assert "secret" not in repr(entry("a", "secret"))
 
 
@@ -60,5 +60,5 @@
         ([b"Bearer abc", b"Bearer abc"], None),
     ],
 )
-def test_the_key_of_a_request(values, key):
+def test_bearer_key_of_authorization_fields(values, key):
     assert parse_bearer_key(values) == key
--- a/packages/sassafraswinch/tests/test_ranks.py
+++ b/packages/sassafraswinch/tests/test_ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of requests."""
+"""Tests of request ranks."""
 
 from sassafraswinch.ranks import ROUTE_PRIORITIES, rank_of, route_priority_of
 
@@ -7,14 +7,14 @@
     assert [rank_of(None, priority) for priority in (0, 1, 2)] == [0, 1, 2]
 
 
-def test_an_organisations_priority_goes_before_its_routes():
+def test_organisation_priority_precedes_route_priority():
     assert rank_of(0, 2) < rank_of(1, 0)
 
 
-def test_routes_keep_their_order_within_an_organisations_priority():
+def test_routes_keep_their_order_within_an_organisation_priority():
     assert rank_of(1, 0) < rank_of(1, 1) < rank_of(1, 2)
     assert route_priority_of(rank_of(1, 2)) == 2
 
 
-def test_far_priorities_of_routes_stay_within_their_organisations():
+def test_large_route_priorities_stay_within_the_organisation_priority():
     assert rank_of(0, ROUTE_PRIORITIES + 5) < rank_of(1, 0)
--- a/packages/sassafraswinch/tests/test_request_digest.py
+++ b/packages/sassafraswinch/tests/test_request_digest.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same."""
+"""Tests of request digests: which requests have the same digest."""
 
 import pytest
 
@@ -21,9 +21,9 @@
     return digest_request(RequestContent(**REQUEST | changed))
 
 
-def test_request_sent_again_at_another_host_is_the_same():
-    """A caller sends a request again: its id, its time limit, the service beside which
-    it arrives and the order of its fields are others, and it is still the same request.
+def test_request_sent_again_to_another_host_has_the_same_digests():
+    """A caller sends a request again: its id, its deadline, the service whose host
+    receives it and the order of its header fields differ, but not its digests.
     """
     again = (
         b"authorization:  Bearer k1\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 9\r\n"
@@ -44,7 +44,7 @@
         {"headers": b"Host: shop.example\r\n"},
     ],
 )
-def test_another_request_or_caller_has_other_digests(changed):
+def test_different_request_or_caller_has_different_digests(changed):
     assert not set(digests(**changed)) & set(digests())
 
 
@@ -57,12 +57,11 @@
     assert set(first) & set(second) == set(digests())
 
 
-def test_parts_cant_be_shifted_into_each_other():
-    """A caller moves bytes between path and body; the digests must not meet."""
+def test_bytes_moved_between_path_and_body_change_the_digests():
     assert digests(target=b"/orders/", body=b"1order") != digests()
 
 
-def test_text_shows_a_part():
+def test_text_is_a_prefix_of_the_digest():
     (digest,) = digests()
     assert digest.hex().startswith(digest_text(digest))
     assert len(digest_text(digest)) == 16
@@ -73,16 +72,16 @@
         assert digest.startswith(path_tag(b"/orders/1?page=2"))
 
 
-def test_without_organisations_releases_agree_on_a_digest():
-    """Guards against hosts of two releases that name one request differently."""
+def test_digest_without_organisation_stays_the_same_across_releases():
+    """Guards against hosts of two releases that compute different digests."""
     request = RequestContent(
         "GET", b"/orders/1", b"Host: a\r\nAuthorization: Bearer k\r\n", b"b"
     )
     assert digest_text(digest_request(request)[0]) == "df8919f1e64c969e"
 
 
-def test_a_replaced_key_of_an_organisation_is_the_same_caller():
-    """Guards against a crashing request that is forgotten when its key is replaced."""
+def test_replaced_api_key_of_an_organisation_keeps_the_digests():
+    """Guards against a suspect that loses its crashes when its API key is replaced."""
     without_key = REQUEST["headers"].partition(b"Authorization")[0]
     one = digests(headers=without_key, organisation="a")
     assert one == digests(headers=without_key, organisation="a")
