--- a/packages/sassafraswinch/sassafraswinch/class_hold.py
+++ b/packages/sassafraswinch/sassafraswinch/class_hold.py
@@ -1,23 +1,24 @@
-"""Keeps lower classes out for a while after a higher one was refused."""
+"""Temporary hold: closes lower classes for a while after a higher one was refused."""
 
 HOLD_MS = 250.0
 """Time for which classes below a refused one stay closed: two and a half intervals
-of the threshold, so that a passing gap doesn't open them; a quarter of the second
-in which everything has to be open again."""
+of the threshold, so that a brief gap doesn't reopen them; a quarter of the second
+within which all classes have to be open again."""
 
 
 class ClassHold:
-    """The classes that were refused for want of capacity a moment ago.
+    """Classes with calls that were recently refused for lack of capacity.
 
-    Without it, a slot that comes free just after a paying call was refused goes
-    to a trial call: paying refusals and trial answers within the same interval.
+    Without the hold, a slot that becomes free just after a paying call was refused goes
+    to a trial call, so paying calls are refused and trial calls answered within the
+    same interval.
     """
 
     def __init__(self):
         self._until_ms: dict[int, float] = {}
 
-    def refused(self, class_order: int, now_ms: float) -> None:
-        """Note that a call of this class was refused for want of capacity."""
+    def record_refusal(self, class_order: int, now_ms: float) -> None:
+        """Record that a call of this class was refused for lack of capacity."""
         self._until_ms[class_order] = now_ms + HOLD_MS
 
     def lowest_open(self, now_ms: float) -> int | None:
@@ -31,7 +32,7 @@
         }
         return min(self._until_ms, default=None)
 
-    def closes(self, class_order: int, now_ms: float) -> bool:
+    def is_closed(self, class_order: int, now_ms: float) -> bool:
         """Return whether a class is closed because a higher one was refused."""
         if not self._until_ms:
             return False
--- a/packages/sassafraswinch/sassafraswinch/gate.py
+++ b/packages/sassafraswinch/sassafraswinch/gate.py
@@ -1,4 +1,4 @@
-"""The gate before a backend server: which calls start, wait or are refused."""
+"""Admission gate of a backend server: starts, queues or refuses calls."""
 
 import enum
 from collections import deque
@@ -10,37 +10,37 @@
 from sassafraswinch.verdict import Reason
 
 Key = Hashable
-"""Names one call at one gate."""
+"""Identifies one call at one gate."""
 
 STATIC_SLOTS = 64
-"""Limit, in calls, of a ``StaticGate`` that was told no number of slots."""
+"""Concurrency limit, in calls, of a ``StaticGate`` without a number of slots."""
 
 STATIC_QUEUE_BOUND = 256
-"""Queued calls of a ``StaticGate``: a common listen backlog."""
+"""Maximum number of queued calls of a ``StaticGate``: a common listen backlog."""
 
 STATIC_RETRY_AFTER_MS = 1000
-"""What a ``StaticGate`` tells every refused call, as plain servers do."""
+"""Retry delay of a ``StaticGate`` for each refused call, as plain servers send it."""
 
 
 class BackendOutcome(enum.Enum):
-    """How a started call ended at the backend server."""
+    """Outcome of a started call at the backend server."""
 
     OK = "ok"
-    """A whole answer came, whatever its status."""
+    """A complete answer was received, whatever its status."""
 
     SHED = "shed"
-    """The backend server refused it in the documented form, and did not run it."""
+    """The backend server refused the call in the documented form; it did not run."""
 
     BROKEN = "broken"
-    """The connection failed or the answer was cut short."""
+    """The connection failed or the answer was truncated."""
 
     CANCELLED = "cancelled"
-    """This node gave up the call: its deadline passed or nobody waits for it."""
+    """The node cancelled the call: its deadline passed or its caller is gone."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """A call that the gate ended; it never started here and never will."""
+    """Refusal of a call, which did not start at this gate and never will."""
 
     key: Key
     reason: Reason
@@ -49,22 +49,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GateDecision:
-    """What to do now: start these calls, end those. The rest keeps waiting."""
+    """Calls to start and to refuse now; all other calls keep waiting."""
 
     start: tuple[Key, ...] = ()
     refused: tuple[Refusal, ...] = ()
 
 
-NOTHING = GateDecision()
-"""The decision that asks for nothing."""
+NO_ACTION = GateDecision()
+"""Decision that neither starts nor refuses a call."""
 
 
 class Gate(Protocol):
-    """Decides on the calls for one backend server.
+    """Admission control for the calls to one backend server.
 
-    Each offered key gets exactly one start or one refusal, unless it is
-    withdrawn before. The caller of the gate passes the time to each method;
-    it must not go back.
+    Each offered key is started or refused exactly once, unless it is withdrawn before.
+    The user of the gate passes the time to each method; it must not decrease.
     """
 
     def offer(
@@ -77,14 +76,14 @@
         deadline_at_ms: float,
         now_ms: float,
     ) -> GateDecision:
-        """Take a new call; the decision may also refuse calls that waited.
+        """Decide on a new call; the decision may also refuse waiting calls.
 
         Args:
-            key: names the call until it is finished, refused or withdrawn.
-            rank: claim of the call on capacity.
-            progress: calls that its root request has already finished.
+            key: identifies the call until it is finished, refused or withdrawn.
+            rank: priority of the call, as class and level.
+            progress: number of calls that its root request has already finished.
             operation: name of the operation, for its service time.
-            deadline_at_ms: time at which an answer loses its worth.
+            deadline_at_ms: time after which an answer is useless.
             now_ms: monotonic time.
         """
         ...
@@ -92,39 +91,39 @@
     def finished(
         self, *, key: Key, self_time_ms: float, outcome: BackendOutcome, now_ms: float
     ) -> GateDecision:
-        """Take back the slot of a started call.
+        """Free the slot of a started call.
 
         Args:
-            key: a key that was started.
+            key: key of a started call.
             self_time_ms: time at the backend server less that of child calls.
-            outcome: how the call ended.
+            outcome: outcome of the call.
             now_ms: monotonic time.
         """
         ...
 
     def withdraw(self, key: Key, now_ms: float) -> GateDecision:
-        """Drop a waiting call: it will not start. No effect on a started one."""
+        """Remove a waiting call, which will not start; no effect on a started one."""
         ...
 
     def tick(self, now_ms: float) -> GateDecision:
-        """Let time pass: call it every 10 to 100 ms, also when idle."""
+        """Apply time-based decisions; called every 10 to 100 ms, also when idle."""
         ...
 
     def load(self, now_ms: float) -> Load:
-        """Return what answers and heartbeats say of this backend server."""
+        """Return the load of the backend server for answers and heartbeats."""
         ...
 
     def leave(self) -> GateDecision:
-        """Refuse what waits and all that comes; what runs may finish."""
+        """Refuse all waiting and new calls; running calls may finish."""
         ...
 
     def set_slots(self, slots: int | None) -> None:
-        """Take a new hint of how many calls the backend server can run."""
+        """Set the hint on the number of calls that the backend server can run."""
         ...
 
 
 class OpenGate:
-    """Starts every call at once: no control, for comparison."""
+    """Gate without admission control, for comparison: starts every call at once."""
 
     def __init__(self):
         self._running: set[Key] = set()
@@ -140,7 +139,7 @@
         deadline_at_ms: float,
         now_ms: float,
     ) -> GateDecision:
-        """Start the call, unless the host is leaving."""
+        """Start the call, unless the gate is leaving."""
         if self._leaving:
             return refuse(key, Reason.LEAVING, 0)
         self._running.add(key)
@@ -149,33 +148,33 @@
     def finished(
         self, *, key: Key, self_time_ms: float, outcome: BackendOutcome, now_ms: float
     ) -> GateDecision:
-        """Forget the call."""
+        """Remove the call from the running ones."""
         self._running.discard(key)
-        return NOTHING
+        return NO_ACTION
 
     def withdraw(self, key: Key, now_ms: float) -> GateDecision:
-        """Nothing waits here."""
-        return NOTHING
+        """Do nothing, as no calls wait."""
+        return NO_ACTION
 
     def tick(self, now_ms: float) -> GateDecision:
-        """Nothing depends on time here."""
-        return NOTHING
+        """Do nothing, as no decision depends on time."""
+        return NO_ACTION
 
     def load(self, now_ms: float) -> Load:
-        """Return the calls in flight; there is no limit."""
+        """Return the number of calls in flight; there is no limit."""
         return Load(in_flight=len(self._running), leaving=self._leaving)
 
     def leave(self) -> GateDecision:
-        """Refuse all that comes."""
+        """Refuse all new calls."""
         self._leaving = True
-        return NOTHING
+        return NO_ACTION
 
     def set_slots(self, slots: int | None) -> None:
-        """The hint is of no use here."""
+        """Ignore the hint, as there is no limit."""
 
 
 class StaticGate:
-    """A fixed limit and a bounded queue in order of arrival, for comparison."""
+    """Gate with a fixed limit and a bounded FIFO queue, for comparison."""
 
     def __init__(
         self, *, slots: int | None = None, queue_bound: int = STATIC_QUEUE_BOUND
@@ -207,15 +206,15 @@
     def finished(
         self, *, key: Key, self_time_ms: float, outcome: BackendOutcome, now_ms: float
     ) -> GateDecision:
-        """Start the call that has waited longest."""
+        """Free the slot and start the call that has waited longest."""
         self._running.discard(key)
         return self.tick(now_ms)
 
     def withdraw(self, key: Key, now_ms: float) -> GateDecision:
-        """Drop the call if it waits."""
+        """Remove the call if it waits."""
         if key in self._queue:
             self._queue.remove(key)
-        return NOTHING
+        return NO_ACTION
 
     def tick(self, now_ms: float) -> GateDecision:
         """Start calls up to the limit."""
@@ -225,7 +224,7 @@
         return GateDecision(start=start)
 
     def load(self, now_ms: float) -> Load:
-        """Return the counts; there is no threshold."""
+        """Return the call counts and the limit; there is no threshold."""
         return Load(
             in_flight=len(self._running),
             queued=len(self._queue),
@@ -234,7 +233,7 @@
         )
 
     def leave(self) -> GateDecision:
-        """Refuse what waits and all that comes."""
+        """Refuse all waiting and new calls."""
         self._leaving = True
         refused = tuple(
             Refusal(key=key, reason=Reason.LEAVING, retry_after_ms=0)
@@ -244,11 +243,11 @@
         return GateDecision(refused=refused)
 
     def set_slots(self, slots: int | None) -> None:
-        """Make the hint the limit."""
+        """Set the limit to the hint."""
         self._limit = slots or STATIC_SLOTS
 
 
 def refuse(key: Key, reason: Reason, retry_after_ms: int) -> GateDecision:
-    """Return the decision that refuses one call."""
+    """Return a decision that refuses one call."""
     refusal = Refusal(key=key, reason=reason, retry_after_ms=retry_after_ms)
     return GateDecision(refused=(refusal,))
--- a/packages/sassafraswinch/sassafraswinch/levels.py
+++ b/packages/sassafraswinch/sassafraswinch/levels.py
@@ -1,4 +1,4 @@
-"""Thresholds on rank: what an overloaded node asks for, and what an entry learns."""
+"""Rank thresholds at the ingress: sheds calls that overloaded services would refuse."""
 
 import random
 from collections.abc import Iterable
@@ -10,85 +10,84 @@
 from sassafraswinch.retry_after import MIN_RETURNS_SHARE, ReturnSchedule
 
 REOPEN_MS = 1_000.0
-"""Time in which an entry opens from the strictest threshold to none, unless
-answers renew it: pressure that has passed is found out within it."""
+"""Time in which the ingress opens from the strictest threshold to none, unless answers
+renew it: the end of an overload is detected within this time."""
 
 STRICTER_GAIN = 0.4
-"""Weight of an answer whose threshold is stricter than the learnt one."""
+"""Weight of an answer whose threshold is stricter than the current estimate."""
 
 LAXER_GAIN = 0.1
-"""Weight of one that is laxer. A quarter of the hosts being strict thus moves the
-learnt threshold halfway to them."""
+"""Weight of an answer whose threshold is laxer. If a quarter of the hosts are strict,
+the estimate thus moves halfway to them."""
 
 MAX_OPERATIONS = 1024
-"""Operations whose needed services an entry remembers; the oldest goes first."""
+"""Operations whose required services are stored; the oldest is evicted first."""
 
 MAX_SERVICES = 128
-"""Services under pressure that an entry follows; twice the fifty designed for."""
+"""Overloaded services that are tracked; twice the design limit of fifty services."""
 
 
-def position(rank: Rank) -> float:
-    """Return a place on one axis of ranks: 1 for each class."""
+def rank_position(rank: Rank) -> float:
+    """Return the position of a rank on one axis, on which each class has length 1."""
     return rank.class_order + rank.level / LEVELS
 
 
-def rank_at(place: float) -> Rank:
-    """Return the greatest rank whose ``position`` is below ``place``."""
-    steps = max(ceil(place * LEVELS) - 1, 0)
+def rank_below(boundary: float) -> Rank:
+    """Return the greatest rank whose ``rank_position`` is below ``boundary``."""
+    steps = max(ceil(boundary * LEVELS) - 1, 0)
     return Rank(steps // LEVELS, steps % LEVELS)
 
 
 @dataclass(slots=True, kw_only=True)
-class _ServiceLevel:
-    """What an entry knows of one service that holds calls back."""
+class _ServiceState:
+    """Estimated threshold of one overloaded service."""
 
-    place: float
+    boundary: float
     updated_at_ms: float
     since_ms: float
     admitted: int = 0
     hold: ClassHold = field(default_factory=ClassHold)
     returns: ReturnSchedule = field(default_factory=ReturnSchedule)
 
-    def drift(self, classes: int, now_ms: float) -> None:
-        """Open with time, unless answers say otherwise."""
+    def reopen(self, classes: int, now_ms: float) -> None:
+        """Raise the boundary by the elapsed time, so that the service reopens."""
         elapsed_ms = max(0.0, now_ms - self.updated_at_ms)
-        drifted = self.place + classes * elapsed_ms / REOPEN_MS
-        self.place = min(drifted, float(classes))
+        reopened = self.boundary + classes * elapsed_ms / REOPEN_MS
+        self.boundary = min(reopened, float(classes))
         self.updated_at_ms = now_ms
 
-    def told(self, place: float) -> None:
-        """Move towards the place that an answer tells."""
-        gain = STRICTER_GAIN if place < self.place else LAXER_GAIN
-        self.place += gain * (place - self.place)
+    def apply_answer(self, boundary: float) -> None:
+        """Move towards the boundary that an answer reported."""
+        gain = STRICTER_GAIN if boundary < self.boundary else LAXER_GAIN
+        self.boundary += gain * (boundary - self.boundary)
 
     def refuses(self, rank: Rank, now_ms: float) -> bool:
-        """Return whether a call of this rank would be held back."""
-        if self.hold.closes(rank.class_order, now_ms):
+        """Return whether a call of this rank is held back; records a refusal."""
+        if self.hold.is_closed(rank.class_order, now_ms):
             return True
-        if position(rank) < self.place:
+        if rank_position(rank) < self.boundary:
             return False
-        self.hold.refused(rank.class_order, now_ms)
+        self.hold.record_refusal(rank.class_order, now_ms)
         return True
 
     def is_open(self, classes: int, now_ms: float) -> bool:
-        """Return whether nothing is held back any more."""
-        return self.place >= classes and self.hold.lowest_open(now_ms) is None
+        """Return whether no calls are held back any more."""
+        return self.boundary >= classes and self.hold.lowest_open(now_ms) is None
 
 
 class EntryShedder:
-    """Refuses at the entry what nodes below would refuse.
-
-    One place on the axis of ranks is kept for each service under pressure, and
-    for each operation the services that its calls were seen to need. So
-    operations that need the same service are held back by the same place: a
-    lower class is never let in to a service where a higher one is refused. The
-    place follows the thresholds on answers, and drifts open by itself: the few
-    calls that pass by the drift are the probes. Services that hold nothing back
-    take no memory.
+    """Refuses calls at the ingress that nodes further down the call tree would refuse.
+
+    It keeps one boundary on the axis of ranks for each overloaded service, and for each
+    operation the services that its calls were observed to need. So operations that need
+    the same service are held back by the same boundary: a lower class is never admitted
+    to a service where a higher one is refused. The boundary follows the thresholds on
+    answers, and opens with time: the few calls that pass as it opens serve as probes.
+    Services that hold no calls back use no memory.
     """
 
     def __init__(self):
-        self._services: dict[str, _ServiceLevel] = {}
+        self._services: dict[str, _ServiceState] = {}
         self._needed: dict[str, dict[str, None]] = {}
         self._classes = 1
 
@@ -100,49 +99,50 @@
         *,
         whole: bool,
     ) -> None:
-        """Take in the thresholds of one answer.
+        """Apply the thresholds of one answer.
 
         Args:
             operation: name of the operation that was answered.
-            thresholds: of the services under pressure that it met.
+            thresholds: thresholds of the overloaded services in its call tree.
             now_ms: monotonic time.
-            whole: whether the call went its whole way. Then the services that
-                it needs and that told no threshold admit all; a refused call
-                hasn't asked them.
+            whole: whether the call ran its complete call tree. Then the services that
+                it needs and that reported no threshold admit all calls; a refused call
+                has not reached them.
         """
-        met = dict(thresholds)
+        reported = dict(thresholds)
         needed = self._needed.get(operation, {})
         if whole:
-            for service in needed.keys() - met.keys():
-                self._told(service, inf, now_ms)
-        for service, rank in met.items():
-            self._need(operation, service)
-            self._told(service, position(rank) + 1 / LEVELS, now_ms)
+            for service in needed.keys() - reported.keys():
+                self._apply_boundary(service, inf, now_ms)
+        for service, rank in reported.items():
+            self._record_need(operation, service)
+            self._apply_boundary(service, rank_position(rank) + 1 / LEVELS, now_ms)
 
     def admits(self, operation: str, rank: Rank, now_ms: float) -> bool:
-        """Return whether a call of this rank may go on."""
+        """Return whether a call of this rank is admitted."""
         if rank.class_order >= self._classes:
             self._classes = rank.class_order + 1
-        held = self._held(operation, now_ms)
-        if any(level.refuses(rank, now_ms) for _, level in held):
+        overloaded = self._overloaded(operation, now_ms)
+        if any(state.refuses(rank, now_ms) for _, state in overloaded):
             return False
-        for service, level in held:
-            level.admitted += 1
-            if level.is_open(self._classes, now_ms):
+        for service, state in overloaded:
+            state.admitted += 1
+            if state.is_open(self._classes, now_ms):
                 del self._services[service]
         return True
 
     def sheds(self, operation: str, class_order: int, now_ms: float) -> bool:
-        """Return whether some calls of a class are held back now; changes nothing."""
+        """Return whether some calls of a class are held back; records no refusal."""
         return any(
-            level.place < class_order + 1 or level.hold.closes(class_order, now_ms)
-            for _, level in self._held(operation, now_ms)
+            state.boundary < class_order + 1
+            or state.hold.is_closed(class_order, now_ms)
+            for _, state in self._overloaded(operation, now_ms)
         )
 
     def retry_after_ms(
         self, operation: str, rank: Rank, now_ms: float, rng: random.Random
     ) -> int:
-        """Return when a call refused here may come back.
+        """Return the time after which a refused call may be retried.
 
         Args:
             operation: name of the operation.
@@ -150,28 +150,30 @@
             now_ms: monotonic time.
             rng: source of the jitter.
         """
-        levels = [level for _, level in self._held(operation, now_ms)]
-        if not levels:
+        states = [state for _, state in self._overloaded(operation, now_ms)]
+        if not states:
             return ReturnSchedule().next_ms(spare_per_s=inf, now_ms=now_ms, rng=rng)
-        level = min(levels, key=lambda level: level.place)
-        seconds = max(now_ms - level.since_ms, REOPEN_MS) / 1000
-        spare_per_s = level.admitted / seconds * MIN_RETURNS_SHARE
-        return level.returns.next_ms(spare_per_s=spare_per_s, now_ms=now_ms, rng=rng)
-
-    def _held(self, operation: str, now_ms: float) -> list[tuple[str, _ServiceLevel]]:
-        """Return the services under pressure that an operation needs, as of now."""
+        state = min(states, key=lambda state: state.boundary)
+        seconds = max(now_ms - state.since_ms, REOPEN_MS) / 1000
+        spare_per_s = state.admitted / seconds * MIN_RETURNS_SHARE
+        return state.returns.next_ms(spare_per_s=spare_per_s, now_ms=now_ms, rng=rng)
+
+    def _overloaded(
+        self, operation: str, now_ms: float
+    ) -> list[tuple[str, _ServiceState]]:
+        """Return the up-to-date states of the overloaded services of an operation."""
         if not self._services:
             return []
-        held = [
+        overloaded = [
             (service, self._services[service])
             for service in self._needed.get(operation, ())
             if service in self._services
         ]
-        for _, level in held:
-            level.drift(self._classes, now_ms)
-        return held
+        for _, state in overloaded:
+            state.reopen(self._classes, now_ms)
+        return overloaded
 
-    def _need(self, operation: str, service: str) -> None:
+    def _record_need(self, operation: str, service: str) -> None:
         needed = self._needed.get(operation)
         if needed is None:
             if len(self._needed) >= MAX_OPERATIONS:
@@ -180,13 +182,13 @@
         if len(needed) < MAX_SERVICES:
             needed[service] = None
 
-    def _told(self, service: str, place: float, now_ms: float) -> None:
-        level = self._services.get(service)
-        if level is None:
-            if place >= self._classes or len(self._services) >= MAX_SERVICES:
+    def _apply_boundary(self, service: str, boundary: float, now_ms: float) -> None:
+        state = self._services.get(service)
+        if state is None:
+            if boundary >= self._classes or len(self._services) >= MAX_SERVICES:
                 return
-            level = self._services[service] = _ServiceLevel(
-                place=float(self._classes), updated_at_ms=now_ms, since_ms=now_ms
+            state = self._services[service] = _ServiceState(
+                boundary=float(self._classes), updated_at_ms=now_ms, since_ms=now_ms
             )
-        level.drift(self._classes, now_ms)
-        level.told(min(place, float(self._classes)))
+        state.reopen(self._classes, now_ms)
+        state.apply_answer(min(boundary, float(self._classes)))
--- a/packages/sassafraswinch/sassafraswinch/regression.py
+++ b/packages/sassafraswinch/sassafraswinch/regression.py
@@ -1,19 +1,19 @@
-"""How the time of calls follows the calls in flight, for calls of the same period."""
+"""Regression of call time on the number of calls in flight, by period."""
 
 from math import inf, sqrt
 
 MIN_CALLS = 8
-"""Calls of a round below which it says nothing: three sums are fitted to them."""
+"""Minimum number of calls in a round that is used: three sums are fitted to them."""
 
-POOL_KEPT = 0.85
-"""Weight of earlier rounds at each new one; about seven rounds count."""
+POOL_DECAY = 0.85
+"""Decay of the weight of earlier rounds at each new round; about seven rounds count."""
 
 
 class Round:
     """Sums over the calls that *started* in one round.
 
-    Calls are taken by their start: of those that end in a period, the ones
-    that started early are the long ones, which looks like a trend.
+    Calls are grouped by their start: among the calls that end in a period, those that
+    started early are the long ones, which would look like a trend.
     """
 
     __slots__ = (
@@ -42,8 +42,8 @@
 
         Args:
             in_flight: calls in flight just after its start.
-            started_at_ms: when it started.
-            time_ms: how long it took.
+            started_at_ms: time at which it started.
+            time_ms: duration of the call.
         """
         if not self.count:
             self.origin_ms = started_at_ms
@@ -61,13 +61,12 @@
 
 
 class Elasticity:
-    """Growth of the time of calls against growth of the calls in flight.
+    """Elasticity of call time with respect to the calls in flight.
 
-    0: calls in flight don't slow each other; 1: a further call adds no
-    throughput. Calls are compared with others of the same round only, and the
-    start time is a second regressor: a server that becomes slower as a whole
-    while calls pile up would otherwise look like one that is slow *because*
-    calls pile up.
+    At 0, calls in flight don't slow each other down; at 1, a further call adds no
+    throughput. Calls are compared only with calls of the same round, and the start time
+    is a second regressor: otherwise a server that becomes slower as a whole while calls
+    accumulate would look like one that is slow *because* calls accumulate.
     """
 
     def __init__(self):
@@ -76,7 +75,7 @@
         self._residual = 0.0
         self._calls = 0.0
 
-    def take(self, sums: Round) -> None:
+    def add_round(self, sums: Round) -> None:
         """Add a round whose calls have ended."""
         k = sums.count
         if k < MIN_CALLS or sums.s <= 0:
@@ -91,13 +90,13 @@
         variance = nn / n_mean**2 - nt * nt / tt
         covariance = (sums.ns - sums.n * s_mean) / n_mean / s_mean - nt * st / tt
         residual = (sums.ss - sums.s * s_mean) / s_mean**2 - st * st / tt
-        self._variance = self._variance * POOL_KEPT + max(variance, 0.0)
-        self._covariance = self._covariance * POOL_KEPT + covariance
-        self._residual = self._residual * POOL_KEPT + max(residual, 0.0)
-        self._calls = self._calls * POOL_KEPT + k - 3
+        self._variance = self._variance * POOL_DECAY + max(variance, 0.0)
+        self._covariance = self._covariance * POOL_DECAY + covariance
+        self._residual = self._residual * POOL_DECAY + max(residual, 0.0)
+        self._calls = self._calls * POOL_DECAY + k - 3
 
     def estimate(self) -> tuple[float, float]:
-        """Return the elasticity and its standard error; infinite if unknown."""
+        """Return the elasticity and its standard error, which is ``inf`` if unknown."""
         if self._variance <= 1e-9 or self._calls < MIN_CALLS:
             return 0.0, inf
         value = self._covariance / self._variance
--- a/packages/sassafraswinch/tests/test_admission.py
+++ b/packages/sassafraswinch/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The adaptive gate, call by call and against a fake backend server."""
+"""Tests of the adaptive gate: single calls, and load on a fake backend server."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Driver:
-    """Offers calls to one gate; a cold server of eight slots gets two calls."""
+    """Offers calls to one gate; a cold server with eight slots has a limit of two."""
 
     def __init__(self, *, slots=8):
         self.gate = AdaptiveGate(slots=slots, rng=random.Random(1))
@@ -62,7 +62,7 @@
 
 
 def test_class_then_progress_then_level_decide_who_is_refused(driver):
-    """Calls come to a full queue of four, one after the other."""
+    """Calls arrive one after the other at a full queue of four."""
     claims = {
         "progressed": (PAYING, 127, 1),
         "late level": (PAYING, 90, 0),
@@ -88,11 +88,10 @@
 
 
 def test_full_queue_evicts_the_lowest_before_it_refuses_a_higher(driver):
-    """A trial call waits in a full queue when a paying call comes.
+    """A trial call waits in a full queue when a paying call arrives.
 
-    Its caller must see the trial call end as not run and at once, and the
-    paying one wait; with the queue full of paying calls, the newcomer of the
-    greatest level goes.
+    The trial call must be refused at once as not run, and the paying call must wait.
+    With the queue full of paying calls, a new call with the greatest level is refused.
     """
     for number in range(3):
         assert not driver.offer(f"paying {number}", level=number).refused
@@ -103,12 +102,11 @@
     assert (refused.key, refused.reason) == ("paying 4", Reason.OVERLOADED)
 
 
-def test_waiting_trial_goes_when_a_paying_call_is_refused_for_its_age(driver):
-    """A paying call has waited too long and is refused; a trial call came later.
+def test_waiting_trial_is_evicted_when_a_paying_call_waited_too_long(driver):
+    """A paying call is refused for its wait while a later trial call still waits.
 
-    The slot that comes free just after would go to the trial call: a paying
-    caller is turned away while a trial caller is served. Seen in the bench as
-    inversions right after a refusal.
+    The slot that becomes free just after would go to the trial call, a priority
+    inversion: a paying call is refused while a trial call is served.
     """
     driver.offer("paying")
     driver.now_ms = MAX_WAIT_MS / 2
@@ -121,12 +119,12 @@
     assert driver.offer("next paying").start
 
 
-def test_call_that_cannot_finish_in_time_is_refused_until_nothing_is_known():
-    """Calls take 300 ms, then all callers have 100 ms left.
+def test_call_that_cannot_finish_in_time_is_refused_until_the_estimate_expires():
+    """Calls take 300 ms, then the deadlines of all calls are 100 ms away.
 
-    Each would run and be thrown away. Once all are refused nothing is measured
-    any more, so after two empty windows a call must pass as a probe, or a
-    server that has become fast would stay refused for good.
+    Each call would run for nothing. Once all are refused there are no new measurements,
+    so after two empty windows a call must be admitted as a probe; otherwise the calls
+    of a server that has become fast would be refused for ever.
     """
     driver = Driver(slots=200)
     keys = [driver.offer(number).start[0] for number in range(MIN_SAMPLES)]
@@ -140,10 +138,10 @@
     assert driver.offer("probe", deadline_ms=100.0).start
 
 
-def test_calls_given_up_at_their_deadline_count_for_the_delay(driver):
-    """The server hangs, every call is given up after a second.
+def test_calls_cancelled_at_their_deadline_count_for_the_queue_delay(driver):
+    """The server hangs, and every call is cancelled after a second.
 
-    With fast calls alone in the mean, the queue would promise a short wait.
+    If only fast calls counted in the mean, the estimated wait would be too short.
     """
     driver.finish("a", time_ms=10.0)
     driver.now_ms = 1000.0
@@ -155,7 +153,7 @@
     assert driver.gate.load(driver.now_ms).queue_delay_ms > before_ms
 
 
-def test_key_that_is_offered_twice_breaks_the_invariant(driver):
+def test_key_that_is_offered_twice_raises_invariant_error(driver):
     driver.offer("waiting")
     with pytest.raises(InvariantError):
         driver.offer("waiting")
@@ -165,7 +163,7 @@
         driver.finish("waiting")
 
 
-def test_leaving_gate_refuses_what_waits_and_what_comes(driver):
+def test_leaving_gate_refuses_waiting_and_new_calls(driver):
     driver.offer("waiting")
     (refusal,) = driver.gate.leave().refused
     assert (refusal.key, refusal.reason) == ("waiting", Reason.LEAVING)
@@ -199,9 +197,9 @@
 def test_paying_goodput_and_recovery_under_pressure(name):
     """Demand triples, or the server becomes five times slower, for four seconds.
 
-    Trial callers are turned away, paying calls go on up to the capacity, no
-    trial call starts just after a paying one was refused, and the goodput is
-    back within a second of the end.
+    Trial calls must be refused and paying calls served up to the capacity, no trial
+    call may start just after a paying one was refused, and the goodput must recover
+    within a second of the end.
     """
     figures = run(name, shedder=EntryShedder())
     assert figures.paying_percent >= 95
@@ -213,7 +211,7 @@
 @pytest.mark.parametrize(
     "name", ["hint half", "hint double", "hint none", "server queues, hint none"]
 )
-def test_wrong_hint_of_slots_is_learnt_away(name):
+def test_wrong_hint_of_slots_is_corrected(name):
     figures = run(name)
     assert figures.paying_percent >= 95
     assert figures.all_percent >= 90
@@ -221,10 +219,10 @@
 
 
 def test_slow_server_with_free_slots_keeps_its_limit():
-    """The server takes five times as long, and three quarters of its slots are free.
+    """The server becomes five times slower, and three quarters of its slots are free.
 
-    A limit cut by the ratio of latencies would refuse calls that the slots
-    could take. All must be served.
+    A limit that is cut by the ratio of latencies would refuse calls for which there are
+    free slots. All calls must be served.
     """
     figures = run("slow x5, free slots")
     assert figures.all_percent >= 99
--- a/packages/sassafraswinch/tests/test_gate_properties.py
+++ b/packages/sassafraswinch/tests/test_gate_properties.py
@@ -1,4 +1,4 @@
-"""What holds for every gate, whatever comes in whatever order."""
+"""Stateful property tests of all gates, with calls and events in any order."""
 
 import random
 
@@ -17,11 +17,11 @@
 from sassafraswinch.messages import Rank
 from sassafraswinch.verdict import Reason
 
-PRESSED = {Reason.OVERLOADED, Reason.EVICTED}
+CAPACITY_REASONS = {Reason.OVERLOADED, Reason.EVICTED}
 
 
 class GateMachine(RuleBasedStateMachine):
-    """One gate of any kind under hostile calls, outcomes and times."""
+    """One gate of any kind with arbitrary calls, outcomes and times."""
 
     @initialize(
         kind=st.sampled_from(["open", "static", "adaptive"]),
@@ -41,13 +41,15 @@
         self.refused_at_ms = {}
         self.left = False
 
-    def carry_out(self, decision):
+    def apply_decision(self, decision):
         for key in decision.start:
-            assert key in self.waiting, "started twice, or after its end"
+            assert key in self.waiting, "call was started twice, or after its end"
             self.waiting.remove(key)
             self.running.append(key)
         for refusal in decision.refused:
-            assert refusal.key in self.waiting, "refused twice, or after its start"
+            assert refusal.key in self.waiting, (
+                "call was refused twice, or after its start"
+            )
             assert refusal.retry_after_ms >= 0
             self.waiting.remove(refusal.key)
             self.ended.add(refusal.key)
@@ -59,14 +61,16 @@
 
     def check_classes(self, decision):
         for refusal in decision.refused:
-            if refusal.reason in PRESSED:
+            if refusal.reason in CAPACITY_REASONS:
                 order = self.ranks[refusal.key].class_order
                 self.refused_at_ms[order] = self.now_ms
         for key in decision.start:
             order = self.ranks[key].class_order
             for refused, at_ms in self.refused_at_ms.items():
                 inverted = refused < order and self.now_ms - at_ms < HOLD_MS
-                assert not inverted, "a lower class started after a refusal"
+                assert not inverted, (
+                    "call of a lower class started just after a higher one was refused"
+                )
 
     @rule(
         order=st.integers(0, 2),
@@ -80,7 +84,7 @@
             key, self.next_key = self.next_key, self.next_key + 1
             self.ranks[key] = Rank(order, level)
             self.waiting.add(key)
-            self.carry_out(
+            self.apply_decision(
                 self.gate.offer(
                     key=key,
                     rank=self.ranks[key],
@@ -102,7 +106,7 @@
             index = data.draw(st.integers(0, len(self.running) - 1))
             key = self.running.pop(index)
             self.ended.add(key)
-            self.carry_out(
+            self.apply_decision(
                 self.gate.finished(
                     key=key, self_time_ms=5.0, outcome=outcome, now_ms=self.now_ms
                 )
@@ -114,21 +118,21 @@
         key = data.draw(st.sampled_from(sorted(self.waiting)))
         self.waiting.remove(key)
         self.ended.add(key)
-        self.carry_out(self.gate.withdraw(key, self.now_ms))
+        self.apply_decision(self.gate.withdraw(key, self.now_ms))
 
     @rule(ms=st.sampled_from([0.1, 3.0, 30.0, 300.0, 3000.0]))
     def pass_time(self, ms):
         self.now_ms += ms
-        self.carry_out(self.gate.tick(self.now_ms))
+        self.apply_decision(self.gate.tick(self.now_ms))
 
     @rule(slots=st.one_of(st.none(), st.integers(1, 12)))
-    def new_hint(self, slots):
+    def set_hint(self, slots):
         self.gate.set_slots(slots)
 
     @rule()
     def leave(self):
         self.left = True
-        self.carry_out(self.gate.leave())
+        self.apply_decision(self.gate.leave())
 
     @invariant()
     def counts_agree(self):
--- a/packages/sassafraswinch/tests/test_levels.py
+++ b/packages/sassafraswinch/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Thresholds at the gate, and at the entry by service, whatever the operation."""
+"""Tests of rank thresholds: at a gate, and by service at the ingress."""
 
 import random
 
@@ -9,8 +9,8 @@
     MAX_OPERATIONS,
     REOPEN_MS,
     EntryShedder,
-    position,
-    rank_at,
+    rank_below,
+    rank_position,
 )
 from sassafraswinch.messages import LEVELS, Rank, ServiceThreshold
 from sassafraswinch.threshold import INTERVAL_MS, Threshold
@@ -20,11 +20,11 @@
 
 
 def test_operations_that_need_a_service_share_its_threshold():
-    """Paying releases were refused while trial lookups were answered.
+    """Paying releases must not be refused while trial lookups are answered.
 
-    Both need the archive, which is overloaded. The entry kept one threshold for each
-    operation, and that of the release had lately heard a stricter word than that of
-    the lookup. So the lookup took the capacity that the release was refused.
+    Both need the overloaded archive. With one threshold for each operation, that of the
+    release could be stricter than that of the lookup after its last answers, so lookups
+    used the capacity that releases were refused.
     """
     shedder = EntryShedder()
     shedder.admits("lookup", Rank(TRIAL, LEVELS - 1), 0)
@@ -36,11 +36,11 @@
     assert not shedder.admits("lookup", Rank(TRIAL, 0), 0)
 
 
-def test_refused_call_says_nothing_of_services_it_has_not_asked():
-    """A release refused by the first service opened the way to the overloaded archive.
+def test_refused_call_leaves_thresholds_of_unreached_services_unchanged():
+    """A release is refused by the first service and never reaches the archive.
 
-    Its answer told no threshold of the archive, since it never came there. Taken as
-    "the archive admits all" it undid what whole answers had told.
+    Its answer therefore has no threshold of the overloaded archive. Interpreted as "the
+    archive admits all" it would undo the thresholds of complete answers.
     """
     shedder = EntryShedder()
     shedder.admits("release", Rank(TRIAL, 0), 0)
@@ -54,7 +54,7 @@
     assert not shedder.admits("release", Rank(PAYING, 100), 0)
 
 
-def test_everything_is_open_again_after_a_second():
+def test_all_ranks_are_admitted_again_after_a_second():
     shedder = EntryShedder()
     shedder.admits("lookup", Rank(TRIAL, 0), 0)
     for _ in range(50):
@@ -66,7 +66,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(
-    told=st.lists(
+    answers=st.lists(
         st.tuples(
             st.sampled_from(["lookup", "release"]),
             st.sampled_from(["archiv", "vydej"]),
@@ -78,11 +78,11 @@
     ),
     ranks=st.lists(st.integers(0, 2), min_size=2, max_size=20),
 )
-def test_no_class_passes_a_higher_one(told, ranks):
+def test_no_class_is_admitted_where_a_higher_one_is_refused(answers, ranks):
     shedder = EntryShedder()
-    for operation, service, order, level, whole in told:
-        met = (ServiceThreshold(service, Rank(order, level)),)
-        shedder.learn(operation, met, 0, whole=whole)
+    for operation, service, order, level, complete in answers:
+        thresholds = (ServiceThreshold(service, Rank(order, level)),)
+        shedder.learn(operation, thresholds, 0, whole=complete)
     refused = [
         order
         for order in ranks
@@ -96,8 +96,8 @@
 def test_memory_is_bounded():
     shedder = EntryShedder()
     for number in range(2 * MAX_OPERATIONS):
-        met = (ServiceThreshold(f"service-{number}", Rank(0, 1)),)
-        shedder.learn(f"operation-{number}", met, 0, whole=True)
+        thresholds = (ServiceThreshold(f"service-{number}", Rank(0, 1)),)
+        shedder.learn(f"operation-{number}", thresholds, 0, whole=True)
     assert len(shedder._needed) <= MAX_OPERATIONS
     assert shedder.retry_after_ms("lookup", Rank(0, 0), 0, random.Random(1)) >= 0
 
@@ -105,15 +105,15 @@
 ranks = st.builds(Rank, st.integers(0, 3), st.integers(0, LEVELS - 1))
 
 
-def learn_archive(shedder, threshold, now_ms):
-    met = () if threshold is None else (ServiceThreshold("archiv", threshold),)
-    shedder.learn("lookup", met, now_ms, whole=True)
+def apply_archive_answer(shedder, threshold, now_ms):
+    thresholds = () if threshold is None else (ServiceThreshold("archiv", threshold),)
+    shedder.learn("lookup", thresholds, now_ms, whole=True)
 
 
 @given(rank=ranks)
 @settings(derandomize=True, deadline=None)
-def test_place_just_past_a_rank_leads_back_to_it(rank):
-    assert rank_at(position(rank) + 1 / LEVELS) == rank
+def test_rank_below_inverts_rank_position(rank):
+    assert rank_below(rank_position(rank) + 1 / LEVELS) == rank
 
 
 @given(
@@ -123,27 +123,27 @@
     offers=st.lists(ranks, min_size=2, max_size=30),
 )
 @settings(derandomize=True, deadline=None)
-def test_entry_never_admits_a_lower_claim_where_it_refuses_a_higher(answers, offers):
+def test_ingress_never_admits_a_lower_rank_where_it_refuses_a_higher(answers, offers):
     shedder, now_ms = EntryShedder(), 0.0
     shedder.admits("lookup", Rank(3, 0), now_ms)
     for threshold, pause_ms in answers:
         now_ms += pause_ms
-        learn_archive(shedder, threshold, now_ms)
+        apply_archive_answer(shedder, threshold, now_ms)
     admitted = {rank: shedder.admits("lookup", rank, now_ms) for rank in offers}
     refused = [rank for rank in offers if not admitted[rank]]
     assert all(rank < min(refused) for rank in offers if admitted[rank] and refused)
 
 
-def test_entry_refuses_what_would_be_refused_below_and_reopens_by_itself():
-    """A deep node asks for the first half of the paying class, then falls silent.
+def test_ingress_refuses_calls_that_nodes_would_refuse_and_reopens():
+    """A node reports a threshold at half of the paying class, then no more answers.
 
-    The entry refuses at once what would die below. With no answers any more, it
-    has to open again within a second, or nobody would ever ask the node.
+    The ingress must refuse at once the calls that the node would refuse. Without
+    answers it must reopen within a second, or no call would ever reach the node again.
     """
     shedder = EntryShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
-        learn_archive(shedder, Rank(0, 63), 0.0)
+        apply_archive_answer(shedder, Rank(0, 63), 0.0)
     assert shedder.admits("lookup", Rank(0, 50), 0.0)
     assert not shedder.admits("lookup", Rank(0, 80), 0.0)
     assert not shedder.admits("lookup", Rank(1, 0), 0.0)
@@ -151,66 +151,70 @@
     assert shedder.admits("lookup", Rank(1, 127), REOPEN_MS)
 
 
-def test_entry_holds_lower_classes_for_a_while_after_a_refusal():
-    """The place drifts past the end of the paying class just after a refusal.
+def test_ingress_holds_lower_classes_back_for_a_while_after_a_refusal():
+    """The boundary reopens past the end of the paying class just after a refusal.
 
-    A trial call of the next moment would pass where a paying one was refused.
+    The next trial call would be admitted where a paying call was just refused.
     """
     shedder = EntryShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
-        learn_archive(shedder, Rank(0, 119), 0.0)
+        apply_archive_answer(shedder, Rank(0, 119), 0.0)
     assert not shedder.admits("lookup", Rank(0, 127), 0.0)
     assert not shedder.admits("lookup", Rank(1, 0), HOLD_MS - 1)
     assert shedder.admits("lookup", Rank(0, 127), HOLD_MS - 1)
     assert shedder.admits("lookup", Rank(1, 0), HOLD_MS)
 
 
-def test_entry_retry_after_grows_with_the_refused():
+def test_ingress_retry_after_grows_with_the_number_of_refused_calls():
     shedder, rng = EntryShedder(), random.Random(1)
-    learn_archive(shedder, Rank(0, 0), 0.0)
+    apply_archive_answer(shedder, Rank(0, 0), 0.0)
     waits = [shedder.retry_after_ms("lookup", Rank(0, 90), 0.0, rng) for _ in range(3)]
     assert all(wait > 0 for wait in waits)
 
 
-def offer_for(threshold, *, rates_per_s, now_ms, rng):
-    """Offer one interval of calls as entries would that follow the threshold."""
+def offer_interval(threshold, *, rates_per_s, now_ms, rng):
+    """Offer the calls of one interval that an ingress admits by the threshold."""
     for order, rate in enumerate(rates_per_s):
         for _ in range(int(rate * INTERVAL_MS / 1000)):
             rank = Rank(order, rng.randrange(LEVELS))
             if threshold.admits(rank, 0):
-                threshold.offered(rank, 0)
-    assert threshold.due(now_ms)
+                threshold.record_offer(rank, 0)
+    assert threshold.is_due(now_ms)
 
 
-def test_threshold_admits_what_fits_and_goes_with_the_pressure():
-    """900 paying and 900 trial calls a second come, and 1,000 can be served.
+def test_threshold_follows_the_capacity_and_is_removed_after_overload():
+    """900 paying and 900 trial calls per second arrive, and 1,000 can be served.
 
-    All paying and about a ninth of the trial levels fit. Entries then hold the
-    rest back, which must not look like less demand. Once a class no longer
-    waits, the threshold goes within a second.
+    The capacity suffices for all paying and about a ninth of the trial levels. The
+    ingress then holds the rest back, which must not count as lower demand. Once no
+    class has a standing queue, the threshold must be removed within a second.
     """
     threshold, rng, now_ms = Threshold(), random.Random(1), 0.0
-    threshold.due(now_ms)
+    threshold.is_due(now_ms)
     for _ in range(10):
         now_ms += INTERVAL_MS
-        offer_for(threshold, rates_per_s=(900, 900), now_ms=now_ms, rng=rng)
-        threshold.decide(capacity_per_s=1000, excess_calls=0, standing=1, now_ms=now_ms)
-        assert 1 <= threshold.place <= 1.3
+        offer_interval(threshold, rates_per_s=(900, 900), now_ms=now_ms, rng=rng)
+        threshold.end_interval(
+            capacity_per_s=1000, excess_calls=0, standing=1, now_ms=now_ms
+        )
+        assert 1 <= threshold.boundary <= 1.3
     for _ in range(10):
         now_ms += INTERVAL_MS
-        offer_for(threshold, rates_per_s=(300, 300), now_ms=now_ms, rng=rng)
-        threshold.decide(
+        offer_interval(threshold, rates_per_s=(300, 300), now_ms=now_ms, rng=rng)
+        threshold.end_interval(
             capacity_per_s=1000, excess_calls=0, standing=None, now_ms=now_ms
         )
     assert threshold.rank is None
 
 
-def test_progress_passes_levels_but_not_classes():
+def test_calls_with_progress_bypass_levels_but_not_classes():
     threshold, rng = Threshold(), random.Random(1)
-    threshold.due(0.0)
-    offer_for(threshold, rates_per_s=(900, 900), now_ms=INTERVAL_MS, rng=rng)
-    threshold.decide(capacity_per_s=450, excess_calls=0, standing=0, now_ms=INTERVAL_MS)
+    threshold.is_due(0.0)
+    offer_interval(threshold, rates_per_s=(900, 900), now_ms=INTERVAL_MS, rng=rng)
+    threshold.end_interval(
+        capacity_per_s=450, excess_calls=0, standing=0, now_ms=INTERVAL_MS
+    )
     late = Rank(0, LEVELS - 1)
     assert not threshold.admits(late, 0)
     assert threshold.admits(late, 1)
--- a/packages/sassafraswinch/tests/test_limits.py
+++ b/packages/sassafraswinch/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The learnt limit, call by call."""
+"""Tests of the adaptive concurrency limit and of its regression."""
 
 import random
 
@@ -24,7 +24,7 @@
     limit = ConcurrencyLimit(slots=100)
     assert limit.limit == 100 * COLD_SHARE
     for _ in range(100):
-        limit.reached()
+        limit.record_reached()
         finish(limit, outcome=BackendOutcome.OK, in_flight=25)
     assert limit.limit == 100
 
@@ -34,7 +34,7 @@
     finish(limit, outcome=BackendOutcome.SHED, in_flight=61)
     assert limit.limit == 60
     finish(limit, outcome=BackendOutcome.SHED, in_flight=58, started_at_ms=-1.0)
-    assert limit.limit == 60, "it started before the cut"
+    assert limit.limit == 60, "limit was cut for a call from before the last cut"
 
 
 def test_broken_streak_halves_the_limit():
@@ -44,7 +44,7 @@
     assert limit.limit == 50
 
 
-def test_new_hint_is_taken_and_the_same_one_changes_nothing():
+def test_new_hint_resets_the_limit_and_the_same_hint_has_no_effect():
     limit = ConcurrencyLimit(slots=100)
     limit.set_slots(100)
     assert limit.limit == 25
@@ -55,7 +55,7 @@
 
 
 def elasticity_of(time_ms, *, rounds=20, trend_per_ms=0.0):
-    """Return what rounds of 100 ms say of a server with this time by in-flight."""
+    """Return the estimate from rounds of 100 ms, given call time by calls in flight."""
     rng, pooled = random.Random(1), Elasticity()
     for number in range(rounds):
         sums = Round()
@@ -70,13 +70,13 @@
                 started_at_ms=now_ms,
                 time_ms=time_ms(in_flight) * noise * trend,
             )
-        pooled.take(sums)
+        pooled.add_round(sums)
     return pooled.estimate()
 
 
 @pytest.mark.parametrize("trend_per_ms", [0.0, 0.002])
-def test_time_that_does_not_follow_in_flight_has_no_elasticity(trend_per_ms):
-    """The server becomes slower all the time, whatever the calls in flight."""
+def test_call_time_independent_of_calls_in_flight_has_no_elasticity(trend_per_ms):
+    """The server becomes steadily slower, whatever the calls in flight."""
     value, error = elasticity_of(lambda calls: 30.0, trend_per_ms=trend_per_ms)
     assert abs(value) < 3 * error
 
--- a/packages/sassafraswinch/tests/utils/gate_bench.py
+++ b/packages/sassafraswinch/tests/utils/gate_bench.py
@@ -1,4 +1,4 @@
-"""Compares the gates on a fake backend server: python -m ...utils.gate_bench."""
+"""Benchmark of the gates on a fake backend server: python -m ...utils.gate_bench."""
 
 import random
 import statistics
@@ -31,31 +31,31 @@
     name: str
     hint: int | None = SLOTS
     paying: tuple[float, float] = (0.3, 0.3)
-    """Share of the capacity that is offered, during the pressure and outside."""
+    """Offered load as share of the capacity, during the overload and outside of it."""
     trial: tuple[float, float] = (0.3, 0.3)
     slowness: float = 1.0
     sheds: bool = True
-    repeats: int = 0
-    obeys: bool = True
+    retries: int = 0
+    obeys_retry_after: bool = True
     slots: int = SLOTS
     mean_ms: float = MEAN_MS
     deadline_ms: float = 1000.0
     drains: bool = False
-    """Sheds all calls for a second in the middle of the pressure."""
+    """The server sheds all calls for a second in the middle of the overload."""
 
     deep: bool = False
-    """The pressure is on a second server, which the first one calls."""
+    """The overload is at a second server, which the first one calls."""
 
     def run(
         self, make_gate: Callable[[], Gate], seed: int, shedder: EntryShedder | None
     ) -> Figures:
-        rates = self.slots / self.mean_ms * 1000
+        capacity_per_s = self.slots / self.mean_ms * 1000
         streams = [
             Stream(
                 class_order=order,
-                rate_per_s=during(share[0] * rates, share[1] * rates),
-                repeats=self.repeats,
-                obeys=self.obeys,
+                rate_per_s=during(share[0] * capacity_per_s, share[1] * capacity_per_s),
+                repeats=self.retries,
+                obeys=self.obeys_retry_after,
                 deadline_ms=self.deadline_ms,
             )
             for order, share in enumerate((self.paying, self.trial))
@@ -86,8 +86,8 @@
         name="deep, slow x5, hard repeats",
         deep=True,
         slowness=5.0,
-        repeats=5,
-        obeys=False,
+        retries=5,
+        obeys_retry_after=False,
     ),
     Scenario(name="deep, surge x3", deep=True, paying=(0.9, 0.3), trial=(0.9, 0.3)),
     Scenario(
@@ -95,8 +95,8 @@
         slowness=5.0,
         paying=(0.9, 0.3),
         trial=(0.9, 0.3),
-        repeats=5,
-        obeys=False,
+        retries=5,
+        obeys_retry_after=False,
     ),
     Scenario(
         name="short calls, surge x3",
@@ -121,10 +121,15 @@
         name="surge x3, hard repeats",
         paying=(0.9, 0.3),
         trial=(0.9, 0.3),
-        repeats=5,
-        obeys=False,
+        retries=5,
+        obeys_retry_after=False,
+    ),
+    Scenario(
+        name="surge x3, obeying",
+        paying=(0.9, 0.3),
+        trial=(0.9, 0.3),
+        retries=5,
     ),
-    Scenario(name="surge x3, obeying", paying=(0.9, 0.3), trial=(0.9, 0.3), repeats=5),
     Scenario(name="slow x5", slowness=5.0),
     Scenario(
         name="slow x5, free slots",
@@ -132,7 +137,12 @@
         paying=(0.08, 0.08),
         trial=(0.08, 0.08),
     ),
-    Scenario(name="slow x5, hard repeats", slowness=5.0, repeats=5, obeys=False),
+    Scenario(
+        name="slow x5, hard repeats",
+        slowness=5.0,
+        retries=5,
+        obeys_retry_after=False,
+    ),
     Scenario(name="hint half", hint=SLOTS // 2, paying=(0.9, 0.6), trial=(0.9, 0.3)),
     Scenario(name="hint double", hint=SLOTS * 2, paying=(0.9, 0.6), trial=(0.9, 0.3)),
     Scenario(name="hint none", hint=None, paying=(0.9, 0.6), trial=(0.9, 0.3)),
@@ -157,16 +167,16 @@
 
 
 def arms(hint: int | None, seed: int) -> dict[str, tuple]:
-    """Return for each arm what makes its gates and its entry shedder."""
+    """Return the gate factory and the ingress shedder of each arm."""
 
-    def ours() -> Gate:
+    def make_adaptive() -> Gate:
         return AdaptiveGate(slots=hint, rng=random.Random(seed))
 
     return {
         "open": (OpenGate, None),
         "static": (lambda: StaticGate(slots=hint), None),
-        "ours": (ours, None),
-        "ours+entry": (ours, EntryShedder()),
+        "ours": (make_adaptive, None),
+        "ours+entry": (make_adaptive, EntryShedder()),
     }
 
 
