--- a/packages/sassafraswinch/sassafraswinch/admission.py
+++ b/packages/sassafraswinch/sassafraswinch/admission.py
@@ -56,7 +56,7 @@
         self._waiting = WaitingCalls()
         self._hold = ClassHold()
         self._returns: dict[int, ReturnSchedule] = {}
-        self._pace = Pace(limit=self._limit)
+        self._service_rate = Pace(limit=self._limit)
         self._delays = QueueDelays()
         self._sequence = 0
         self._leaving = False
@@ -109,10 +109,10 @@
         held_ms = now_ms - running.started_at_ms
         if outcome is BackendOutcome.OK:
             self._times.record(running.operation, held_ms, now_ms)
-            self._pace.record_success(held_ms)
+            self._service_rate.record_success(held_ms)
         elif outcome is BackendOutcome.CANCELLED:
             self._times.record_cut(running.operation, held_ms, now_ms)
-            self._pace.record_cancelled(held_ms)
+            self._service_rate.record_cancelled(held_ms)
         self._limit.finished(
             started_in=running.round,
             started_in_flight=running.in_flight,
@@ -130,7 +130,7 @@
 
     def tick(self, now_ms: float) -> GateDecision:
         """Refuse calls that waited too long or will miss their deadline; fill slots."""
-        self._delays.sample(self._waiting, self._pace.delay_ms(1))
+        self._delays.sample(self._waiting, self._service_rate.delay_ms(1))
         if self._threshold.is_due(now_ms):
             self._update_threshold(now_ms)
         closed = self._evict_closed(now_ms)
@@ -147,7 +147,9 @@
             in_flight=len(self._running),
             queued=len(self._waiting),
             limit=self._limit.limit,
-            queue_delay_ms=self._pace.delay_ms(len(self._waiting) + 1) if full else 0.0,
+            queue_delay_ms=self._service_rate.delay_ms(len(self._waiting) + 1)
+            if full
+            else 0.0,
             leaving=self._leaving,
             threshold=self._strictest_rank(now_ms),
         )
@@ -184,14 +186,14 @@
             return GateDecision(
                 refused=self._refuse_with_lower(call, Reason.OVERLOADED, now_ms)
             )
-        wait_ms = self._pace.delay_ms(self._waiting.ahead_of(call.claim) + 1)
+        wait_ms = self._service_rate.delay_ms(self._waiting.ahead_of(call.claim) + 1)
         safe_ms = self._times.estimate(call.operation, now_ms).safe_ms
         if call.deadline_at_ms - now_ms <= wait_ms + safe_ms:
             return GateDecision(
                 refused=self._refuse_with_lower(call, Reason.DEADLINE, now_ms)
             )
         self._waiting.add(call)
-        if len(self._waiting) <= self._pace.queue_bound():
+        if len(self._waiting) <= self._service_rate.queue_bound():
             return NO_ACTION
         lowest = self._waiting.pop_lowest()
         self._threshold.record_loss(lowest.claim.class_order)
@@ -211,14 +213,14 @@
         return GateDecision(start=tuple(start), refused=tuple(refused))
 
     def _update_threshold(self, now_ms: float) -> None:
-        slot_gap_ms = self._pace.delay_ms(1)
+        slot_gap_ms = self._service_rate.delay_ms(1)
         lowest = self._hold.lowest_open(now_ms)
         if lowest is not None:
             self._threshold.record_hold(lowest)
         self._delays.sample(self._waiting, slot_gap_ms)
         self._threshold.end_interval(
-            capacity_per_s=self._pace.capacity_per_s(),
-            excess_calls=self._pace.excess_calls(
+            capacity_per_s=self._service_rate.capacity_per_s(),
+            excess_calls=self._service_rate.excess_calls(
                 len(self._running) + len(self._waiting)
             ),
             standing=self._delays.end_interval(slot_gap_ms),
@@ -286,7 +288,7 @@
     def _refusal(self, call: WaitingCall, reason: Reason, now_ms: float) -> Refusal:
         order = call.claim.class_order
         returns = self._returns.setdefault(order, ReturnSchedule())
-        capacity_per_s = self._pace.capacity_per_s()
+        capacity_per_s = self._service_rate.capacity_per_s()
         spare_per_s = max(
             capacity_per_s - self._threshold.rate_above_per_s(order + 1),
             capacity_per_s * MIN_RETURNS_SHARE,
--- a/packages/sassafraswinch/sassafraswinch/limits.py
+++ b/packages/sassafraswinch/sassafraswinch/limits.py
@@ -53,7 +53,7 @@
 
 SURE_ERRORS = 3.5
 """Standard errors by which the elasticity must exceed zero for a cut. At 2.5 one run in
-twelve lost 10% of its limit without cause; queues are detected as soon."""
+twelve lost 10% of its limit without cause; queues are detected just as soon."""
 
 QUEUEING_FACTOR = 0.9
 """Factor on the limit at a cut for queueing."""
