--- a/packages/sassafraswinch/sassafraswinch/crash_suspects.py
+++ b/packages/sassafraswinch/sassafraswinch/crash_suspects.py
@@ -203,9 +203,9 @@
             if suspect.change > after and len(suspect.counted()) >= least_ends
         ]
 
-    def take(self, words: Iterable[SuspectWord], now_ms: float) -> bool:
+    def take(self, reports: Iterable[SuspectWord], now_ms: float) -> bool:
         """Merge the reports of another host; return whether the state changed."""
-        changed = [self._merge(report, now_ms) for report in words]
+        changed = [self._merge(report, now_ms) for report in reports]
         return any(changed)
 
     def forget(self, now_ms: float) -> None:
@@ -221,12 +221,12 @@
                 del self._suspects[digest]
         self._rebuild_tags()
 
-    def stood_still(self, stood_ms: float) -> None:
+    def stood_still(self, paused_ms: float) -> None:
         """Add the length of a process pause that the clock missed to all ages."""
         for suspect in self._suspects.values():
-            suspect.answered_ms -= stood_ms
+            suspect.answered_ms -= paused_ms
             suspect.crashes = {
-                name: at_ms - stood_ms for name, at_ms in suspect.crashes.items()
+                name: at_ms - paused_ms for name, at_ms in suspect.crashes.items()
             }
 
     def _decide(self, digest: bytes, now_ms: float) -> Judgement:
--- a/packages/sassafraswinch/sassafraswinch/fitting_shares.py
+++ b/packages/sassafraswinch/sassafraswinch/fitting_shares.py
@@ -54,22 +54,24 @@
 
 def fitting_shares(
     claims: Collection[Claim],
-    rooms: Mapping[Hashable, float],
+    capacities: Mapping[Hashable, float],
     worth_of: Worth | None = None,
 ) -> dict[str, Fit]:
     """Return the admitted share of each kind that can't be served in full.
 
     Args:
         claims: all kinds of request, one claim for each kind.
-        rooms: capacity by resource; a resource that is not listed is unbounded.
+        capacities: capacity by resource; a resource that is not listed is unbounded.
         worth_of: worth of a request by its priority; without it the more important
             kinds go first, however little capacity the others use.
     """
-    if all(_total_demand(claims, each) < room for each, room in rooms.items()):
+    if all(
+        _total_demand(claims, each) < capacity for each, capacity in capacities.items()
+    ):
         return {}
-    left = dict(rooms)
+    left = dict(capacities)
     allocations: dict[str, Fit] = {}
-    for tier in _tiers(claims, rooms, worth_of):
+    for tier in _tiers(claims, capacities, worth_of):
         allocations |= _fill(tier, left)
     return allocations
 
--- a/packages/sassafraswinch/tests/test_fitting_shares.py
+++ b/packages/sassafraswinch/tests/test_fitting_shares.py
@@ -48,11 +48,11 @@
     """Quotes cost 2.5 times as much at paperwork as forms, of the same priority. With
     equal shares the forms, a sixteenth of the load, were the worst served kind.
     """
-    rooms = CAPACITIES | {"paperwork": 70.0}
-    allocations = fitting_shares([QUOTE, FORM, DELIVERY], rooms)
+    capacities = CAPACITIES | {"paperwork": 70.0}
+    allocations = fitting_shares([QUOTE, FORM, DELIVERY], capacities)
     assert "delivery" not in allocations
     assert allocations["form"].share == pytest.approx(2.5 * allocations["quote"].share)
-    left = rooms["paperwork"] - DELIVERY.wanted("paperwork")
+    left = capacities["paperwork"] - DELIVERY.wanted("paperwork")
     used = sum(
         allocations[claim.kind].share * claim.wanted("paperwork")
         for claim in (QUOTE, FORM)
@@ -94,33 +94,33 @@
 
 @pytest.mark.parametrize("worth_of", [None, lambda priority: 3.0 - priority])
 @settings(derandomize=True, deadline=None)
-@given(claims=claims_of_any_cost, rooms=any_capacities)
+@given(claims=claims_of_any_cost, capacities=any_capacities)
 def test_no_resource_is_overcommitted_and_no_usable_capacity_is_left(
-    worth_of, claims, rooms
+    worth_of, claims, capacities
 ):
-    allocations = fitting_shares(claims, rooms, worth_of)
+    allocations = fitting_shares(claims, capacities, worth_of)
     shares = {
         c.kind: allocations[c.kind].share if c.kind in allocations else 1.0
         for c in claims
     }
     used = {
         resource: sum(shares[c.kind] * c.wanted(resource) for c in claims)
-        for resource in rooms
+        for resource in capacities
     }
-    for resource, room in rooms.items():
-        assert used[resource] <= room + 1e-6
+    for resource, capacity in capacities.items():
+        assert used[resource] <= capacity + 1e-6
     for kind, allocation in allocations.items():
         assert 0.0 <= allocation.share <= 1.0
-        assert used[allocation.lacks] >= rooms[allocation.lacks] - 1e-6, kind
+        assert used[allocation.lacks] >= capacities[allocation.lacks] - 1e-6, kind
 
 
 @settings(derandomize=True, deadline=None)
-@given(claims=claims_of_any_cost, rooms=any_capacities)
-def test_less_important_kinds_dont_affect_more_important_ones(claims, rooms):
-    allocations = fitting_shares(claims, rooms)
+@given(claims=claims_of_any_cost, capacities=any_capacities)
+def test_less_important_kinds_dont_affect_more_important_ones(claims, capacities):
+    allocations = fitting_shares(claims, capacities)
     for priority in (0, 1):
         upper = [claim for claim in claims if claim.priority <= priority]
-        alone = fitting_shares(upper, rooms)
+        alone = fitting_shares(upper, capacities)
         for claim in upper:
             share = allocations[claim.kind].share if claim.kind in allocations else 1.0
             before = alone[claim.kind].share if claim.kind in alone else 1.0
@@ -128,9 +128,9 @@
 
 
 @settings(derandomize=True, deadline=None)
-@given(claims=claims_strategy(st.floats(0.01, 1.0), ("a",)), room=st.floats(0, 300))
-def test_arriving_requests_of_equal_priority_get_the_same_capacity(claims, room):
-    allocations = fitting_shares(claims, {"a": room})
+@given(claims=claims_strategy(st.floats(0.01, 1.0), ("a",)), capacity=st.floats(0, 300))
+def test_arriving_requests_of_equal_priority_get_the_same_capacity(claims, capacity):
+    allocations = fitting_shares(claims, {"a": capacity})
     granted = {
         (claim.priority, claim.kind): allocations[claim.kind].share * claim.needs["a"]
         for claim in claims
@@ -147,12 +147,13 @@
 
 @settings(derandomize=True, deadline=None)
 @given(
-    claims=claims_strategy(st.just(0.5), priorities=(0,)), room=st.floats(0.0, 300.0)
+    claims=claims_strategy(st.just(0.5), priorities=(0,)),
+    capacity=st.floats(0.0, 300.0),
 )
-def test_kind_gets_less_than_an_equal_only_if_a_resource_limits_it(claims, room):
+def test_kind_gets_less_than_an_equal_only_if_a_resource_limits_it(claims, capacity):
     """A kind with a greater share does not use the resource that limits the other."""
-    rooms = dict.fromkeys(RESOURCES, room)
-    allocations = fitting_shares(claims, rooms)
+    capacities = dict.fromkeys(RESOURCES, capacity)
+    allocations = fitting_shares(claims, capacities)
     for claim in claims:
         allocation = allocations.get(claim.kind)
         for other in claims if allocation else ():
@@ -196,19 +197,19 @@
 
 
 @settings(derandomize=True, deadline=None)
-@given(claims=claims_of_any_cost, rooms=any_capacities)
-def test_a_less_important_kind_is_never_admitted_more_often(claims, rooms):
+@given(claims=claims_of_any_cost, capacities=any_capacities)
+def test_a_less_important_kind_is_never_admitted_more_often(claims, capacities):
     """With every resource needed by all kinds, a higher priority gets no less."""
     claims = [
         Claim(
             kind=claim.kind,
             priority=claim.priority,
             rate_per_s=claim.rate_per_s,
-            needs={name: claim.needs.get(name, 0.0) + 0.01 for name in rooms},
+            needs={name: claim.needs.get(name, 0.0) + 0.01 for name in capacities},
         )
         for claim in claims
     ]
-    allocations = fitting_shares(claims, rooms, by_priority)
+    allocations = fitting_shares(claims, capacities, by_priority)
     shares = {
         c.kind: allocations[c.kind].share if c.kind in allocations else 1.0
         for c in claims
