--- a/packages/sassafraswinch/sassafraswinch/levels.py
+++ b/packages/sassafraswinch/sassafraswinch/levels.py
@@ -105,9 +105,9 @@
             operation: name of the operation that was answered.
             thresholds: thresholds of the overloaded services in its call tree.
             now_ms: monotonic time.
-            whole: whether the call ran its complete call tree. Then the services that
-                it needs and that reported no threshold admit all calls; a refused call
-                has not reached them.
+            whole: whether the call ran its complete call tree. If so, the services
+                that it needs and that reported no threshold admit all calls; a refused
+                call has not reached them.
         """
         reported = dict(thresholds)
         needed = self._needed.get(operation, {})
