--- a/packages/sassafraswinch/sassafraswinch/organisation_rates.py
+++ b/packages/sassafraswinch/sassafraswinch/organisation_rates.py
@@ -215,8 +215,8 @@
         now_ms: monotonic time at which this host started.
         most_hosts: returns the maximum number of hosts. Hosts without a current report
             admit requests as well, so their share of the limits is left to them.
-        told: returns the usage that all hosts last reported, with 0 as its number
-            of hosts if there are no reports.
+        told: returns the usage last reported by all hosts, with 0 hosts if there
+            are no reports.
         random: returns a number from 0 to 1.
     """
 
