--- a/packages/sassafraswinch/sassafraswinch/admission.py
+++ b/packages/sassafraswinch/sassafraswinch/admission.py
@@ -15,10 +15,10 @@
 )
 from sassafraswinch.limits import ConcurrencyLimit
 from sassafraswinch.messages import LEVELS, Load, Rank
-from sassafraswinch.pace import Pace
 from sassafraswinch.queue_delay import QueueDelays
 from sassafraswinch.regression import Round
 from sassafraswinch.retry_after import MIN_RETURNS_SHARE, ReturnSchedule
+from sassafraswinch.service_rate import ServiceRate
 from sassafraswinch.service_time import ServiceTimes
 from sassafraswinch.threshold import Threshold
 from sassafraswinch.verdict import Reason
@@ -56,7 +56,7 @@
         self._waiting = WaitingCalls()
         self._hold = ClassHold()
         self._returns: dict[int, ReturnSchedule] = {}
-        self._service_rate = Pace(limit=self._limit)
+        self._service_rate = ServiceRate(limit=self._limit)
         self._delays = QueueDelays()
         self._sequence = 0
         self._leaving = False
--- a/packages/sassafraswinch/sassafraswinch/organisations.py
+++ b/packages/sassafraswinch/sassafraswinch/organisations.py
@@ -61,15 +61,15 @@
     def __init__(self, *, entries: Iterable[OrganisationKeys]):
         self.by_name: dict[str, Organisation] = {}
         self._by_key: dict[str, Organisation] = {}
-        for entry in entries:
-            organisation = entry.organisation
+        for item in entries:
+            organisation = item.organisation
             name = organisation.name
             if name in self.by_name:
                 raise AmbiguousOrganisationError(
                     f"{name} is the name of two organisations"
                 )
             self.by_name[name] = organisation
-            for key in entry.api_keys:
+            for key in item.api_keys:
                 holder = self._by_key.setdefault(key, organisation)
                 if holder is not organisation:
                     raise AmbiguousOrganisationError(
--- a/packages/sassafraswinch/sassafraswinch/pace.py
+++ b/packages/sassafraswinch/sassafraswinch/service_rate.py
@@ -17,7 +17,7 @@
 """Assumed capacity, in calls per second, before any call has ended."""
 
 
-class Pace:
+class ServiceRate:
     """Capacity and delays, computed from the limit and the mean slot time."""
 
     def __init__(self, *, limit: ConcurrencyLimit):
--- a/packages/sassafraswinch/tests/test_organisations.py
+++ b/packages/sassafraswinch/tests/test_organisations.py
@@ -11,12 +11,14 @@
 )
 
 
-def entry(name, *keys):
+def organisation_keys(name, *keys):
     return OrganisationKeys(organisation=Organisation(name=name), api_keys=keys)
 
 
 def test_key_identifies_its_organisation():
-    organisations = Organisations(entries=[entry("a", "k1", "k2"), entry("b", "k3")])
+    organisations = Organisations(
+        entries=[organisation_keys("a", "k1", "k2"), organisation_keys("b", "k3")]
+    )
     assert organisations.find("k2").name == "a"
     assert organisations.find("k3").name == "b"
     assert organisations.find("k4") is None
@@ -24,12 +26,15 @@
 
 
 def test_organisation_may_have_no_key():
-    assert Organisations(entries=[entry("a")]).find("") is None
+    assert Organisations(entries=[organisation_keys("a")]).find("") is None
 
 
 @pytest.mark.parametrize(
     "entries",
-    [[entry("a", "k"), entry("b", "k")], [entry("a", "k"), entry("a", "l")]],
+    [
+        [organisation_keys("a", "k"), organisation_keys("b", "k")],
+        [organisation_keys("a", "k"), organisation_keys("a", "l")],
+    ],
 )
 def test_shared_names_and_keys_are_refused(entries):
     with pytest.raises(AmbiguousOrganisationError) as caught:
@@ -38,12 +43,12 @@
 
 
 def test_ten_thousand_organisations_are_accepted():
-    entries = [entry(f"o{n}", f"key-{n}") for n in range(10_000)]
+    entries = [organisation_keys(f"o{n}", f"key-{n}") for n in range(10_000)]
     assert Organisations(entries=entries).find("key-9999").name == "o9999"
 
 
 def test_keys_are_left_out_of_repr():
-    assert "secret" not in repr(entry("a", "secret"))
+    assert "secret" not in repr(organisation_keys("a", "secret"))
 
 
 @pytest.mark.parametrize(
