--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Iterator
 
-from sassafraswinch.fitting_shares import Claim
-from sassafraswinch.organisation_rates import FleetUse
+from sassafraswinch.capacity_shares import Claim
+from sassafraswinch.organisation_rates import FleetUsage
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
@@ -50,7 +50,7 @@
         self._aggregators: dict[str, float] = {}
         self._demand: list[Claim] = []
         self._totals: FleetTotals = ({}, 0)
-        self._usage = FleetUse()
+        self._usage = FleetUsage()
         self._received_ms = -math.inf
 
     def record_aggregator(self, ip: str, now_ms: float) -> None:
@@ -100,10 +100,12 @@
         """Return the requests and retries of all sidecars, this one included."""
         return self._totals if now_ms - self._received_ms < MAX_VIEW_AGE_MS else ({}, 0)
 
-    def usage(self, now_ms: float) -> FleetUse:
+    def usage(self, now_ms: float) -> FleetUsage:
         """Return the usage of organisations, as last reported."""
         return (
-            self._usage if now_ms - self._received_ms < MAX_VIEW_AGE_MS else FleetUse()
+            self._usage
+            if now_ms - self._received_ms < MAX_VIEW_AGE_MS
+            else FleetUsage()
         )
 
     def age_ms(self, now_ms: float) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypedDict
 
-from sassafraswinch.fitting_shares import Claim
-from sassafraswinch.organisation_rates import FleetUse, OrganisationRates, Use
+from sassafraswinch.capacity_shares import Claim
+from sassafraswinch.organisation_rates import FleetUsage, OrganisationRates, Usage
 from sassafraswinch_sidecar.executor import Executor
 from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.message_codec import position_fields
@@ -116,10 +116,10 @@
             claim.kind,
             claim.priority,
             claim.rate_per_s,
-            {service: round(slot_s * 1e6) for service, slot_s in claim.needs.items()},
+            {service: round(slot_s * 1e6) for service, slot_s in claim.costs.items()},
         )
         for claim in demand
-        if claim.needs
+        if claim.costs
     ]
 
 
@@ -130,7 +130,7 @@
             kind=each.route_name,
             priority=each.priority,
             rate_per_s=each.rate_per_s,
-            needs={service: us / 1e6 for service, us in each.slot_us.items()},
+            costs={service: us / 1e6 for service, us in each.slot_us.items()},
         )
         for each in received
     ]
@@ -151,7 +151,7 @@
     }
 
 
-def serialize_usage(usage: FleetUse) -> OrganisationUses:
+def serialize_usage(usage: FleetUsage) -> OrganisationUses:
     """Serialize the requested and admitted usage of organisations."""
     return OrganisationUses(
         names=list(usage.uses),
@@ -162,10 +162,12 @@
     )
 
 
-def parse_usage(received: OrganisationUses | None) -> FleetUse:
+def parse_usage(received: OrganisationUses | None) -> FleetUsage:
     """Parse the usage of organisations; empty if the peer didn't send it."""
     if received is None:
-        return FleetUse()
+        return FleetUsage()
     rows = zip(received.names, received.asked_per_ks, received.spent, strict=True)
-    uses = {name: Use(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in rows}
-    return FleetUse(uses, received.hosts, received.unknown_ms)
+    uses = {
+        name: Usage(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in rows
+    }
+    return FleetUsage(uses, received.hosts, received.unknown_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from sassafraswinch.fitting_shares import Claim, Fit, fitting_shares
+from sassafraswinch.capacity_shares import Allocation, Claim, capacity_shares
 from sassafraswinch.ranks import route_priority_of
 
 LEVELS = 1_000
@@ -126,7 +126,7 @@
 
     def __init__(self, *, worths: Sequence[float] = ()):
         self._worths = worths
-        self.limited_routes: Mapping[str, Fit] = {}
+        self.limited_routes: Mapping[str, Allocation] = {}
         self.required_slots: Mapping[str, float] = {}
         self._routes: dict[str, _RouteDemand] = {}
         self._corrections: dict[str, float] = {}
@@ -189,7 +189,7 @@
         fit = self.limited_routes.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
-        return fit.lacks
+        return fit.limiting_resource
 
     def uses_only(self, route: str, service: str) -> bool:
         """Return whether completed requests of a route used one service only."""
@@ -205,7 +205,7 @@
                 kind=name,
                 priority=route.priority,
                 rate_per_s=route.rate_per_s or 0.0,
-                needs=route.cost(),
+                costs=route.cost(),
             )
             for name, route in self._routes.items()
         ]
@@ -239,7 +239,7 @@
             )
             for service in self.required_slots
         }
-        self.limited_routes = fitting_shares(
+        self.limited_routes = capacity_shares(
             claims,
             {s: slots for s, slots in available_slots.items() if slots is not None},
             self._worth_of if self._worths else None,
@@ -276,7 +276,9 @@
     def _update_correction(self, service: str, capacity: Capacity) -> float:
         correction = self._corrections.get(service, 1.0)
         utilisation = capacity.used / capacity.slots
-        is_full = any(fit.lacks == service for fit in self.limited_routes.values())
+        is_full = any(
+            fit.limiting_resource == service for fit in self.limited_routes.values()
+        )
         if is_full or utilisation > TARGET_UTILISATION:
             step = CORRECTION_GAIN * (TARGET_UTILISATION - utilisation)
         else:
@@ -310,13 +312,13 @@
     if len(claims) == 1:
         return claims[0]
     rate_per_s = sum(claim.rate_per_s for claim in claims)
-    services = dict.fromkeys(service for claim in claims for service in claim.needs)
+    services = dict.fromkeys(service for claim in claims for service in claim.costs)
     return Claim(
         kind=claims[0].kind,
         priority=min(claim.priority for claim in claims),
         rate_per_s=rate_per_s,
-        needs={
-            service: sum(claim.wanted(service) for claim in claims)
+        costs={
+            service: sum(claim.demand_for(service) for claim in claims)
             / max(rate_per_s, MIN_RATE_PER_S)
             for service in services
         },
@@ -326,6 +328,6 @@
 def _required_slots(claims: Iterable[Claim]) -> dict[str, float]:
     required_slots: dict[str, float] = defaultdict(float)
     for claim in claims:
-        for service in claim.needs:
-            required_slots[service] += claim.wanted(service)
+        for service in claim.costs:
+            required_slots[service] += claim.demand_for(service)
     return required_slots
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
@@ -69,10 +69,12 @@
         limit = organisation.limit
         if limit is None:
             return f"{named} rate_per_s=none version={version}"
-        decision, spent_here = self._rates.look(organisation, self._now_ms())
+        decision, spent_here = self._rates.preview_decision(
+            organisation, self._now_ms()
+        )
         return (
             f"{named} rate_per_s={limit.rate_per_s:g} burst={limit.burst:g} "
-            f"part={decision.part:.3f} share={decision.share:.3f} "
+            f"part={decision.limit_share:.3f} share={decision.share:.3f} "
             f"asked_per_s={decision.asked_per_s:.1f} spent={decision.spent:.0f} "
             f"spent_here={spent_here} version={version}"
         )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Iterable
 
-from sassafraswinch.crash_suspects import Judgement, Standing
+from sassafraswinch.crash_suspects import Restriction, SuspectDecision
 from sassafraswinch.organisation_rates import OrganisationRates
 from sassafraswinch.request_digest import digest_request, digest_text
 from sassafraswinch_sidecar.caller_responses import (
@@ -195,7 +195,7 @@
             relay.offered_to.add(relay.identity)
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
         if response.server_end:
-            self._suspects.ended(digest_request(relay), response.server_end)
+            self._suspects.record_crash(digest_request(relay), response.server_end)
         self._retry_policy.record_downstream_services(relay)
         self._outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
@@ -248,7 +248,7 @@
         """Return whether a request is within its rate limit; refuse it if it isn't."""
         if relay.caller is None:
             return True
-        decision = self._rates.ask(relay.caller, self._now_ms())
+        decision = self._rates.decide_admission(relay.caller, self._now_ms())
         if decision is None or decision.admitted:
             return True
         relay.retry_after_ms = self._rates.wait_ms(decision)
@@ -285,26 +285,26 @@
         self._send(relay, instance, remaining_ms)
 
     def _choose_instance(
-        self, relay: Relay, instances: list[Instance], judgement: Judgement
+        self, relay: Relay, instances: list[Instance], judgement: SuspectDecision
     ) -> Instance | None:
         now_ms = self._now_ms()
-        if judgement.standing is not Standing.FREE:
+        if judgement.restriction is not Restriction.FREE:
             return choose_server_for_suspect(
                 self._placement, relay, instances, now_ms, judgement
             )
         answer_bytes = self._outcomes.answer_bytes(relay.route.name)
         return choose_server(self._placement, relay, instances, now_ms, answer_bytes)
 
-    def _judge(self, relay: Relay) -> Judgement | None:
+    def _judge(self, relay: Relay) -> SuspectDecision | None:
         """Return how a request may run; None if it is held back and has failed."""
-        judgement = self._suspects.judge(relay)
-        if judgement.standing is not Standing.HELD:
+        judgement = self._suspects.decide(relay)
+        if judgement.restriction is not Restriction.HELD:
             return judgement
         self._log.failed(
             "held_back",
             relay.request_id,
             digest=digest_text(judgement.digest),
-            ends=len(judgement.ends),
+            ends=len(judgement.crashes),
             wait_ms=judgement.wait_ms,
         )
         relay.retry_after_ms = judgement.wait_ms
@@ -355,7 +355,7 @@
 
     def _fail(self, relay: Relay, reason: str, status: int) -> None:
         if status == NOT_RUN_STATUS and relay.has_token:
-            self._rates.give_back(relay.caller, self._now_ms())
+            self._rates.refund(relay.caller, self._now_ms())
         self._outcomes.record_failure(relay)
         self._responses.fail(relay, reason, status)
         self._finish(relay)
@@ -367,7 +367,7 @@
         server_failed = response.status >= SERVER_FAILURE_STATUS
         if not server_failed:
             # The executing sidecar may not yet know that the request was a suspect.
-            self._suspects.answered(relay)
+            self._suspects.record_answer(relay)
         if server_failed and self._retry_policy.allows_retry_of_failed(relay):
             relay.last_error_response = response
             self._retry(relay, f"status-{response.status}")
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
@@ -127,7 +127,7 @@
             end=self._exit_name,
             digest=digest_text(digests[0]),
         )
-        self._suspects.ended(digests, self._exit_name)
+        self._suspects.record_crash(digests, self._exit_name)
         return self._exit_name
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 
 from sassafraswinch.crash_suspects import (
-    ENDS_TO_RUN_ALONE,
+    CRASHES_TO_RUN_ALONE,
     CrashSuspects,
-    Judgement,
-    SuspectWord,
+    SuspectDecision,
+    SuspectReport,
 )
 from sassafraswinch.request_digest import digest_text
 from sassafraswinch_node.logs import log_event
@@ -68,7 +68,7 @@
         now_ms = self._now_ms()
         if now_ms - self._expiry_checked_ms >= EXPIRY_INTERVAL_MS:
             self._expiry_checked_ms = now_ms
-            self._suspects.forget(now_ms)
+            self._suspects.evict_expired(now_ms)
 
     def gauges(self) -> Mapping[str, float]:
         """Return the current gauges by name."""
@@ -83,7 +83,9 @@
         Failure: a sidecar starts and gets requests before the next round reaches it. It
         would send a request that is held back everywhere else to its own server.
         """
-        reports = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
+        reports = self._suspects.reports(
+            self._now_ms(), min_crashes=CRASHES_TO_RUN_ALONE
+        )
         if reports and link.takes_suspects:
             link.send(serialize_suspect_reports(reports))
 
@@ -94,13 +96,13 @@
         last_change = self._suspects.last_change
         if link.suspects_sent_up_to == last_change:
             return
-        reports = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
+        reports = self._suspects.reports(self._now_ms(), after=link.suspects_sent_up_to)
         if not reports or link.send(serialize_suspect_reports(reports)):
             link.suspects_sent_up_to = last_change
 
     def merge_message(self, message: SuspectNews) -> None:
         """Merge the suspects that a peer sent."""
-        if self._suspects.take(parse_suspect_reports(message), self._now_ms()):
+        if self._suspects.merge_reports(parse_suspect_reports(message), self._now_ms()):
             self._log_held()
             self._on_received_change()
 
@@ -119,29 +121,29 @@
         self._held = frozenset(held)
 
 
-def serialize_suspect_reports(reports: list[SuspectWord]) -> SuspectNews:
+def serialize_suspect_reports(reports: list[SuspectReport]) -> SuspectNews:
     """Serialize reports on suspects."""
     return SuspectNews([_serialize_report(report) for report in reports])
 
 
-def parse_suspect_reports(message: SuspectNews) -> list[SuspectWord]:
+def parse_suspect_reports(message: SuspectNews) -> list[SuspectReport]:
     """Parse reports on suspects."""
     return [
-        SuspectWord(
+        SuspectReport(
             digest=suspect.digest,
-            end_ages_ms=dict(zip(suspect.ends, suspect.ages_ms, strict=False)),
+            crash_ages_ms=dict(zip(suspect.ends, suspect.ages_ms, strict=False)),
             answered_age_ms=suspect.answered_age_ms,
         )
         for suspect in message.suspects
     ]
 
 
-def _serialize_report(report: SuspectWord) -> Suspect:
+def _serialize_report(report: SuspectReport) -> Suspect:
     answered_ms = report.answered_age_ms
     return Suspect(
         digest=report.digest,
-        ends=list(report.end_ages_ms),
-        ages_ms=[_wire_age_ms(age_ms) for age_ms in report.end_ages_ms.values()],
+        ends=list(report.crash_ages_ms),
+        ages_ms=[_wire_age_ms(age_ms) for age_ms in report.crash_ages_ms.values()],
         answered_age_ms=None if answered_ms is None else _wire_age_ms(answered_ms),
     )
 
@@ -150,13 +152,13 @@
     return min(max(int(age_ms), 0), MAX_WIRE_AGE_MS)
 
 
-def _log_held_back(judged: Judgement) -> None:
+def _log_held_back(judged: SuspectDecision) -> None:
     log_event(
         "request_held_back",
         level="warning",
         digest=digest_text(judged.digest),
-        ends=len(judged.ends),
-        servers=",".join(judged.ends),
-        standing=judged.standing.name.lower(),
+        ends=len(judged.crashes),
+        servers=",".join(judged.crashes),
+        standing=judged.restriction.name.lower(),
         trial_in_ms=judged.wait_ms,
     )
--- a/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
+++ b/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafraswinch.fitting_shares import Claim
+from sassafraswinch.capacity_shares import Claim
 from sassafraswinch_sidecar.ingress_admission import (
     INTERVAL_MS,
     LEVELS,
@@ -69,7 +69,7 @@
     """Return a demand for the given slots of the deepest service."""
     needs = {"prehled": 0.1}
     return Claim(
-        kind=route, priority=PRIORITIES[route], rate_per_s=slots / 0.1, needs=needs
+        kind=route, priority=PRIORITIES[route], rate_per_s=slots / 0.1, costs=needs
     )
 
 
@@ -239,11 +239,11 @@
 
 
 def test_merged_cost_of_a_route_is_weighted_by_arrival_rate():
-    few = Claim(kind=STATUS, priority=1, rate_per_s=1.0, needs={"prehled": 0.5})
-    many = Claim(kind=STATUS, priority=1, rate_per_s=9.0, needs={"prehled": 0.1})
+    few = Claim(kind=STATUS, priority=1, rate_per_s=1.0, costs={"prehled": 0.5})
+    many = Claim(kind=STATUS, priority=1, rate_per_s=9.0, costs={"prehled": 0.1})
     (merged,) = merge_claims([[few], [many]])
     assert merged.rate_per_s == 10.0
-    assert merged.needs == {"prehled": pytest.approx(0.14)}
+    assert merged.costs == {"prehled": pytest.approx(0.14)}
 
 
 def test_routes_that_use_one_service_only_are_known_from_completed_requests():
@@ -301,4 +301,4 @@
             HISTORY, {"prehled": 220.0}, 2_500.0 + number * 500.0
         )
     (claim,) = admission.demand()
-    assert claim.needs["prehled"] < 0.3
+    assert claim.costs["prehled"] < 0.3
--- a/packages/sassafraswinch/sassafraswinch/fitting_shares.py
+++ b/packages/sassafraswinch/sassafraswinch/capacity_shares.py
@@ -31,32 +31,32 @@
         kind: name of the kind.
         priority: 0 is the most important.
         rate_per_s: arrival rate of its requests.
-        needs: cost of one request per second, as capacity used by resource.
+        costs: cost of one request per second, as capacity used by resource.
     """
 
     kind: str
     priority: int
     rate_per_s: float
-    needs: Mapping[Hashable, float]
+    costs: Mapping[Hashable, float]
 
-    def wanted(self, resource: Hashable) -> float:
+    def demand_for(self, resource: Hashable) -> float:
         """Return the capacity of a resource that all its requests would use."""
-        return self.rate_per_s * self.needs.get(resource, 0.0)
+        return self.rate_per_s * self.costs.get(resource, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class Allocation:
     """Admitted share of a kind, from 0 to 1, and the resource that limits it."""
 
     share: float
-    lacks: Hashable
+    limiting_resource: Hashable
 
 
-def fitting_shares(
+def capacity_shares(
     claims: Collection[Claim],
     capacities: Mapping[Hashable, float],
     worth_of: Worth | None = None,
-) -> dict[str, Fit]:
+) -> dict[str, Allocation]:
     """Return the admitted share of each kind that can't be served in full.
 
     Args:
@@ -70,7 +70,7 @@
     ):
         return {}
     left = dict(capacities)
-    allocations: dict[str, Fit] = {}
+    allocations: dict[str, Allocation] = {}
     for tier in _tiers(claims, capacities, worth_of):
         allocations |= _fill(tier, left)
     return allocations
@@ -129,19 +129,19 @@
 
 
 def _total_demand(claims: Collection[Claim], resource: Hashable) -> float:
-    return sum(claim.wanted(resource) for claim in claims)
+    return sum(claim.demand_for(resource) for claim in claims)
 
 
-def _fill(claims: list[Claim], left: dict[Hashable, float]) -> dict[str, Fit]:
+def _fill(claims: list[Claim], left: dict[Hashable, float]) -> dict[str, Allocation]:
     """Raise the shares of the claims together, and deduct their usage from ``left``."""
-    allocations: dict[str, Fit] = {}
+    allocations: dict[str, Allocation] = {}
     shares = dict.fromkeys((claim.kind for claim in claims), 0.0)
     speeds = _growth_rates(claims, left)
     growing = claims
     while growing := _unblocked(growing, left, shares, allocations):
         step = min((1.0 - shares[c.kind]) / speeds[c.kind] for c in growing)
         usage = {
-            resource: sum(speeds[c.kind] * c.wanted(resource) for c in growing)
+            resource: sum(speeds[c.kind] * c.demand_for(resource) for c in growing)
             for resource in left
         }
         fitting = (left[resource] / used for resource, used in usage.items() if used)
@@ -169,7 +169,7 @@
     return {
         claim.kind: max(
             (
-                claim.needs.get(resource, 0.0) / capacity
+                claim.costs.get(resource, 0.0) / capacity
                 for resource, capacity in scarce.items()
             ),
             default=0.0,
@@ -199,7 +199,7 @@
     growing: list[Claim],
     left: Mapping[Hashable, float],
     shares: Mapping[str, float],
-    allocations: dict[str, Fit],
+    allocations: dict[str, Allocation],
 ) -> list[Claim]:
     """Return the kinds that no full resource blocks; record the share of the others.
 
@@ -208,9 +208,9 @@
     full = [resource for resource, capacity in left.items() if capacity <= EPSILON]
     unblocked = []
     for claim in growing:
-        blocking = [resource for resource in full if claim.needs.get(resource, 0.0)]
+        blocking = [resource for resource in full if claim.costs.get(resource, 0.0)]
         if blocking:
-            allocations[claim.kind] = Fit(shares[claim.kind], blocking[0])
+            allocations[claim.kind] = Allocation(shares[claim.kind], blocking[0])
         else:
             unblocked.append(claim)
     return unblocked
--- a/packages/sassafraswinch/sassafraswinch/crash_suspects.py
+++ b/packages/sassafraswinch/sassafraswinch/crash_suspects.py
@@ -20,34 +20,34 @@
 
 from sassafraswinch.request_digest import TAG_BYTES, Digests, path_tag
 
-ENDS_TO_RUN_ALONE = 2
+CRASHES_TO_RUN_ALONE = 2
 """Crashes after which a request runs one copy at a time, and beside no other such
 request: each copy would crash one more server, and innocent requests would be lost
 with it again."""
 
-ENDS_TO_HOLD = 3
+CRASHES_TO_HOLD = 3
 """Crashes after which a request is held back. Few innocent requests share three: one
 that is lost with a server is retried at another, which has to crash under it as
 well."""
 
-FIRST_TRIAL_MS = 120_000.0
+FIRST_TRIAL_DELAY_MS = 120_000.0
 """Delay after the last crash until a request that is held back may run once, and so the
 longest wait of an innocent caller. After a power failure in which all hosts lose their
 state, three more servers crash before the request is held back again; a shorter delay
 would add the crashes of trials to those."""
 
-TRIAL_FACTOR = 5
+TRIAL_DELAY_FACTOR = 5
 """Factor on the trial delay for each trial that crashed a server: 2 minutes, then 10,
 then the maximum, so that a bad request that keeps arriving crashes two servers an
 hour."""
 
-LONGEST_TRIAL_MS = 1_800_000.0
+MAX_TRIAL_DELAY_MS = 1_800_000.0
 """Maximum trial delay: mended servers serve a request again within half an hour."""
 
-MEMORY_MS = 2 * LONGEST_TRIAL_MS
+CRASH_RETENTION_MS = 2 * MAX_TRIAL_DELAY_MS
 """Age at which a crash expires: well past the trial that follows it."""
 
-CLEARED_MEMORY_MS = 60_000.0
+CLEARED_RETENTION_MS = 60_000.0
 """Time for which a cleared request is kept: a host that was partitioned may still
 report the earlier crashes."""
 
@@ -58,7 +58,7 @@
 """Share that is kept when the limit is reached; evicting in batches is cheaper."""
 
 
-class Standing(enum.IntEnum):
+class Restriction(enum.IntEnum):
     """Restriction on running a request, in order of strictness."""
 
     FREE = 0
@@ -75,27 +75,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class SuspectDecision:
     """Restriction that applies to a request, and the reason for it.
 
     Attributes:
-        standing: restriction on running it.
+        restriction: restriction on running it.
         digest: digest of the request to which the restriction applies.
-        ends: names of the crashes since the request was last answered.
+        crashes: names of the crashes since the request was last answered.
         wait_ms: time until its next trial, if it is held back.
     """
 
-    standing: Standing
+    restriction: Restriction
     digest: bytes = b""
-    ends: tuple[str, ...] = ()
+    crashes: tuple[str, ...] = ()
     wait_ms: float = 0.0
 
 
-UNSUSPECTED = Judgement(Standing.FREE)
+UNRESTRICTED = SuspectDecision(Restriction.FREE)
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectWord:
+class SuspectReport:
     """One suspect as a host reports it; times are sent as ages, as clocks differ.
 
     Attributes:
@@ -105,7 +105,7 @@
     """
 
     digest: bytes
-    end_ages_ms: Mapping[str, float]
+    crash_ages_ms: Mapping[str, float]
     answered_age_ms: float | None = None
 
 
@@ -142,14 +142,14 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def may_know(self, target: bytes) -> bool:
+    def may_contain(self, target: bytes) -> bool:
         """Return whether a request for this path may be a suspect.
 
         Nearly all requests are not, and need no digest.
         """
         return bool(self._tags) and path_tag(target) in self._tags
 
-    def ended(self, digests: Digests, end: str, now_ms: float) -> bool:
+    def record_crash(self, digests: Digests, end: str, now_ms: float) -> bool:
         """Record that a server process crashed while it ran a request.
 
         Args:
@@ -163,7 +163,7 @@
         changed = [self._add_crash(digest, end, now_ms) for digest in digests]
         return any(changed)
 
-    def answered(self, digests: Digests, now_ms: float) -> bool:
+    def record_answer(self, digests: Digests, now_ms: float) -> bool:
         """Clear a request that a server has run to completion.
 
         Returns:
@@ -172,56 +172,56 @@
         changed = [self._clear(digest, now_ms) for digest in digests]
         return any(changed)
 
-    def judge(self, digests: Digests, now_ms: float) -> Judgement:
+    def decide(self, digests: Digests, now_ms: float) -> SuspectDecision:
         """Return the strictest restriction that now applies to any of the digests."""
         decisions = (self._decide(digest, now_ms) for digest in digests)
-        return max(decisions, key=lambda each: each.standing, default=UNSUSPECTED)
+        return max(decisions, key=lambda each: each.restriction, default=UNRESTRICTED)
 
-    def restricted(self, now_ms: float) -> list[Judgement]:
+    def restricted(self, now_ms: float) -> list[SuspectDecision]:
         """Return a decision for each request that is restricted."""
         decisions = (self._decide(digest, now_ms) for digest in self._suspects)
-        return [each for each in decisions if each.standing is not Standing.FREE]
+        return [each for each in decisions if each.restriction is not Restriction.FREE]
 
-    def held_back(self, now_ms: float) -> list[Judgement]:
+    def held_back(self, now_ms: float) -> list[SuspectDecision]:
         """Return a decision for each request that is held back or due for a trial."""
         restricted = self.restricted(now_ms)
-        return [each for each in restricted if each.standing >= Standing.TRIAL]
+        return [each for each in restricted if each.restriction >= Restriction.TRIAL]
 
-    def words(
-        self, now_ms: float, *, after: int = 0, least_ends: int = 0
-    ) -> list[SuspectWord]:
+    def reports(
+        self, now_ms: float, *, after: int = 0, min_crashes: int = 0
+    ) -> list[SuspectReport]:
         """Return the reports of suspects for another host.
 
         Args:
             now_ms: monotonic time.
             after: number of the last change that was sent to the other host.
-            least_ends: leaves out suspects with fewer crashes since their last answer.
+            min_crashes: leaves out suspects with fewer crashes since their last answer.
         """
         return [
             _report(digest, suspect, now_ms)
             for digest, suspect in self._suspects.items()
-            if suspect.change > after and len(suspect.counted()) >= least_ends
+            if suspect.change > after and len(suspect.counted()) >= min_crashes
         ]
 
-    def take(self, reports: Iterable[SuspectWord], now_ms: float) -> bool:
+    def merge_reports(self, reports: Iterable[SuspectReport], now_ms: float) -> bool:
         """Merge the reports of another host; return whether the state changed."""
         changed = [self._merge(report, now_ms) for report in reports]
         return any(changed)
 
-    def forget(self, now_ms: float) -> None:
+    def evict_expired(self, now_ms: float) -> None:
         """Evict expired crashes and the suspects that no longer need any state."""
         for digest, suspect in list(self._suspects.items()):
             suspect.crashes = {
                 name: at_ms
                 for name, at_ms in suspect.crashes.items()
-                if now_ms - at_ms < MEMORY_MS
+                if now_ms - at_ms < CRASH_RETENTION_MS
             }
             cleared = not suspect.counted()
-            if cleared and now_ms - suspect.answered_ms >= CLEARED_MEMORY_MS:
+            if cleared and now_ms - suspect.answered_ms >= CLEARED_RETENTION_MS:
                 del self._suspects[digest]
         self._rebuild_tags()
 
-    def stood_still(self, paused_ms: float) -> None:
+    def add_paused_time(self, paused_ms: float) -> None:
         """Add the length of a process pause that the clock missed to all ages."""
         for suspect in self._suspects.values():
             suspect.answered_ms -= paused_ms
@@ -229,18 +229,18 @@
                 name: at_ms - paused_ms for name, at_ms in suspect.crashes.items()
             }
 
-    def _decide(self, digest: bytes, now_ms: float) -> Judgement:
+    def _decide(self, digest: bytes, now_ms: float) -> SuspectDecision:
         suspect = self._suspects.get(digest)
         counted = suspect.counted() if suspect else []
-        if len(counted) < ENDS_TO_RUN_ALONE:
-            return UNSUSPECTED
+        if len(counted) < CRASHES_TO_RUN_ALONE:
+            return UNRESTRICTED
         names = tuple(name for _, name in counted)
-        if len(counted) < ENDS_TO_HOLD:
-            return Judgement(Standing.ALONE, digest, names)
+        if len(counted) < CRASHES_TO_HOLD:
+            return SuspectDecision(Restriction.ALONE, digest, names)
         times_ms = [at_ms for at_ms, _ in counted]
-        wait_ms = times_ms[-1] + trial_pause_ms(times_ms) - now_ms
-        restriction = Standing.HELD if wait_ms > 0 else Standing.TRIAL
-        return Judgement(restriction, digest, names, max(wait_ms, 0.0))
+        wait_ms = times_ms[-1] + trial_delay_ms(times_ms) - now_ms
+        restriction = Restriction.HELD if wait_ms > 0 else Restriction.TRIAL
+        return SuspectDecision(restriction, digest, names, max(wait_ms, 0.0))
 
     def _add_crash(self, digest: bytes, crash: str, at_ms: float) -> bool:
         suspect = self._suspects.get(digest)
@@ -267,11 +267,11 @@
         self._record_change(suspect)
         return True
 
-    def _merge(self, report: SuspectWord, now_ms: float) -> bool:
+    def _merge(self, report: SuspectReport, now_ms: float) -> bool:
         crashes = {
             name: age_ms
-            for name, age_ms in report.end_ages_ms.items()
-            if 0 <= age_ms < MEMORY_MS
+            for name, age_ms in report.crash_ages_ms.items()
+            if 0 <= age_ms < CRASH_RETENTION_MS
         }
         added = [
             self._add_crash(report.digest, name, now_ms - age_ms)
@@ -301,7 +301,7 @@
         self._tags = {digest[:TAG_BYTES] for digest in self._suspects}
 
 
-def trial_pause_ms(times_ms: list[float]) -> float:
+def trial_delay_ms(times_ms: list[float]) -> float:
     """Return the delay from a request's last crash to its next trial.
 
     Crashes close together count as one: they only show that all servers were lost at
@@ -310,16 +310,18 @@
     Args:
         times_ms: times of its crashes, in order, at least as many as hold it back.
     """
-    later = itertools.pairwise(times_ms[ENDS_TO_HOLD - 1 :])
-    trials = sum(1 for before, after in later if after - before >= FIRST_TRIAL_MS / 2)
-    return min(FIRST_TRIAL_MS * TRIAL_FACTOR**trials, LONGEST_TRIAL_MS)
+    later = itertools.pairwise(times_ms[CRASHES_TO_HOLD - 1 :])
+    trials = sum(
+        1 for before, after in later if after - before >= FIRST_TRIAL_DELAY_MS / 2
+    )
+    return min(FIRST_TRIAL_DELAY_MS * TRIAL_DELAY_FACTOR**trials, MAX_TRIAL_DELAY_MS)
 
 
-def _report(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectWord:
+def _report(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectReport:
     cleared = suspect.answered_ms > -math.inf
-    return SuspectWord(
+    return SuspectReport(
         digest=digest,
-        end_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.crashes.items()},
+        crash_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.crashes.items()},
         answered_age_ms=now_ms - suspect.answered_ms if cleared else None,
     )
 
--- a/packages/sassafraswinch/sassafraswinch/levels.py
+++ b/packages/sassafraswinch/sassafraswinch/levels.py
@@ -75,7 +75,7 @@
         return self.boundary >= classes and self.hold.lowest_open(now_ms) is None
 
 
-class EntryShedder:
+class IngressShedder:
     """Refuses calls at the ingress that nodes further down the call tree would refuse.
 
     It keeps one boundary on the axis of ranks for each overloaded service, and for each
@@ -91,13 +91,13 @@
         self._needed: dict[str, dict[str, None]] = {}
         self._classes = 1
 
-    def learn(
+    def apply_thresholds(
         self,
         operation: str,
         thresholds: Iterable[ServiceThreshold],
         now_ms: float,
         *,
-        whole: bool,
+        complete: bool,
     ) -> None:
         """Apply the thresholds of one answer.
 
@@ -105,13 +105,13 @@
             operation: name of the operation that was answered.
             thresholds: thresholds of the overloaded services in its call tree.
             now_ms: monotonic time.
-            whole: whether the call ran its complete call tree. If so, the services
+            complete: whether the call ran its complete call tree. If so, the services
                 that it needs and that reported no threshold admit all calls; a refused
                 call has not reached them.
         """
         reported = dict(thresholds)
         needed = self._needed.get(operation, {})
-        if whole:
+        if complete:
             for service in needed.keys() - reported.keys():
                 self._apply_boundary(service, inf, now_ms)
         for service, rank in reported.items():
@@ -131,7 +131,7 @@
                 del self._services[service]
         return True
 
-    def sheds(self, operation: str, class_order: int, now_ms: float) -> bool:
+    def is_shedding(self, operation: str, class_order: int, now_ms: float) -> bool:
         """Return whether some calls of a class are held back; records no refusal."""
         return any(
             state.boundary < class_order + 1
--- a/packages/sassafraswinch/sassafraswinch/organisation_rates.py
+++ b/packages/sassafraswinch/sassafraswinch/organisation_rates.py
@@ -59,7 +59,7 @@
 """Minimum wait of a refused caller, as share of a window."""
 
 
-class Use(NamedTuple):
+class Usage(NamedTuple):
     """Arrived and admitted requests of one organisation.
 
     Attributes:
@@ -71,11 +71,11 @@
     spent: int
 
 
-NO_USAGE = Use(0.0, 0)
+NO_USAGE = Usage(0.0, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class FleetUse:
+class FleetUsage:
     """Usage as reported by several hosts, added up.
 
     Attributes:
@@ -84,12 +84,12 @@
         unknown_ms: parts of the window before these hosts started, added up.
     """
 
-    uses: Mapping[str, Use] = field(default_factory=dict)
+    uses: Mapping[str, Usage] = field(default_factory=dict)
     hosts: int = 0
     unknown_ms: float = 0.0
 
 
-def sum_uses(reports: Iterable[FleetUse]) -> FleetUse:
+def total_usage(reports: Iterable[FleetUsage]) -> FleetUsage:
     """Return the total of the usage that hosts, or zones, reported."""
     asked_per_s: dict[str, float] = defaultdict(float)
     spent: dict[str, int] = defaultdict(int)
@@ -101,8 +101,10 @@
         for name, (arrived, admitted) in each.uses.items():
             asked_per_s[name] += arrived
             spent[name] += admitted
-    usages = {name: Use(arrived, spent[name]) for name, arrived in asked_per_s.items()}
-    return FleetUse(usages, hosts, unknown_ms)
+    usages = {
+        name: Usage(arrived, spent[name]) for name, arrived in asked_per_s.items()
+    }
+    return FleetUsage(usages, hosts, unknown_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -122,7 +124,7 @@
         window = limit.rate_per_s * self.window_ms / 1000
         return window + BURST_SHARE * limit.burst + SLACK_SHARE * self.slack
 
-    def is_near(self, limit: RateLimit, usage: Use) -> bool:
+    def is_near(self, limit: RateLimit, usage: Usage) -> bool:
         """Return whether an organisation's usage is near its limit."""
         return (
             usage.asked_per_s >= NEAR_LIMIT_SHARE * limit.rate_per_s
@@ -139,14 +141,14 @@
         share: share of the organisation's requests that is admitted.
         asked_per_s: arrival rate of the organisation at all hosts, as last reported.
         spent: requests admitted at all hosts within the window, as last reported.
-        part: share of the limit that belongs to the hosts that reported.
+        limit_share: share of the limit that belongs to the hosts that reported.
     """
 
     admitted: bool
     share: float
     asked_per_s: float
     spent: float
-    part: float
+    limit_share: float
 
 
 @dataclass(slots=True)
@@ -166,7 +168,7 @@
     limit: RateLimit
     spent: float = 0.0
     buckets: deque[_Bucket] = field(default_factory=deque)
-    reported: Use = NO_USAGE
+    reported: Usage = NO_USAGE
 
     def current(self, window_ms: float, now_ms: float) -> _Bucket:
         buckets = self.buckets
@@ -181,7 +183,7 @@
         while buckets and now_ms - buckets[0].started_ms >= window_ms + BUCKET_MS / 2:
             self.spent -= buckets.popleft().spent
 
-    def usage(self, now_ms: float, age_ms: float) -> Use:
+    def usage(self, now_ms: float, age_ms: float) -> Usage:
         arrived = 0
         since_ms = now_ms - ARRIVAL_WINDOW_MS
         for bucket in reversed(self.buckets):
@@ -189,7 +191,7 @@
                 break
             arrived += bucket.arrived
         over_ms = min(ARRIVAL_WINDOW_MS, max(MIN_ARRIVAL_WINDOW_MS, age_ms))
-        return Use(arrived * 1000 / over_ms, max(0, round(self.spent)))
+        return Usage(arrived * 1000 / over_ms, max(0, round(self.spent)))
 
     def update_limit(self, limit: RateLimit) -> None:
         """Apply a changed limit.
@@ -213,9 +215,9 @@
     Args:
         rule: rule by which the limits are measured.
         now_ms: monotonic time at which this host started.
-        most_hosts: returns the maximum number of hosts. Hosts without a current report
+        max_hosts: returns the maximum number of hosts. Hosts without a current report
             admit requests as well, so their share of the limits is left to them.
-        told: returns the usage last reported by all hosts, with 0 hosts if there
+        fleet_usage: returns the usage last reported by all hosts, with 0 hosts if there
             are no reports.
         random: returns a number from 0 to 1.
     """
@@ -225,18 +227,20 @@
         *,
         rule: RateRule,
         now_ms: float,
-        most_hosts: Callable[[], int],
-        told: Callable[[float], FleetUse],
+        max_hosts: Callable[[], int],
+        fleet_usage: Callable[[float], FleetUsage],
         random: Callable[[], float],
     ):
         self._rule = rule
         self._started_ms = now_ms
-        self._max_hosts = most_hosts
-        self._reported_usage = told
+        self._max_hosts = max_hosts
+        self._reported_usage = fleet_usage
         self._random = random
         self._counts: dict[str, _Counts] = {}
 
-    def ask(self, organisation: Organisation, now_ms: float) -> RateDecision | None:
+    def decide_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> RateDecision | None:
         """Count an arrived request, and decide whether it is admitted.
 
         Returns:
@@ -261,7 +265,7 @@
             admitted, share, usage.asked_per_s, usage.spent, limit_share
         )
 
-    def look(
+    def preview_decision(
         self, organisation: Organisation, now_ms: float
     ) -> tuple[RateDecision, int]:
         """Return the decision that a request would get now, without counting it.
@@ -287,7 +291,7 @@
         """Count a request that is sent to a backend server."""
         self._add(organisation, 1, now_ms)
 
-    def give_back(self, organisation: Organisation, now_ms: float) -> None:
+    def refund(self, organisation: Organisation, now_ms: float) -> None:
         """Undo ``spend`` for a request that turned out not to have run."""
         self._add(organisation, -1, now_ms)
 
@@ -299,7 +303,7 @@
         overdrawn = max(1.0 - decision.share, MIN_WAIT_SHARE)
         return self._rule.window_ms * overdrawn * (0.5 + 0.5 * self._random())
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return the usage at this host for its host report."""
         window_ms = self._rule.window_ms
         age_ms = now_ms - self._started_ms
@@ -311,7 +315,7 @@
                 usages[name] = usage
             elif not counts.buckets:
                 del self._counts[name]
-        return FleetUse(usages, 1, self._unknown_ms(now_ms))
+        return FleetUsage(usages, 1, self._unknown_ms(now_ms))
 
     def _add(self, organisation: Organisation, sign: int, now_ms: float) -> None:
         if organisation.limit is None:
@@ -332,21 +336,21 @@
         counts.update_limit(limit)
         return counts
 
-    def _fleet_usage(self, now_ms: float) -> FleetUse:
+    def _fleet_usage(self, now_ms: float) -> FleetUsage:
         usage = self._reported_usage(now_ms)
-        return usage if usage.hosts else FleetUse({}, 1, self._unknown_ms(now_ms))
+        return usage if usage.hosts else FleetUsage({}, 1, self._unknown_ms(now_ms))
 
     def _unknown_ms(self, now_ms: float) -> float:
         return max(0.0, self._rule.window_ms - (now_ms - self._started_ms))
 
     def _share(
-        self, name: str, counts: _Counts, fleet: FleetUse, now_ms: float
-    ) -> tuple[float, Use, float]:
+        self, name: str, counts: _Counts, fleet: FleetUsage, now_ms: float
+    ) -> tuple[float, Usage, float]:
         """Return the share to admit, the known usage, and the share of the limit."""
         limit = counts.limit
         own = counts.usage(now_ms, now_ms - self._started_ms)
         usage = fleet.uses.get(name, NO_USAGE)
-        usage = Use(
+        usage = Usage(
             max(usage.asked_per_s, own.asked_per_s), max(usage.spent, own.spent)
         )
         max_hosts = max(self._max_hosts(), fleet.hosts, 1)
@@ -371,7 +375,7 @@
             limit_share,
         )
 
-    def _refill_tokens(self, counts: _Counts, usage: Use, now_ms: float) -> None:
+    def _refill_tokens(self, counts: _Counts, usage: Usage, now_ms: float) -> None:
         """Add the tokens of the elapsed time.
 
         Tokens bound what one host admits between two totals, however much arrives.
--- a/packages/sassafraswinch/sassafraswinch/organisations.py
+++ b/packages/sassafraswinch/sassafraswinch/organisations.py
@@ -52,16 +52,16 @@
     """All organisations of one configuration.
 
     Args:
-        entries: the organisations with their API keys.
+        organisation_keys: the organisations with their API keys.
 
     Raises:
         AmbiguousOrganisationError: two organisations share a name or an API key.
     """
 
-    def __init__(self, *, entries: Iterable[OrganisationKeys]):
+    def __init__(self, *, organisation_keys: Iterable[OrganisationKeys]):
         self.by_name: dict[str, Organisation] = {}
         self._by_key: dict[str, Organisation] = {}
-        for item in entries:
+        for item in organisation_keys:
             organisation = item.organisation
             name = organisation.name
             if name in self.by_name:
--- a/packages/sassafraswinch/tests/test_fitting_shares.py
+++ b/packages/sassafraswinch/tests/test_capacity_shares.py
@@ -3,20 +3,20 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from sassafraswinch.fitting_shares import Claim, fitting_shares
+from sassafraswinch.capacity_shares import Claim, capacity_shares
 
 QUOTE = Claim(
     kind="quote",
     priority=2,
     rate_per_s=422.0,
-    needs={"quotes": 0.3, "fieldwork": 0.3, "paperwork": 0.24},
+    costs={"quotes": 0.3, "fieldwork": 0.3, "paperwork": 0.24},
 )
-FORM = Claim(kind="form", priority=2, rate_per_s=61.0, needs={"paperwork": 0.096})
+FORM = Claim(kind="form", priority=2, rate_per_s=61.0, costs={"paperwork": 0.096})
 DELIVERY = Claim(
     kind="delivery",
     priority=0,
     rate_per_s=196.0,
-    needs={"logistics": 0.4, "fieldwork": 0.3, "paperwork": 0.24},
+    costs={"logistics": 0.4, "fieldwork": 0.3, "paperwork": 0.24},
 )
 CAPACITIES = {
     "quotes": 600.0,
@@ -27,8 +27,8 @@
 
 
 def test_demand_within_capacity_is_admitted_in_full():
-    small = Claim(kind="quote", priority=2, rate_per_s=10.0, needs=QUOTE.needs)
-    assert fitting_shares([small, FORM], CAPACITIES) == {}
+    small = Claim(kind="quote", priority=2, rate_per_s=10.0, costs=QUOTE.costs)
+    assert capacity_shares([small, FORM], CAPACITIES) == {}
 
 
 def test_requests_blocked_at_one_service_use_no_capacity_of_another():
@@ -36,11 +36,11 @@
     and forms need paperwork alone, which is idle. Computed service by service,
     paperwork appeared full with quotes that never reach it.
     """
-    allocations = fitting_shares(
+    allocations = capacity_shares(
         [QUOTE, FORM, DELIVERY], CAPACITIES | {"fieldwork": 0.0}
     )
     assert allocations["quote"].share == allocations["delivery"].share == 0.0
-    assert allocations["quote"].lacks == "fieldwork"
+    assert allocations["quote"].limiting_resource == "fieldwork"
     assert "form" not in allocations
 
 
@@ -49,12 +49,12 @@
     equal shares the forms, a sixteenth of the load, were the worst served kind.
     """
     capacities = CAPACITIES | {"paperwork": 70.0}
-    allocations = fitting_shares([QUOTE, FORM, DELIVERY], capacities)
+    allocations = capacity_shares([QUOTE, FORM, DELIVERY], capacities)
     assert "delivery" not in allocations
     assert allocations["form"].share == pytest.approx(2.5 * allocations["quote"].share)
-    left = capacities["paperwork"] - DELIVERY.wanted("paperwork")
+    left = capacities["paperwork"] - DELIVERY.demand_for("paperwork")
     used = sum(
-        allocations[claim.kind].share * claim.wanted("paperwork")
+        allocations[claim.kind].share * claim.demand_for("paperwork")
         for claim in (QUOTE, FORM)
     )
     assert used == pytest.approx(left)
@@ -64,10 +64,10 @@
     """No server of a service is reachable, and no request that needs it has arrived
     recently. The next one must be refused, whether other kinds need the service or not.
     """
-    idle = Claim(kind="k", priority=0, rate_per_s=0.0, needs={"a": 1.0})
-    busy = Claim(kind="l", priority=1, rate_per_s=1.0, needs={"a": 1.0})
+    idle = Claim(kind="k", priority=0, rate_per_s=0.0, costs={"a": 1.0})
+    busy = Claim(kind="l", priority=1, rate_per_s=1.0, costs={"a": 1.0})
     for claims in ([idle], [idle, busy]):
-        assert fitting_shares(claims, {"a": 0.0})["k"].share == 0.0
+        assert capacity_shares(claims, {"a": 0.0})["k"].share == 0.0
 
 
 RESOURCES = ("a", "b", "c")
@@ -80,7 +80,7 @@
             kind=st.sampled_from("klmnop"),
             priority=st.sampled_from(priorities),
             rate_per_s=st.floats(0.0, 500.0),
-            needs=st.dictionaries(st.sampled_from(resources), costs, min_size=1),
+            costs=st.dictionaries(st.sampled_from(resources), costs, min_size=1),
         ),
         unique_by=lambda claim: claim.kind,
     )
@@ -98,29 +98,32 @@
 def test_no_resource_is_overcommitted_and_no_usable_capacity_is_left(
     worth_of, claims, capacities
 ):
-    allocations = fitting_shares(claims, capacities, worth_of)
+    allocations = capacity_shares(claims, capacities, worth_of)
     shares = {
         c.kind: allocations[c.kind].share if c.kind in allocations else 1.0
         for c in claims
     }
     used = {
-        resource: sum(shares[c.kind] * c.wanted(resource) for c in claims)
+        resource: sum(shares[c.kind] * c.demand_for(resource) for c in claims)
         for resource in capacities
     }
     for resource, capacity in capacities.items():
         assert used[resource] <= capacity + 1e-6
     for kind, allocation in allocations.items():
         assert 0.0 <= allocation.share <= 1.0
-        assert used[allocation.lacks] >= capacities[allocation.lacks] - 1e-6, kind
+        assert (
+            used[allocation.limiting_resource]
+            >= capacities[allocation.limiting_resource] - 1e-6
+        ), kind
 
 
 @settings(derandomize=True, deadline=None)
 @given(claims=claims_of_any_cost, capacities=any_capacities)
 def test_less_important_kinds_dont_affect_more_important_ones(claims, capacities):
-    allocations = fitting_shares(claims, capacities)
+    allocations = capacity_shares(claims, capacities)
     for priority in (0, 1):
         upper = [claim for claim in claims if claim.priority <= priority]
-        alone = fitting_shares(upper, capacities)
+        alone = capacity_shares(upper, capacities)
         for claim in upper:
             share = allocations[claim.kind].share if claim.kind in allocations else 1.0
             before = alone[claim.kind].share if claim.kind in alone else 1.0
@@ -130,9 +133,9 @@
 @settings(derandomize=True, deadline=None)
 @given(claims=claims_strategy(st.floats(0.01, 1.0), ("a",)), capacity=st.floats(0, 300))
 def test_arriving_requests_of_equal_priority_get_the_same_capacity(claims, capacity):
-    allocations = fitting_shares(claims, {"a": capacity})
+    allocations = capacity_shares(claims, {"a": capacity})
     granted = {
-        (claim.priority, claim.kind): allocations[claim.kind].share * claim.needs["a"]
+        (claim.priority, claim.kind): allocations[claim.kind].share * claim.costs["a"]
         for claim in claims
         if claim.kind in allocations
     }
@@ -142,7 +145,7 @@
         full = [
             c for c in claims if c.priority == priority and c.kind not in allocations
         ]
-        assert all(c.needs["a"] <= amount + 1e-6 for c in full for amount in equal)
+        assert all(c.costs["a"] <= amount + 1e-6 for c in full for amount in equal)
 
 
 @settings(derandomize=True, deadline=None)
@@ -153,19 +156,19 @@
 def test_kind_gets_less_than_an_equal_only_if_a_resource_limits_it(claims, capacity):
     """A kind with a greater share does not use the resource that limits the other."""
     capacities = dict.fromkeys(RESOURCES, capacity)
-    allocations = fitting_shares(claims, capacities)
+    allocations = capacity_shares(claims, capacities)
     for claim in claims:
         allocation = allocations.get(claim.kind)
         for other in claims if allocation else ():
             share = allocations[other.kind].share if other.kind in allocations else 1.0
             if other.priority == claim.priority and share > allocation.share + 1e-6:
-                assert not other.needs.get(allocation.lacks)
+                assert not other.costs.get(allocation.limiting_resource)
 
 
-APPROVAL = Claim(kind="approval", priority=0, rate_per_s=100.0, needs={"status": 0.2})
-CHECK = Claim(kind="check", priority=1, rate_per_s=100.0, needs={"status": 0.04})
-LOOKUP = Claim(kind="lookup", priority=2, rate_per_s=100.0, needs={"status": 0.1})
-RELEASE = Claim(kind="release", priority=0, rate_per_s=50.0, needs={"release": 0.1})
+APPROVAL = Claim(kind="approval", priority=0, rate_per_s=100.0, costs={"status": 0.2})
+CHECK = Claim(kind="check", priority=1, rate_per_s=100.0, costs={"status": 0.04})
+LOOKUP = Claim(kind="lookup", priority=2, rate_per_s=100.0, costs={"status": 0.1})
+RELEASE = Claim(kind="release", priority=0, rate_per_s=50.0, costs={"release": 0.1})
 SCARCE = {"status": 20.0, "release": 50.0}
 
 
@@ -176,10 +179,10 @@
 def test_kind_worth_more_for_its_capacity_is_admitted_as_often_as_those_above():
     """Guards against call trees of eight calls that starve many short requests."""
     claims = [APPROVAL, CHECK, LOOKUP, RELEASE]
-    strict = fitting_shares(claims, SCARCE)
+    strict = capacity_shares(claims, SCARCE)
     assert "approval" not in strict or strict["approval"].share == pytest.approx(1.0)
     assert strict["check"].share == pytest.approx(0.0)
-    allocations = fitting_shares(claims, SCARCE, by_priority)
+    allocations = capacity_shares(claims, SCARCE, by_priority)
     assert allocations["approval"].share == pytest.approx(20.0 / 24.0)
     assert allocations["check"].share == pytest.approx(20.0 / 24.0)
     assert allocations["lookup"].share == pytest.approx(0.0)
@@ -187,9 +190,9 @@
 
 
 def test_higher_priority_organisation_keeps_its_full_share():
-    first = Claim(kind="first", priority=2, rate_per_s=100.0, needs={"status": 0.2})
-    check = Claim(kind="check", priority=17, rate_per_s=100.0, needs={"status": 0.04})
-    allocations = fitting_shares([first, check], SCARCE, by_priority)
+    first = Claim(kind="first", priority=2, rate_per_s=100.0, costs={"status": 0.2})
+    check = Claim(kind="check", priority=17, rate_per_s=100.0, costs={"status": 0.04})
+    allocations = capacity_shares([first, check], SCARCE, by_priority)
     assert "first" not in allocations or allocations["first"].share == pytest.approx(
         1.0
     )
@@ -205,11 +208,11 @@
             kind=claim.kind,
             priority=claim.priority,
             rate_per_s=claim.rate_per_s,
-            needs={name: claim.needs.get(name, 0.0) + 0.01 for name in capacities},
+            costs={name: claim.costs.get(name, 0.0) + 0.01 for name in capacities},
         )
         for claim in claims
     ]
-    allocations = fitting_shares(claims, capacities, by_priority)
+    allocations = capacity_shares(claims, capacities, by_priority)
     shares = {
         c.kind: allocations[c.kind].share if c.kind in allocations else 1.0
         for c in claims
--- a/packages/sassafraswinch/tests/test_levels.py
+++ b/packages/sassafraswinch/tests/test_levels.py
@@ -8,7 +8,7 @@
 from sassafraswinch.levels import (
     MAX_OPERATIONS,
     REOPEN_MS,
-    EntryShedder,
+    IngressShedder,
     rank_below,
     rank_position,
 )
@@ -26,12 +26,12 @@
     release could be stricter than that of the lookup after its last answers, so lookups
     used the capacity that releases were refused.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(TRIAL, LEVELS - 1), 0)
-    shedder.learn("lookup", MIDDLE_OF_TRIAL, 0, whole=False)
+    shedder.apply_thresholds("lookup", MIDDLE_OF_TRIAL, 0, complete=False)
     strict = (ServiceThreshold("archiv", Rank(PAYING, 10)),)
     for _ in range(10):
-        shedder.learn("release", strict, 0, whole=False)
+        shedder.apply_thresholds("release", strict, 0, complete=False)
     assert not shedder.admits("release", Rank(PAYING, LEVELS - 1), 0)
     assert not shedder.admits("lookup", Rank(TRIAL, 0), 0)
 
@@ -42,24 +42,24 @@
     Its answer therefore has no threshold of the overloaded archive. Interpreted as "the
     archive admits all" it would undo the thresholds of complete answers.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("release", Rank(TRIAL, 0), 0)
     strict = (ServiceThreshold("archiv", Rank(PAYING, 10)),)
     for _ in range(10):
-        shedder.learn("release", strict, 0, whole=True)
+        shedder.apply_thresholds("release", strict, 0, complete=True)
     before = shedder.admits("release", Rank(PAYING, 100), 0)
     for _ in range(100):
-        shedder.learn("release", (), 0, whole=False)
+        shedder.apply_thresholds("release", (), 0, complete=False)
     assert not before
     assert not shedder.admits("release", Rank(PAYING, 100), 0)
 
 
 def test_all_ranks_are_admitted_again_after_a_second():
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(TRIAL, 0), 0)
     for _ in range(50):
         strict = (ServiceThreshold("archiv", Rank(PAYING, 0)),)
-        shedder.learn("lookup", strict, 0, whole=True)
+        shedder.apply_thresholds("lookup", strict, 0, complete=True)
     assert not shedder.admits("lookup", Rank(PAYING, 20), 0)
     assert shedder.admits("lookup", Rank(TRIAL, LEVELS - 1), 1_300)
 
@@ -79,10 +79,10 @@
     ranks=st.lists(st.integers(0, 2), min_size=2, max_size=20),
 )
 def test_no_class_is_admitted_where_a_higher_one_is_refused(answers, ranks):
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     for operation, service, order, level, complete in answers:
         thresholds = (ServiceThreshold(service, Rank(order, level)),)
-        shedder.learn(operation, thresholds, 0, whole=complete)
+        shedder.apply_thresholds(operation, thresholds, 0, complete=complete)
     refused = [
         order
         for order in ranks
@@ -94,10 +94,10 @@
 
 
 def test_memory_is_bounded():
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     for number in range(2 * MAX_OPERATIONS):
         thresholds = (ServiceThreshold(f"service-{number}", Rank(0, 1)),)
-        shedder.learn(f"operation-{number}", thresholds, 0, whole=True)
+        shedder.apply_thresholds(f"operation-{number}", thresholds, 0, complete=True)
     assert len(shedder._needed) <= MAX_OPERATIONS
     assert shedder.retry_after_ms("lookup", Rank(0, 0), 0, random.Random(1)) >= 0
 
@@ -107,7 +107,7 @@
 
 def apply_archive_answer(shedder, threshold, now_ms):
     thresholds = () if threshold is None else (ServiceThreshold("archiv", threshold),)
-    shedder.learn("lookup", thresholds, now_ms, whole=True)
+    shedder.apply_thresholds("lookup", thresholds, now_ms, complete=True)
 
 
 @given(rank=ranks)
@@ -124,7 +124,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_ingress_never_admits_a_lower_rank_where_it_refuses_a_higher(answers, offers):
-    shedder, now_ms = EntryShedder(), 0.0
+    shedder, now_ms = IngressShedder(), 0.0
     shedder.admits("lookup", Rank(3, 0), now_ms)
     for threshold, pause_ms in answers:
         now_ms += pause_ms
@@ -140,7 +140,7 @@
     The ingress must refuse at once the calls that the node would refuse. Without
     answers it must reopen within a second, or no call would ever reach the node again.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
         apply_archive_answer(shedder, Rank(0, 63), 0.0)
@@ -156,7 +156,7 @@
 
     The next trial call would be admitted where a paying call was just refused.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
         apply_archive_answer(shedder, Rank(0, 119), 0.0)
@@ -167,7 +167,7 @@
 
 
 def test_ingress_retry_after_grows_with_the_number_of_refused_calls():
-    shedder, rng = EntryShedder(), random.Random(1)
+    shedder, rng = IngressShedder(), random.Random(1)
     apply_archive_answer(shedder, Rank(0, 0), 0.0)
     waits = [shedder.retry_after_ms("lookup", Rank(0, 90), 0.0, rng) for _ in range(3)]
     assert all(wait > 0 for wait in waits)
--- a/packages/sassafraswinch/tests/test_organisations.py
+++ b/packages/sassafraswinch/tests/test_organisations.py
@@ -17,7 +17,10 @@
 
 def test_key_identifies_its_organisation():
     organisations = Organisations(
-        entries=[organisation_keys("a", "k1", "k2"), organisation_keys("b", "k3")]
+        organisation_keys=[
+            organisation_keys("a", "k1", "k2"),
+            organisation_keys("b", "k3"),
+        ]
     )
     assert organisations.find("k2").name == "a"
     assert organisations.find("k3").name == "b"
@@ -26,7 +29,7 @@
 
 
 def test_organisation_may_have_no_key():
-    assert Organisations(entries=[organisation_keys("a")]).find("") is None
+    assert Organisations(organisation_keys=[organisation_keys("a")]).find("") is None
 
 
 @pytest.mark.parametrize(
@@ -38,13 +41,13 @@
 )
 def test_shared_names_and_keys_are_refused(entries):
     with pytest.raises(AmbiguousOrganisationError) as caught:
-        Organisations(entries=entries)
+        Organisations(organisation_keys=entries)
     assert "k" not in str(caught.value).replace("key", "").replace("listed twice", "")
 
 
 def test_ten_thousand_organisations_are_accepted():
     entries = [organisation_keys(f"o{n}", f"key-{n}") for n in range(10_000)]
-    assert Organisations(entries=entries).find("key-9999").name == "o9999"
+    assert Organisations(organisation_keys=entries).find("key-9999").name == "o9999"
 
 
 def test_keys_are_left_out_of_repr():
