--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -86,7 +86,8 @@
 
 def _line(judged: SuspectDecision) -> str:
     return (
-        f"digest={digest_text(judged.digest)} standing={judged.restriction.name.lower()} "
+        f"digest={digest_text(judged.digest)} "
+        f"standing={judged.restriction.name.lower()} "
         f"ends={len(judged.crashes)} servers={','.join(judged.crashes)} "
         f"trial_in_ms={judged.wait_ms:.0f}"
     )
