--- a/packages/sassafraswinch/sassafraswinch/claims.py
+++ b/packages/sassafraswinch/sassafraswinch/claims.py
@@ -1,4 +1,4 @@
-"""What a request gets that may carry the key of an earlier one."""
+"""Claim results: dispatch, join, recorded answer or refusal of a keyed request."""
 
 import enum
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class RunState(enum.IntEnum):
-    """What is known about the one run of a keyed request, in one byte."""
+    """State of the only execution of a keyed request, in one byte."""
 
     UNUSED = 0
     RUNNING = 1
@@ -20,28 +20,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Dispatch:
-    """The request may be dispatched now; ``finish`` must follow."""
+    """The request may be dispatched; a call of ``finish`` must follow."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Join:
-    """The same request runs already: wait for the outcome of this number."""
+    """The same request is running already: wait for the outcome of this number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Recorded:
-    """The request has run; this is its whole answer."""
+    """The request has run; this is its complete answer."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """The request isn't dispatched; the verdict holds for its key, for good."""
+    """The request isn't dispatched; the verdict for its key is permanent."""
 
     verdict: Verdict
     reason: Reason
@@ -50,7 +50,7 @@
 Claim = Dispatch | Join | Recorded | Refused
 
 NOT_KEPT = Refused(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.ANSWER_NOT_KEPT)
-"""The request ran or may have run, and there is no answer to give."""
+"""The request ran or may have run, and its answer isn't stored."""
 
 
 def final_state(verdict: Verdict) -> RunState:
--- a/packages/sassafraswinch/sassafraswinch/dispatch_end.py
+++ b/packages/sassafraswinch/sassafraswinch/dispatch_end.py
@@ -1,4 +1,4 @@
-"""What the end of a dispatch to a backend server proves."""
+"""Classification of the end of a dispatch to a backend server."""
 
 from sassafraswinch.gate import BackendOutcome
 from sassafraswinch.requests import BackendResult
@@ -6,7 +6,7 @@
 
 SHED_STATUS = 503
 SHED_HEADER = "x-not-run"
-"""With this header set to 1 a backend server's 503 says that nothing was started."""
+"""Header that marks a 503 as shed, if it is 1: the backend server started nothing."""
 
 
 def judge(
@@ -14,8 +14,8 @@
 ) -> tuple[Verdict, Reason | None, BackendOutcome]:
     """Return verdict, reason and gate outcome for the end of a dispatch.
 
-    Only the documented shed form proves NOT_RUN; a plain 500 or 503 is an answer.
-    A backend server that sheds a call after calling onward contradicts itself.
+    Only a 503 with the shed header proves NOT_RUN; a plain 500 or 503 is an answer. If
+    a backend server sheds a call after it made child calls, the call may have run.
     """
     if result.verdict is Verdict.ANSWERED:
         if result.status == SHED_STATUS and (SHED_HEADER, "1") in result.headers:
--- a/packages/sassafraswinch/sassafraswinch/egress.py
+++ b/packages/sassafraswinch/sassafraswinch/egress.py
@@ -1,4 +1,4 @@
-"""Calls that the local backend server makes while it runs a call."""
+"""Egress of a node: child calls that the local backend server makes."""
 
 from collections.abc import Callable
 
@@ -19,10 +19,10 @@
 
 
 class Egress:
-    """The way of a child call from the running parent to its owned call and back.
+    """Admits child calls of running parents as owned calls and returns their outcomes.
 
-    A parent runs once and its node owns all its children, so a child needs no
-    ticket: a repeat of the same child comes through this node and is recognised.
+    A parent runs once and its node owns all its child calls, so a child call needs no
+    ticket: a retry of the same child call passes through this node and is recognised.
     """
 
     def __init__(
@@ -43,10 +43,10 @@
     def submit(
         self, request: Request, waiter: LocalWaiter, now_ms: float
     ) -> OwnedCall | None:
-        """Take a call of the local backend server.
+        """Submit a call of the local backend server.
 
         Returns:
-            The owned call that the waiter now waits for, if there is one.
+            The owned call that the waiter now waits for, or None.
         """
         parent = self.executor.parent(request.traceparent)
         orphan = parent is None and is_own_span(request.traceparent)
@@ -56,17 +56,17 @@
                 request.service, request.method, request.target
             )
         if operation is None:
-            return self._refuse_unread(parent, orphan, waiter)
+            return self._refuse_unclassified(parent, orphan, waiter)
         classification = self.classifier.lowest(operation)
         if parent is not None:
             return self._submit_child(request, classification, parent, waiter, now_ms)
         if orphan:
-            doubt = not classification.repeatable
-            return self._refuse(waiter, Reason.CANCELLED, doubt=doubt)
+            may_have_run = not classification.repeatable
+            return self._refuse(waiter, Reason.CANCELLED, may_have_run=may_have_run)
         return self.entry.submit_classified(request, classification, waiter, now_ms)
 
     def finished(self, finished: Finished, now_ms: float) -> None:
-        """Settle the parent and the waiters of an ended child call."""
+        """Settle the parent and the waiters of a finished child call."""
         owned = finished.owned
         pending: Pending = owned.context
         parent = pending.parent
@@ -81,7 +81,7 @@
             self.respond(waiter, outcome_of(finished.answer))
 
     def parent_ended(self, parent: RunningCall, now_ms: float) -> None:
-        """Stop what still runs below a parent that has ended."""
+        """Cancel the open child calls of a parent that has ended."""
         orphans = [
             owned
             for owned in self.owner.open.values()
@@ -163,28 +163,31 @@
         owned.context.waiters.append(waiter)
         return owned
 
-    def _refuse_unread(
+    def _refuse_unclassified(
         self, parent: RunningCall | None, orphan: bool, waiter: LocalWaiter
     ) -> None:
-        """Refuse what the document, or the lack of one, leaves unread."""
-        lacking = self.classifier is None
-        reason = Reason.NO_DOCUMENT if lacking else Reason.UNKNOWN_OPERATION
-        doubt = orphan or (parent is not None and parent.began_children)
-        self._refuse(waiter, reason, doubt=doubt)
-
-    def _refuse(self, waiter: LocalWaiter, reason: Reason, *, doubt: bool) -> None:
-        """Refuse a call; in doubt nothing is said of earlier calls for the same.
-
-        Story: an approval is given up, or its node restarts, while its backend server
-        waits for a release; the backend server repeats the release. What was known
-        of the first went with the parent, and it may have run or run yet.
+        """Refuse a call of an unknown operation, or any call without a document."""
+        no_document = self.classifier is None
+        reason = Reason.NO_DOCUMENT if no_document else Reason.UNKNOWN_OPERATION
+        may_have_run = orphan or (parent is not None and parent.began_children)
+        self._refuse(waiter, reason, may_have_run=may_have_run)
+
+    def _refuse(
+        self, waiter: LocalWaiter, reason: Reason, *, may_have_run: bool
+    ) -> None:
+        """Refuse a call, with MAY_HAVE_RUN if an earlier one like it may have run.
+
+        Failure: an approval is cancelled, or its node restarts, while its backend
+        server waits for a release, and the backend server retries the release. The
+        record of the first release was lost with the parent, and that release may have
+        run or may still run.
         """
-        verdict = Verdict.MAY_HAVE_RUN if doubt else Verdict.NOT_RUN
+        verdict = Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
         self.respond(waiter, Outcome(verdict=verdict, reason=reason))
 
 
 def child_mark(request: Request) -> bytes:
-    """Return what stays the same when a backend server repeats a child call."""
+    """Return a key that is the same for a child call and its retries."""
     if request.idempotency_key is not None:
         return request.idempotency_key.encode()
     return fingerprint(request.method, request.target, request.body)
--- a/packages/sassafraswinch/sassafraswinch/entry.py
+++ b/packages/sassafraswinch/sassafraswinch/entry.py
@@ -1,4 +1,4 @@
-"""Requests of callers: classified once, shed, deduplicated by ticket, then owned."""
+"""Ingress admission of a node: classifies, sheds and deduplicates callers' requests."""
 
 import random
 from collections.abc import Callable
@@ -19,18 +19,20 @@
 from sassafraswinch.retry import RetryAllowance
 from sassafraswinch.verdict import Reason, Verdict
 
-NO_DOCUMENT_RETRY_MS = 1000
-"""A node without a document asks its peers and the platform in about this time."""
+NO_DOCUMENT_RETRY_AFTER_MS = 1000
+"""Retry-after of a node without a document: it requests one from its peers and the
+platform within about this time."""
 
-UNREAD_MS = 1_000.0
-"""Deadline of a request that is passed on by a node which never had a document."""
+UNCLASSIFIED_DEADLINE_MS = 1_000.0
+"""Deadline of a request that is forwarded by a node which never had a document."""
 
-LEAVING_RETRY_MS = 100
-"""Another node of the availability zone can be asked at once."""
+LEAVING_RETRY_AFTER_MS = 100
+"""Retry-after of a leaving node: another node of the availability zone can serve the
+request at once."""
 
 
 class Entry:
-    """The way of a request from a caller to its owned call and back."""
+    """Admits requests of callers as owned calls and returns their outcomes."""
 
     def __init__(
         self,
@@ -53,31 +55,32 @@
         self.recorder = recorder
         self.rng = rng
         self.classifier: Classifier | None = None
-        """By the document served; None while there is none, as after a wake."""
-        self._newest: Classifier | None = None
+        """Classifier of the document in force; None without one, as after a resume
+        from a process pause."""
+        self._latest_classifier: Classifier | None = None
         self.leaving = False
-        self._by_ticket: dict[int, OwnedCall] = {}
+        self._calls_by_ticket: dict[int, OwnedCall] = {}
 
     def use(self, classifier: Classifier | None) -> None:
-        """Classify by this from now on; None: let no request in."""
+        """Set the classifier; None: admit no request."""
         self.classifier = classifier
-        self._newest = classifier or self._newest
+        self._latest_classifier = classifier or self._latest_classifier
 
     def submit(
         self, request: Request, waiter: Waiter, now_ms: float
     ) -> OwnedCall | None:
-        """Take a request of a caller, or one that another node forwarded.
+        """Submit a request of a caller, or one that another node forwarded.
 
         Returns:
-            The owned call that the waiter now waits for, if there is one.
+            The owned call that the waiter now waits for, or None.
         """
-        ticket = self._ticket(request)
+        ticket = self._parsed_ticket(request)
         if ticket is not None and ticket.owner != self.node:
             return self._forward(request, ticket, waiter, now_ms)
-        classifier = self.classifier if ticket is None else self._newest
+        classifier = self.classifier if ticket is None else self._latest_classifier
         if classifier is None:
             reason = Reason.NO_DOCUMENT
-            self._refuse(request, waiter, reason, NO_DOCUMENT_RETRY_MS, now_ms)
+            self._refuse(request, waiter, reason, NO_DOCUMENT_RETRY_AFTER_MS, now_ms)
             return None
         classification = _classify(classifier, request)
         if classification is None:
@@ -92,22 +95,22 @@
         waiter: Waiter,
         now_ms: float,
     ) -> OwnedCall | None:
-        """Take a request whose class is known already.
+        """Submit a request that is classified already.
 
-        A ticket holds also where the operation is repeatable by this node's document:
-        the caller has it from a node with another one.
+        A ticket is honoured even if this node's document says that the operation is
+        repeatable: the caller got the ticket from a node with another document.
         """
-        ticket = self._ticket(request)
+        ticket = self._parsed_ticket(request)
         if ticket is not None and ticket.owner != self.node:
             return self._forward(request, ticket, waiter, now_ms)
         if ticket is None and classification.repeatable:
             return self._admit(request, classification, waiter, None, now_ms)
         if request.ticket is None and self.leaving:
             reason = Reason.LEAVING
-            self._refuse(request, waiter, reason, LEAVING_RETRY_MS, now_ms)
+            self._refuse(request, waiter, reason, LEAVING_RETRY_AFTER_MS, now_ms)
             return None
         if request.ticket is None:
-            ticket = self._fresh_ticket(request.organisation, classification, now_ms)
+            ticket = self._issue_ticket(request.organisation, classification, now_ms)
             outcome = Outcome(
                 verdict=Verdict.NOT_RUN, reason=Reason.TICKET_REQUIRED, ticket=ticket
             )
@@ -116,7 +119,7 @@
         return self._claim(request, classification, waiter, now_ms)
 
     def finished(self, finished: Finished, now_ms: float) -> None:
-        """Settle the waiters and the ticket of an ended call."""
+        """Settle the waiters and the ticket of a finished call."""
         pending: Pending = finished.owned.context
         answer = finished.answer
         classification = pending.classification
@@ -128,7 +131,7 @@
         )
         if pending.ticket_number is not None and not finished.given_up:
             self.ledger.finish(pending.ticket_number, answer, now_ms)
-            self._by_ticket.pop(pending.ticket_number, None)
+            self._calls_by_ticket.pop(pending.ticket_number, None)
         if pending.waiters:
             self._record_answer(pending, answer, now_ms)
         waiters, pending.waiters = pending.waiters, []
@@ -143,12 +146,18 @@
         waiter: Waiter,
         now_ms: float,
     ) -> None:
-        """Pass a request on to its ticket's owner; this needs no document."""
+        """Forward a request to the owner of its ticket; this needs no document."""
         if isinstance(waiter, RemoteWaiter) or ticket.owner.host == self.node.host:
             self._refuse(request, waiter, Reason.TICKET_OWNER_RESTARTED, 0, now_ms)
             return
-        classification = self._newest and _classify(self._newest, request)
-        deadline_ms = answer_within_ms(classification) if classification else UNREAD_MS
+        classification = self._latest_classifier and _classify(
+            self._latest_classifier, request
+        )
+        deadline_ms = (
+            answer_within_ms(classification)
+            if classification
+            else UNCLASSIFIED_DEADLINE_MS
+        )
         self.forwarder.forward(
             request,
             ticket.owner,
@@ -157,7 +166,7 @@
             now_ms=now_ms,
         )
 
-    def _ticket(self, request: Request) -> tickets.Ticket | None:
+    def _parsed_ticket(self, request: Request) -> tickets.Ticket | None:
         return tickets.parse_ticket(request.ticket) if request.ticket else None
 
     def _claim(
@@ -180,13 +189,15 @@
                 return self._admit(request, classification, waiter, number, now_ms)
             case claims.Join(number=number):
                 deadline_ms = time_left_ms(request, classification)
-                return self._join(self._by_ticket[number], waiter, now_ms + deadline_ms)
+                return self._join(
+                    self._calls_by_ticket[number], waiter, now_ms + deadline_ms
+                )
             case claims.Recorded(answer=answer):
-                ticket = self._fresh_ticket(organisation, classification, now_ms)
+                ticket = self._issue_ticket(organisation, classification, now_ms)
                 self.respond(waiter, outcome_of(answer, ticket=ticket))
             case claims.Refused(verdict=verdict, reason=reason):
-                self._record(classification, verdict, reason, 0.0, now_ms)
-                ticket = self._fresh_ticket(organisation, classification, now_ms)
+                self._record_outcome(classification, verdict, reason, 0.0, now_ms)
+                ticket = self._issue_ticket(organisation, classification, now_ms)
                 self.respond(
                     waiter, Outcome(verdict=verdict, reason=reason, ticket=ticket)
                 )
@@ -221,7 +232,7 @@
             repeat_key=repeat_key(request),
             ticket_number=ticket_number,
         )
-        refusal = self._closed() or self.limits.refusal(pending, rank, now_ms)
+        refusal = self._closed_answer() or self.limits.refusal(pending, rank, now_ms)
         if refusal is not None:
             if ticket_number is not None:
                 self.ledger.finish(ticket_number, refusal, now_ms)
@@ -247,16 +258,16 @@
             context=pending,
         )
         if ticket_number is not None:
-            self._by_ticket[ticket_number] = owned
+            self._calls_by_ticket[ticket_number] = owned
         self.owner.begin(owned, now_ms)
         return owned
 
-    def _closed(self) -> Answer | None:
-        """Return the NOT_RUN answer while no request is let in, else None."""
+    def _closed_answer(self) -> Answer | None:
+        """Return the NOT_RUN answer while no request is admitted, else None."""
         if self.classifier is None:
-            return not_run(Reason.NO_DOCUMENT, NO_DOCUMENT_RETRY_MS)
+            return not_run(Reason.NO_DOCUMENT, NO_DOCUMENT_RETRY_AFTER_MS)
         if self.leaving:
-            return not_run(Reason.LEAVING, LEAVING_RETRY_MS)
+            return not_run(Reason.LEAVING, LEAVING_RETRY_AFTER_MS)
         return None
 
     def _outcome(
@@ -266,15 +277,17 @@
         retry_after_ms = self.limits.come_back_ms(pending, rank, answer, now_ms)
         ticket = None
         if not classification.repeatable and pending.parent is None:
-            ticket = self._fresh_ticket(pending.organisation, classification, now_ms)
+            ticket = self._issue_ticket(pending.organisation, classification, now_ms)
         return outcome_of(answer, ticket=ticket, retry_after_ms=retry_after_ms)
 
     def _record_answer(self, pending: Pending, answer: Answer, now_ms: float) -> None:
         latency_ms = now_ms - pending.begun_at_ms
         classification = pending.classification
-        self._record(classification, answer.verdict, answer.reason, latency_ms, now_ms)
+        self._record_outcome(
+            classification, answer.verdict, answer.reason, latency_ms, now_ms
+        )
 
-    def _record(
+    def _record_outcome(
         self,
         classification: Classification,
         verdict: Verdict,
@@ -294,19 +307,21 @@
         )
 
     def fresh_ticket(self, request: Request, now_ms: float) -> str | None:
-        """Return a ticket of this node for another request like this one."""
-        classification = self._newest and _classify(self._newest, request)
+        """Issue a ticket for another request of this organisation and operation."""
+        classification = self._latest_classifier and _classify(
+            self._latest_classifier, request
+        )
         if not classification or classification.repeatable:
             return None
-        return self._fresh_ticket(request.organisation, classification, now_ms)
+        return self._issue_ticket(request.organisation, classification, now_ms)
 
-    def _fresh_ticket(
+    def _issue_ticket(
         self, organisation: str, classification: Classification, now_ms: float
     ) -> str | None:
-        """Return a ticket for the next request; none once this node leaves.
+        """Issue a ticket for the next request, or None once this node is leaving.
 
-        It would be used up by a refusal, or find its owner gone: nobody could say
-        then that it was never used.
+        A ticket of a leaving node would be spent on a refusal, or its owner would be
+        gone; no node could prove then that the ticket was never used.
         """
         if self.leaving:
             return None
@@ -320,11 +335,12 @@
         retry_after_ms: int,
         now_ms: float,
     ) -> None:
-        """Refuse what this node can't look into; with a ticket that proves nothing.
+        """Refuse a request that this node can't admit or forward.
 
-        Story: an approval runs; its caller repeats it through a node that has just
-        started. This node never ran it, but the ticket's owner may have: told
-        NOT_RUN, the caller would take a new ticket and the approval ran twice.
+        A request with a ticket gets MAY_HAVE_RUN. Failure: an approval runs, and its
+        caller retries it through a node that has just started. The ticket's owner may
+        have run it, so after NOT_RUN the caller would use a new ticket and the
+        approval would run twice.
         """
         verdict = Verdict.MAY_HAVE_RUN if request.ticket else Verdict.NOT_RUN
         outcome = Outcome(verdict=verdict, reason=reason, retry_after_ms=retry_after_ms)
--- a/packages/sassafraswinch/sassafraswinch/entry_limits.py
+++ b/packages/sassafraswinch/sassafraswinch/entry_limits.py
@@ -1,4 +1,4 @@
-"""What an entry refuses at once, and when it tells callers to come back."""
+"""Ingress limits of a node: load shedding, early retries and retry-after delays."""
 
 import random
 
@@ -11,7 +11,7 @@
 from sassafraswinch.retry import CallerRetryBudget
 from sassafraswinch.verdict import Reason, Verdict
 
-COME_BACK_REASONS = frozenset(
+RETRY_AFTER_REASONS = frozenset(
     {
         Reason.OVERLOADED,
         Reason.EVICTED,
@@ -20,11 +20,11 @@
         Reason.NO_HOST,
     }
 )
-"""Refusals that pass; the caller is told when to come back."""
+"""Reasons of transient refusals, which carry a retry-after delay."""
 
 
 class EntryLimits:
-    """Sheds what would be refused below, and bounds repeats that come too early."""
+    """Sheds requests that would be refused downstream, and bounds early retries."""
 
     def __init__(
         self,
@@ -40,10 +40,11 @@
         self.rng = rng
 
     def refusal(self, pending: Pending, rank: Rank, now_ms: float) -> Answer | None:
-        """Return the NOT_RUN answer for a request that is not let in, else None.
+        """Return the NOT_RUN answer for a request that is not admitted, else None.
 
-        A caller that comes back before its time is refused only where its class is
-        being shed anyway. So a paying caller's haste never lets trial work pass it.
+        A retry before its retry-after time is refused only while its class is being
+        shed anyway. So an early retry of a paying caller is never refused while trial
+        requests are admitted.
         """
         operation = pending.classification.operation.name
         if not self.shedder.admits(operation, rank, now_ms):
@@ -62,11 +63,11 @@
     def come_back_ms(
         self, pending: Pending, rank: Rank, answer: Answer, now_ms: float
     ) -> int:
-        """Return when the caller may come back after ``answer``; 0: nothing is said."""
+        """Return the retry-after delay for ``answer``; 0: none is sent."""
         if answer.verdict is not Verdict.NOT_RUN or pending.parent is not None:
             return answer.retry_after_ms
         delay_ms = answer.retry_after_ms
-        if not delay_ms and answer.reason in COME_BACK_REASONS:
+        if not delay_ms and answer.reason in RETRY_AFTER_REASONS:
             operation = pending.classification.operation.name
             delay_ms = self.shedder.retry_after_ms(operation, rank, now_ms, self.rng)
         if delay_ms and pending.repeat_key is not None:
@@ -75,13 +76,13 @@
 
 
 def repeat_key(request: Request) -> bytes:
-    """Return what stays the same when a caller sends a request again."""
-    who = f"{request.organisation}\n{request.caller}\n{request.service}".encode()
-    return who + tickets.fingerprint(request.method, request.target, request.body)
+    """Return a key that is the same for a request and its retries by the caller."""
+    sender = f"{request.organisation}\n{request.caller}\n{request.service}".encode()
+    return sender + tickets.fingerprint(request.method, request.target, request.body)
 
 
 def not_run(reason: Reason, retry_after_ms: int) -> Answer:
-    """Return the answer of a request that was refused before its start."""
+    """Return the answer to a request that was refused before its start."""
     return Answer(
         number=0,
         verdict=Verdict.NOT_RUN,
--- a/packages/sassafraswinch/sassafraswinch/errors.py
+++ b/packages/sassafraswinch/sassafraswinch/errors.py
@@ -1,26 +1,25 @@
-"""Errors of the library; each carries the facts as attributes."""
+"""Exceptions of the library; each carries its details as attributes."""
 
 from sassafraswinch.verdict import Verdict
 
 
 class SassafraswinchError(Exception):
-    """Base of all errors raised by sassafraswinch.
+    """Base class of all errors raised by sassafraswinch.
 
     Attributes:
-        verdict: whether the request at hand may have run; None where no
-            request is concerned.
+        verdict: Whether the request may have run; None if no request is concerned.
     """
 
     verdict: Verdict | None = None
 
 
 class InvalidFieldError(SassafraswinchError):
-    """One field of settings or of a document is wrong.
+    """A field of the settings or of a document is invalid.
 
     Attributes:
-        source: the file or other place the field was read from.
-        field: dotted path of the field, such as ``classes.0.deadline_ms``.
-        reason: what is wrong with it, in words for an operator.
+        source: File or other source that the field was read from.
+        field: Dotted path of the field, such as ``classes.0.deadline_ms``.
+        reason: Description of the fault for operators.
     """
 
     def __init__(self, *, source: str, field: str, reason: str):
@@ -31,7 +30,7 @@
 
 
 class InvalidFieldsError(ExceptionGroup[InvalidFieldError]):
-    """All faults of one file, raised together."""
+    """All invalid fields of one file, raised together."""
 
     def derive(self, excs):
         """Return a group of the same type over ``excs``."""
@@ -42,9 +41,9 @@
     """A label selector can't be parsed.
 
     Attributes:
-        selector: the whole text.
-        position: index in ``selector`` of the first wrong character.
-        reason: what was expected there.
+        selector: Complete text of the selector.
+        position: Index in ``selector`` of the first invalid character.
+        reason: Description of the expected text.
     """
 
     def __init__(self, *, selector: str, position: int, reason: str):
@@ -55,14 +54,14 @@
 
 
 class InvariantError(SassafraswinchError, AssertionError):
-    """An invariant that the running program asserts doesn't hold.
+    """An invariant that is checked at run time doesn't hold.
 
     Attributes:
-        invariant: short name, as in docs/INVARIANTS.md.
-        facts: the state that breaks it, in words.
+        invariant: Short name, as in docs/INVARIANTS.md.
+        facts: Description of the state that violates it.
     """
 
     def __init__(self, *, invariant: str, facts: str):
-        super().__init__(f"invariant {invariant} broken: {facts}")
+        super().__init__(f"invariant {invariant} violated: {facts}")
         self.invariant = invariant
         self.facts = facts
--- a/packages/sassafraswinch/sassafraswinch/execution.py
+++ b/packages/sassafraswinch/sassafraswinch/execution.py
@@ -1,4 +1,4 @@
-"""What an executing node remembers about the calls it received from their owners."""
+"""Execution ledger: an executing node's records of the calls received from owners."""
 
 import enum
 import math
@@ -12,18 +12,18 @@
 from sassafraswinch.verdict import Verdict
 
 MAX_OWNERS = 4096
-"""Owner incarnations with a state: 560 nodes, and those that restart in a loop."""
+"""Owner incarnations with a state: 560 nodes, and nodes that restart in a loop."""
 FORGET_OWNER_MS = 1_800_000
-"""An owner without calls may be forgotten after such a silence, if its room is needed.
-Its links have been closed as silent long before, so none of its frames is left."""
+"""Idle time after which an owner without calls may be evicted for a new owner. Its
+links were closed as silent long before, so none of its frames is still in transit."""
 MAX_LIVE_CALLS = 16_384
-"""Calls that are queued, running, or whose answer isn't acknowledged."""
+"""Calls that are queued or running, or whose answer isn't acknowledged yet."""
 MAX_DROPPED_CALLS = 8192
-"""Calls whose number is still known after their record went: 22 s at 375 a second."""
+"""Calls whose number is kept after their record is removed: 22 s at 375 a second."""
 
 
 class CallState(enum.Enum):
-    """How far a received call has come."""
+    """Progress of a received call."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -32,28 +32,28 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallRecord:
-    """One received call whose owner may still ask for it."""
+    """One received call whose owner may still request its state."""
 
     session: int
     state: CallState = CallState.QUEUED
     left_behind: FenceState = FenceState.UNKNOWN
-    """What a fence learns once this record is gone."""
+    """State that a fence is answered with once this record is removed."""
 
 
 @dataclass(slots=True, kw_only=True)
 class OwnerState:
-    """Everything remembered about one owner incarnation."""
+    """Call records of one owner incarnation."""
 
     seen_at_ms: float
     floor_session: float = 0
-    """Calls that arrive on a lower session are dropped: they have been fenced."""
+    """Calls that arrive on a lower session are dropped, as they have been fenced."""
     forgotten_below: float = 0
-    """Of lower numbers without a record nothing is known."""
+    """The state of lower numbers without a record is unknown."""
     awaits_first_call: bool = False
-    """The owner may be a forgotten one: only what it sends from now on is known."""
+    """The owner may have been evicted before: only calls from now on are known."""
     records: dict[int, CallRecord] = field(default_factory=dict)
     dropped: dict[int, FenceState] = field(default_factory=dict)
-    """What a fence learns about numbers whose record went."""
+    """State that a fence is answered with, by number of a removed record."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -63,15 +63,15 @@
     replies: tuple[FenceReply | Answer, ...]
     """One for each fenced number, in order, to be sent to the owner."""
     withdrawn: tuple[int, ...]
-    """Queued calls that won't start: to be taken from the queue."""
+    """Queued calls that won't start, to be removed from the queue."""
 
 
 class ExecutionLedger:
     """Records of received calls, by owner incarnation and number.
 
-    Keyed by the incarnation, because a restarted owner counts from 1 again: by host
-    alone its calls would look like duplicates, and it would get answers of the calls
-    of its previous run.
+    The key holds the incarnation because a restarted owner numbers its calls from 1
+    again. By host alone its calls would look like duplicates, and it would get answers
+    to calls of its previous incarnation.
     """
 
     def __init__(
@@ -89,31 +89,31 @@
             max_bytes=max_answer_bytes
         )
         self._owners: OrderedDict[NodeId, OwnerState] = OrderedDict()
-        self._forgot_owners = False
+        self._has_evicted_owners = False
         self._dropped: deque[tuple[NodeId, int]] = deque()
         self._live_calls = 0
         self._now_ms = 0.0
 
     @property
     def size(self) -> LedgerSize:
-        """What the ledger holds: live and dropped calls, and answers."""
+        """Number of live and removed calls, and bytes of answers."""
         return LedgerSize(
             records=self._live_calls + len(self._dropped),
             answer_bytes=self._answers.kept_bytes,
         )
 
     def tick(self, now_ms: float) -> None:
-        """Note the time, at least once a minute."""
+        """Set the current time; to be called at least once a minute."""
         self._now_ms = max(self._now_ms, now_ms)
 
     def receive(self, owner: NodeId, session: int, number: int) -> bool:
         """Record a call that arrived.
 
         Returns:
-            True: the call is queued now. False: drop the frame; its session has been
-            fenced, it is a duplicate, or the ledger is full.
+            True if the call is queued now. False if the frame must be dropped: its
+            session has been fenced, it is a duplicate, or the ledger is full.
         """
-        state = self._owner(owner)
+        state = self._owner_state(owner)
         if state is None or self._live_calls >= self._max_live_calls:
             return False
         if session < state.floor_session:
@@ -133,27 +133,28 @@
         """Mark a call as started, right before its first byte is written.
 
         Returns:
-            False: the call must not start; it was fenced, or has started before.
+            False if the call must not start: it was fenced, or has started before.
         """
-        record = self._record(owner, number)
+        record = self._find_record(owner, number)
         if record is None or record.state is not CallState.QUEUED:
             return False
         record.state = CallState.RUNNING
         return True
 
     def finish(self, owner: NodeId, number: int, answer: Answer) -> None:
-        """Keep the outcome of a call until the owner acknowledges it.
+        """Store the outcome of a call until the owner acknowledges it.
 
-        No effect on a call whose record went, by a fence or with its owner.
+        Has no effect on a call whose record was removed, by a fence or with its owner.
 
         Raises:
-            InvariantError: the answer is of another call, or the call has one.
+            InvariantError: The answer belongs to another call, or the call already has
+                an answer.
         """
-        record = self._record(owner, number)
+        record = self._find_record(owner, number)
         if answer.number != number:
             raise InvariantError(
                 invariant="answer-of-same-call",
-                facts=f"call {number} of {owner} finished with that of {answer.number}",
+                facts=f"call {number} of {owner} got the answer of {answer.number}",
             )
         if record is None:
             return
@@ -166,16 +167,16 @@
         if answer.verdict is Verdict.NOT_RUN:
             record.left_behind = FenceState.NEVER_STARTED
         for dropped_owner, dropped in self._answers.keep((owner, number), answer):
-            self._drop(dropped_owner, dropped)
+            self._remove_record(dropped_owner, dropped)
 
     def fence(self, owner: NodeId, fence: Fence) -> Fenced:
-        """Give up the calls of an owner that lost a link.
+        """Fence the calls of an owner that lost a link.
 
-        The frame of a fenced call may still sit in the silent link and arrive after
-        this. Then it is dropped, since its session is below the floor: that is why
-        "never started" holds for good, however late the frame is.
+        The frame of a fenced call may still be in transit on the silent link and arrive
+        after this. It is then dropped, since its session is below the floor. So "never
+        started" holds for good, however late the frame arrives.
         """
-        state = self._owner(owner)
+        state = self._owner_state(owner)
         if state is None:
             unknown = FenceState.UNKNOWN
             replies = (FenceReply(number=n, state=unknown) for n in fence.numbers)
@@ -190,28 +191,28 @@
         )
         for number in withdrawn:
             state.records[number].left_behind = FenceState.NEVER_STARTED
-            self._drop(owner, number)
+            self._remove_record(owner, number)
         return Fenced(
-            replies=tuple(self._reply(owner, state, n) for n in fence.numbers),
+            replies=tuple(self._fence_reply(owner, state, n) for n in fence.numbers),
             withdrawn=withdrawn,
         )
 
     def acknowledge(self, owner: NodeId, numbers: Iterable[int]) -> None:
-        """Drop the answers that the owner holds."""
+        """Remove the answers that the owner has received."""
         for number in numbers:
-            record = self._record(owner, number)
+            record = self._find_record(owner, number)
             if record is not None and record.state is CallState.FINISHED:
                 self._answers.drop((owner, number))
-                self._drop(owner, number)
+                self._remove_record(owner, number)
 
     def forget_owner(self, owner: NodeId) -> tuple[int, ...]:
-        """Drop the calls of an owner incarnation that is gone, and refuse it for good.
+        """Remove the calls of an owner incarnation that is gone, and refuse later ones.
 
-        One of its frames may still sit in an old link. Were the owner met as a new
-        one, a call that it was told had never started could start.
+        One of its frames may still be in transit on an old link. If the owner were
+        taken for a new one, a call reported to it as never started could start.
 
         Returns:
-            Its queued calls, to be taken from the queue.
+            Its queued calls, to be removed from the queue.
         """
         state = self._owners.get(owner)
         if state is None:
@@ -230,36 +231,36 @@
         state.forgotten_below = math.inf
         return queued
 
-    def _owner(self, owner: NodeId) -> OwnerState | None:
-        """Return the state of an owner; None: there is no room for a new one."""
+    def _owner_state(self, owner: NodeId) -> OwnerState | None:
+        """Return the state of an owner; None if there is no room for a new one."""
         state = self._owners.get(owner)
         if state is not None:
             self._owners.move_to_end(owner)
             state.seen_at_ms = self._now_ms
             return state
-        if len(self._owners) >= self._max_owners and not self._forget_silent_owner():
+        if len(self._owners) >= self._max_owners and not self._evict_idle_owner():
             return None
         state = OwnerState(seen_at_ms=self._now_ms)
-        if self._forgot_owners:
-            # It may be one of them: nothing is known of its past.
+        if self._has_evicted_owners:
+            # It may be an evicted owner, whose earlier calls are unknown.
             state.awaits_first_call = True
             state.forgotten_below = math.inf
         self._owners[owner] = state
         return state
 
-    def _forget_silent_owner(self) -> bool:
+    def _evict_idle_owner(self) -> bool:
         owner, state = next(iter(self._owners.items()))
         if state.records or self._now_ms - state.seen_at_ms < FORGET_OWNER_MS:
             return False
         del self._owners[owner]
-        self._forgot_owners = True
+        self._has_evicted_owners = True
         return True
 
-    def _record(self, owner: NodeId, number: int) -> CallRecord | None:
+    def _find_record(self, owner: NodeId, number: int) -> CallRecord | None:
         state = self._owners.get(owner)
         return None if state is None else state.records.get(number)
 
-    def _reply(
+    def _fence_reply(
         self, owner: NodeId, state: OwnerState, number: int
     ) -> FenceReply | Answer:
         record = state.records.get(number)
@@ -273,11 +274,11 @@
             return self._answers.get((owner, number))
         return FenceReply(number=number, state=FenceState.RUNNING)
 
-    def _drop(self, owner: NodeId, number: int) -> None:
-        """Drop a record, but remember its number for as long as there is room.
+    def _remove_record(self, owner: NodeId, number: int) -> None:
+        """Remove a record, but keep its number for as long as there is room.
 
-        When that goes too, the floor of forgotten numbers rises above it: a late
-        duplicate of its frame isn't taken for a new call, and a fence is answered
+        When the number is evicted too, the floor of evicted numbers rises above it: a
+        late duplicate of its frame isn't taken for a new call, and a fence is answered
         "unknown" instead of "never started".
         """
         state = self._owners[owner]
@@ -286,9 +287,9 @@
         state.dropped[number] = record.left_behind
         self._dropped.append((owner, number))
         while len(self._dropped) > self._max_dropped_calls:
-            self._forget_number(*self._dropped.popleft())
+            self._evict_number(*self._dropped.popleft())
 
-    def _forget_number(self, owner: NodeId, number: int) -> None:
+    def _evict_number(self, owner: NodeId, number: int) -> None:
         state = self._owners.get(owner)
         if state is not None:
             state.dropped.pop(number, None)
--- a/packages/sassafraswinch/sassafraswinch/executor.py
+++ b/packages/sassafraswinch/sassafraswinch/executor.py
@@ -1,4 +1,4 @@
-"""The executing side of a node: runs calls of owners on the local backend server."""
+"""Call executor of a node: runs calls of owners on the local backend server."""
 
 import random
 from collections.abc import Iterable
@@ -30,10 +30,10 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 MAX_DEPTH = 64
-"""Calls below one another; more is taken for a loop between services."""
+"""Maximum depth of a call tree; a deeper one is taken for a loop between services."""
 
 MAX_CHILD_ANSWER_BYTES = 8_388_608
-"""Answers of non-repeatable child calls, kept until their parent ends."""
+"""Memory for answers of non-repeatable child calls, kept until their parent ends."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -45,7 +45,7 @@
 
 
 class Executor:
-    """Admits, starts, cancels and answers the calls sent to this host."""
+    """Admits, starts, cancels and answers the calls that owners send to this host."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self.rng = rng
         self.leaving = False
         self.has_document = False
-        """Set with the first document served, by which child calls are classified."""
+        """Set with the first document in force, which child calls are classified by."""
         self.received = 0
         self.calls: dict[CallKey, RunningCall] = {}
         self._by_span: dict[str, RunningCall] = {}
@@ -72,17 +72,17 @@
         self._ended: list[RunningCall] = []
 
     def take_replies(self) -> list[Reply]:
-        """Return the answers made since the last call."""
+        """Return the replies to owners made since the last call."""
         replies, self._replies = self._replies, []
         return replies
 
     def take_ended(self) -> list[RunningCall]:
-        """Return the runs ended since the last call; their children are orphans."""
+        """Return the calls ended since the last call; their child calls are orphans."""
         ended, self._ended = self._ended, []
         return ended
 
     def parent(self, traceparent: str | None) -> RunningCall | None:
-        """Return the running call that a backend server's own call belongs to."""
+        """Return the running call whose span a child call's ``traceparent`` names."""
         ids = parse_traceparent(traceparent)
         running = self._by_span.get(ids[1]) if ids else None
         if running is None or running.call.root_id != ids[0]:
@@ -90,16 +90,17 @@
         return running
 
     def receive(self, owner: NodeId, session: int, call: Call, now_ms: float) -> None:
-        """Take in a call; its answer follows by ``take_replies``.
+        """Receive a call; its answer follows by ``take_replies``.
 
-        Story: a restarted node is sent an approval while it still asks its peers for
-        the newest document. Were it started, the calls it makes in turn would be
-        refused for want of a document, and its work wasted.
+        Without a document the call is refused. Failure: a restarted node receives an
+        approval while it still requests the newest document from its peers. If the
+        approval started, its child calls would be refused for lack of a document and
+        its work would be wasted.
         """
         if not self.ledger.receive(owner, session, call.number):
             return
         self.received += 1
-        running = self._take_in(CallKey(owner, call.number), call, now_ms)
+        running = self._make_running_call(CallKey(owner, call.number), call, now_ms)
         self.calls[running.key] = running
         if self.leaving:
             self._refuse(running, Reason.LEAVING, 0, now_ms)
@@ -120,7 +121,9 @@
         )
         self._apply(decision, now_ms)
 
-    def _take_in(self, key: CallKey, call: Call, now_ms: float) -> RunningCall:
+    def _make_running_call(
+        self, key: CallKey, call: Call, now_ms: float
+    ) -> RunningCall:
         allowance = RetryAllowance(granted=call.allowance)
         children = ChildCalls(
             parent=key,
@@ -138,10 +141,10 @@
         )
 
     def cancel(self, owner: NodeId, cancel: Cancel, now_ms: float) -> None:
-        """Give up a call that its owner no longer wants.
+        """Cancel a call at the request of its owner.
 
-        A queued call is withdrawn, which proves NOT_RUN. A started one is
-        stopped only when it is repeatable: half an approval helps nobody.
+        A queued call is withdrawn, which proves NOT_RUN. A started one is stopped only
+        if it is repeatable, since a partial run of an approval is of no use.
         """
         running = self.calls.get(CallKey(owner, cancel.number))
         if running is not None:
@@ -158,7 +161,10 @@
             self.backend.cancel(running.key)
 
     def fence(self, owner: NodeId, fence: Fence, now_ms: float) -> None:
-        """Answer an owner that lost a link; see ``ExecutionLedger.fence``."""
+        """Handle the fence of an owner that lost a link.
+
+        See ``ExecutionLedger.fence``.
+        """
         result = self.ledger.fence(owner, fence)
         withdrawn = [CallKey(owner, number) for number in result.withdrawn]
         for key in withdrawn:
@@ -170,7 +176,7 @@
         )
 
     def backend_done(self, key: CallKey, result: BackendResult, now_ms: float) -> None:
-        """Take in the end of a dispatch."""
+        """Handle the end of a dispatch to the backend server."""
         running = self.calls.get(key)
         if running is None:
             return
@@ -189,7 +195,7 @@
         self._apply(decision, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Refuse what can no longer finish and let learnt limits move."""
+        """Refuse queued calls that can't finish in time and update adaptive limits."""
         self._apply(self.gate.tick(now_ms), now_ms)
 
     def leave(self, now_ms: float) -> None:
@@ -209,11 +215,11 @@
             running = self.calls.get(key)
             if running is None or running.started_at_ms is not None:
                 raise InvariantError(
-                    invariant="a call starts once", facts=f"{key} started again"
+                    invariant="a call starts once", facts=f"{key} was started twice"
                 )
             if not self.ledger.start(key.owner, key.number):
                 raise InvariantError(
-                    invariant="a call starts once", facts=f"{key} was given up"
+                    invariant="a call starts once", facts=f"{key} was fenced"
                 )
             running.started_at_ms = now_ms
             self._by_span[running.span_id] = running
@@ -276,5 +282,5 @@
         self._replies.append(Reply(owner=running.key.owner, message=answer))
 
     def load(self, now_ms: float) -> Load:
-        """Return the load of the backend server, as told to other nodes."""
+        """Return the load of the backend server, as reported to other nodes."""
         return self.gate.load(now_ms)
--- a/packages/sassafraswinch/sassafraswinch/messages.py
+++ b/packages/sassafraswinch/sassafraswinch/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, as plain data; ``wire`` of the node package codes them."""
+"""Messages between nodes, as plain data; ``wire`` of the node package encodes them."""
 
 import enum
 from dataclasses import dataclass
@@ -16,34 +16,34 @@
 
 
 class Rank(NamedTuple):
-    """The claim of a call on capacity: the smaller one is refused later."""
+    """Admission rank of a call: the greatest ranks are refused first."""
 
     class_order: int
-    """Place of the class in the document; 0 is refused last."""
+    """Position of the class in the document; 0 is refused last."""
 
     level: int
     """Stable hash of organisation and root request, 0 to ``LEVELS - 1``."""
 
 
 class ServiceThreshold(NamedTuple):
-    """What one service under pressure admits."""
+    """Admission threshold of one overloaded service."""
 
     service: str
     rank: Rank
-    """Calls of a greater rank would be refused there."""
+    """Calls of a greater rank would be refused by the service."""
 
 
 class NodeId(NamedTuple):
-    """One run of a node process."""
+    """One incarnation of a node process."""
 
     host: str
     incarnation: int
-    """Random 63-bit number drawn at start: a restarted node has another one."""
+    """Random 63-bit number drawn at start; it changes with each restart."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Load:
-    """What an executing node says of its backend server, on answers and heartbeats."""
+    """Load of a backend server, sent by its node in answers and heartbeats."""
 
     in_flight: int = 0
     queued: int = 0
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Hello:
-    """First message each way on a link."""
+    """First message in each direction on a link."""
 
     protocol_version: int
     node: NodeId
@@ -70,26 +70,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """The owner asks an executing node to run a request on its backend server."""
+    """Request of an owner to an executing node to run a call on its backend server."""
 
     number: int
-    """Unique among the calls of one owner incarnation, rising."""
+    """Unique among the calls of one owner incarnation, ascending."""
     root_id: str
-    """32 hex digits that name the whole request, as in ``traceparent``."""
+    """32 hex digits that identify the root request, as in ``traceparent``."""
     service: str
     operation: str
     rank: Rank
     repeatable: bool
     remaining_ms: int
-    """Time left until the deadline, as seen when the message was made."""
+    """Time left until the deadline when the message was created."""
     allowance: int
-    """Retries handed over for everything below this call."""
+    """Retries granted to this call and its descendants."""
     depth: int
     progress: int
-    """Calls that the root request has already finished; raises its claim."""
+    """Calls that the root request has already finished; raises its priority."""
     method: str
     target: str
-    """Path and query as the backend server shall see them."""
+    """Path and query as sent to the backend server."""
     headers: Headers
     body: bytes
 
@@ -105,30 +105,30 @@
     headers: Headers = ()
     body: bytes = b""
     unspent: int = 0
-    """Retries of the allowance that were not used."""
+    """Unspent retries of the allowance."""
     thresholds: tuple[ServiceThreshold, ...] = ()
-    """Strictest threshold of each service under pressure, here and below."""
+    """Strictest threshold of each overloaded service, here and in child calls."""
     retry_after_ms: int = 0
     load: Load | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cancel:
-    """The owner no longer wants the answer of a call."""
+    """The owner no longer needs the answer of a call."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fence:
-    """The owner lost a link: give up calls sent on sessions below ``floor_session``."""
+    """The owner lost a link and fences calls of sessions below ``floor_session``."""
 
     floor_session: int
     numbers: tuple[int, ...]
 
 
 class FenceState(enum.Enum):
-    """What an executing node knows about a fenced call that has no answer yet."""
+    """State of a fenced call without an answer at its executing node."""
 
     NEVER_STARTED = "never-started"
     RUNNING = "running"
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FenceReply:
-    """Answer to a fence for one call; a finished call gets its ``Answer`` instead."""
+    """Reply to a fence for one call; a finished call gets its ``Answer`` instead."""
 
     number: int
     state: FenceState
@@ -145,14 +145,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Acknowledge:
-    """The owner holds the answers of these calls; their records may be dropped."""
+    """The owner received the answers of these calls; their records may be removed."""
 
     numbers: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Heartbeat:
-    """Sent each way on a link, also when calls flow."""
+    """Sent periodically in each direction on a link, also while calls are sent."""
 
     sequence: int
     load: Load
@@ -162,21 +162,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeartbeatReply:
-    """Proof that the peer reads this link."""
+    """Reply to a heartbeat: proof that the peer reads from this link."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DocumentRequest:
-    """Asks a peer for the document of a version."""
+    """Requests the document of a version from a peer."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DocumentReply:
-    """A document as the platform published it; an empty body: not held."""
+    """A document as the platform published it; the body is empty if it isn't held."""
 
     version: int
     body: bytes
@@ -184,22 +184,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostsRequest:
-    """Asks a peer for the hosts that it knows."""
+    """Requests the known hosts from a peer."""
 
     list_version: int
-    """Version of the platform's host list held; 0 for none."""
+    """Version of the sender's host list from the platform; 0 for none."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostsReply:
-    """The hosts that a node knows, itself among them."""
+    """The hosts known to a node, including its own."""
 
     hosts: tuple[HostRecord, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Forward:
-    """A request with a ticket, on its way to the node that issued the ticket."""
+    """A request with a ticket, forwarded to the node that issued the ticket."""
 
     number: int
     ticket: str
--- a/packages/sassafraswinch/sassafraswinch/offers.py
+++ b/packages/sassafraswinch/sassafraswinch/offers.py
@@ -1,4 +1,4 @@
-"""An offered document, what became of it, and what operators see of it."""
+"""Document offers: candidates, their outcomes, and the report for operators."""
 
 import enum
 from dataclasses import dataclass
@@ -9,38 +9,38 @@
 
 
 class Document(Protocol):
-    """What the keeper needs of a parsed document."""
+    """A parsed document, as far as its version and content matter."""
 
     version: int
     body: bytes
 
 
 class Source(enum.Enum):
-    """Where a document came from."""
+    """Source of a document."""
 
     PLATFORM = "platform"
     PEER = "peer"
 
 
 class Outcome(enum.Enum):
-    """What became of an offered document."""
+    """Outcome of an offered document."""
 
     ACCEPTED = "accepted"
     OLD = "old"
     SAME = "same"
     INVALID = "invalid"
     CONFLICT = "conflict"
-    """Another content holds the same version; the smaller digest is in force."""
+    """The same version has another content; the smaller digest is in force."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Candidate:
-    """A body with what parsing made of it.
+    """A document body with its parse result.
 
     Attributes:
-        stamp: version and digest; version 0 if the body can't be parsed.
-        document: the parsed document; None if invalid, or known from before.
-        errors: every fault; empty if valid.
+        stamp: Version and digest; version 0 if the body can't be parsed.
+        document: The parsed document; None if invalid, or parsed before.
+        errors: All faults; empty if valid.
     """
 
     stamp: Stamp
@@ -53,12 +53,12 @@
     """Result of an offer.
 
     Attributes:
-        outcome: what became of the document.
-        stamp: version and digest of the offered content.
-        errors: every fault of an invalid document.
-        changed: whether another content is in force now; peers should be told
+        outcome: Outcome of the offer.
+        stamp: Version and digest of the offered content.
+        errors: All faults of an invalid document.
+        changed: Whether the content in force changed; it should be announced to peers
             at once.
-        fetches: requests to send to peers.
+        fetches: Requests to send to peers.
     """
 
     outcome: Outcome
@@ -74,14 +74,14 @@
 
     version: int
     kept: str
-    """Digest of the content that holds the version on every node."""
+    """Digest of the content that is in force for the version on every node."""
     dropped: str
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """An invalid document that was offered, and why it isn't in force."""
+    """An invalid document that was offered, with its faults."""
 
     stamp: Stamp
     source: Source
@@ -91,16 +91,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeeperReport:
-    """What operators see of the configuration on one node.
+    """Status of the configuration document on one node, for operators.
 
     Attributes:
-        stamp: version and digest in force; version 0 if none is.
-        age_ms: time since it came into force here.
-        source: where it came from.
-        syncing: whether the node still listens to peers and serves nothing.
-        refusal: the latest invalid document, until a newer one is in force.
-        conflicts: versions with two contents.
-        undelivered: peers that claim a newer version and failed to deliver it.
+        stamp: Version and digest in force; version 0 if none is.
+        age_ms: Time since it came into force on this node.
+        source: Source of the document in force.
+        syncing: Whether the node still collects versions from peers and serves nothing.
+        refusal: The latest invalid document, until a newer one is in force.
+        conflicts: Versions with two contents.
+        undelivered: Peers that announced a newer version and failed to deliver it.
     """
 
     stamp: Stamp
--- a/packages/sassafraswinch/sassafraswinch/outcomes.py
+++ b/packages/sassafraswinch/sassafraswinch/outcomes.py
@@ -1,4 +1,4 @@
-"""Answers between nodes and the outcomes told to waiters, each from the other."""
+"""Conversion between answers of nodes and outcomes of waiters."""
 
 from sassafraswinch.messages import Answer
 from sassafraswinch.requests import Outcome
@@ -7,7 +7,7 @@
 def outcome_of(
     answer: Answer, *, ticket: str | None = None, retry_after_ms: int = 0
 ) -> Outcome:
-    """Return what a waiter is told of ``answer``."""
+    """Return the outcome that a waiter gets for ``answer``."""
     return Outcome(
         verdict=answer.verdict,
         reason=answer.reason,
@@ -23,8 +23,9 @@
     """Return the answer that carries ``outcome`` to the node that forwarded it.
 
     Args:
-        number: of the forwarded request.
-        outcome: its ticket stays here: it would name this node, not the other.
+        number: Number of the forwarded request.
+        outcome: Outcome to convert. Its ticket is left out, since it would name this
+            node instead of the forwarding one.
     """
     return Answer(
         number=number,
--- a/packages/sassafraswinch/sassafraswinch/owned_call.py
+++ b/packages/sassafraswinch/sassafraswinch/owned_call.py
@@ -1,4 +1,4 @@
-"""A call as its owner keeps it, from the first dispatch to the final answer."""
+"""Owned calls: the owner's state of a call, from first dispatch to final answer."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from sassafraswinch.retry import RetryAllowance
 
 DETACHED_LIFE_MS = 600_000.0
-"""How long the outcome of a non-repeatable call is awaited after its deadline."""
+"""Time after its deadline for which the outcome of a non-repeatable call is awaited."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class OwnedCall:
-    """A call that this node alone may dispatch or retry."""
+    """A call that only this node may dispatch or retry."""
 
     service: str
     operation: str
@@ -41,28 +41,28 @@
     attempt: Attempt | None = None
     failed_hosts: frozenset[str] = frozenset()
     may_have_run: bool = False
-    """An earlier attempt may have run, so NOT_RUN can't be claimed any more."""
+    """An earlier attempt may have run, so the outcome can't be NOT_RUN any more."""
     abandoned: bool = False
-    """Nobody waits any more; kept only to learn what became of the call."""
+    """The call has no waiters and is kept only until its outcome is known."""
     wait_until_ms: float | None = None
-    """When to tell those that wait that its fate is open; None: at its deadline."""
+    """Time at which waiters get MAY_HAVE_RUN; None: the deadline of the call."""
     context: object = None
-    """What the composing node needs when the call ends."""
+    """Opaque data of the caller of ``Owner``, for the end of the call."""
 
     @property
     def wait_ends_ms(self) -> float:
-        """When those that wait are told an outcome, known or not."""
+        """Time at which waiters get an outcome, even if it is unknown."""
         if self.wait_until_ms is None:
             return self.deadline_at_ms
         return self.wait_until_ms
 
     @property
     def detached_until_ms(self) -> float:
-        """Until when its fate is of interest though nobody waits."""
+        """Time until which the outcome is awaited without waiters."""
         return self.deadline_at_ms + DETACHED_LIFE_MS
 
     def message(self, number: int, handed: int, now_ms: float) -> Call:
-        """Return the call as one attempt sends it."""
+        """Return the message that one attempt sends."""
         return Call(
             number=number,
             root_id=self.root_id,
@@ -88,4 +88,4 @@
     owned: OwnedCall
     answer: Answer
     given_up: bool = False
-    """The answer is final for whoever waits, but the call's fate is still open."""
+    """The answer is final for the waiters, but the call has no known outcome yet."""
--- a/packages/sassafraswinch/sassafraswinch/owner.py
+++ b/packages/sassafraswinch/sassafraswinch/owner.py
@@ -1,4 +1,4 @@
-"""The owning side of a node: places calls, retries them, and decides their outcome."""
+"""Call owner of a node: places calls on hosts, retries them and sets their outcome."""
 
 import itertools
 from collections import defaultdict
@@ -20,10 +20,10 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 DEADLINE_GRACE_MS = 50.0
-"""Wait past a deadline for the executing node's own proof that a call never ran."""
+"""Wait past a deadline for the executing node's proof that a call never ran."""
 
 MIN_RETRY_TIME_MS = 5.0
-"""With less time left than this no retry can be answered in time."""
+"""Minimum time left for a retry; with less it can't be answered in time."""
 
 RETRIED_REASONS = frozenset(
     {
@@ -35,26 +35,27 @@
         Reason.FENCED,
     }
 )
-"""NOT_RUN for one host's own reason."""
+"""Reasons of a NOT_RUN that concern one host only, so another host is tried."""
 
 OVERLOAD_REASONS = frozenset({Reason.OVERLOADED, Reason.EVICTED, Reason.DEADLINE})
-"""NOT_RUN for want of capacity: only a host that still takes lower classes is tried,
-since a service that is overloaded as a whole is left alone."""
+"""Reasons of a NOT_RUN for lack of capacity: only a host that still admits lower
+classes is tried, so that retries add no load to a service that is overloaded on all
+hosts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Peer:
-    """An executing node and the newest link to it."""
+    """An executing node and the session of the newest link to it."""
 
     node: NodeId
     session: int
 
 
 class Owner:
-    """Drives every owned call to exactly one final answer.
+    """Brings every owned call to exactly one final answer.
 
-    Guard against double runs: a non-repeatable call has at most one attempt whose
-    fate is open. The next one begins only after NOT_RUN is proved for the last.
+    Guard against duplicate execution: a non-repeatable call has at most one attempt
+    without an outcome. The next one starts only once NOT_RUN is proved for the last.
     """
 
     def __init__(
@@ -80,41 +81,41 @@
         self._acknowledge: dict[str, list[int]] = defaultdict(list)
 
     def next_number(self) -> int:
-        """Return a fresh number of this incarnation."""
+        """Return a new number, unique within this incarnation."""
         return next(self._numbers)
 
     def take_finished(self) -> list[Finished]:
-        """Return the calls that came to their final answer since the last call."""
+        """Return the calls that got their final answer since the last call."""
         finished, self._finished = self._finished, []
         return finished
 
     def begin(self, owned: OwnedCall, now_ms: float) -> None:
-        """Place a new call on a host."""
+        """Dispatch a new call to a host."""
         self._place(owned, None, now_ms)
 
     def abandon(self, owned: OwnedCall, now_ms: float) -> None:
-        """Note that nobody waits for the call; a queued or repeatable one stops."""
+        """Cancel a call that has no waiters; a queued or repeatable one stops."""
         owned.abandoned = True
         attempt = owned.attempt
         if attempt is None:
             return
         self.links.send(attempt.peer.host, Cancel(number=attempt.number))
         if owned.repeatable:
-            self._close(attempt)
+            self._close_attempt(attempt)
             self._end(owned, Verdict.MAY_HAVE_RUN, Reason.CANCELLED)
 
     def joined(self, owned: OwnedCall, wait_until_ms: float) -> None:
-        """Note that somebody waits for a call that was begun before.
+        """Record another waiter for a call that was dispatched before.
 
-        Story: an approval's caller was told MAY_HAVE_RUN at the deadline and sends
-        the same ticket again. The repeat has a deadline of its own, but the first of
-        those that wait ends the wait of all: none of them is told late.
+        Example: the caller of an approval got MAY_HAVE_RUN at the deadline and sends
+        the same ticket again. The retry has its own deadline, but the earliest deadline
+        ends the wait of all waiters, so that none is answered late.
         """
         owned.abandoned = False
         owned.wait_until_ms = min(owned.wait_ends_ms, wait_until_ms)
 
     def answered(self, peer: NodeId, answer: Answer, now_ms: float) -> None:
-        """Take in an executing node's answer."""
+        """Handle an answer from an executing node."""
         self._acknowledge[peer.host].append(answer.number)
         if not self._sent.is_open(answer.number, peer):
             return
@@ -129,41 +130,45 @@
         if answer.verdict is Verdict.ANSWERED:
             self._finished.append(Finished(owned=owned, answer=answer))
         else:
-            self._failed(owned, attempt, answer, now_ms)
+            self._handle_failure(owned, attempt, answer, now_ms)
 
     def fenced(self, peer: NodeId, reply: FenceReply, now_ms: float) -> None:
-        """Take in what the executing node knows of a call whose link was lost."""
+        """Handle the executing node's state of a call whose link was lost."""
         verdict = self._sent.fence_replied(peer, reply)
         if verdict is None:
             return
         owned = self.open[reply.number]
         attempt = owned.attempt
-        self._close(attempt)
+        self._close_attempt(attempt)
         reason = Reason.LINK_LOST
         if verdict is Verdict.NOT_RUN:
             owned.allowance.give_back(attempt.number, attempt.handed)
             reason = Reason.FENCED
-        self._failed(owned, attempt, _no_answer(attempt, verdict, reason), now_ms)
+        self._handle_failure(
+            owned, attempt, _make_answer(attempt, verdict, reason), now_ms
+        )
 
     def link_up(self, peer: NodeId, session: int, now_ms: float) -> None:
-        """Note a new link to an executing node and fence what older ones left.
+        """Record a new link to an executing node and fence calls sent on older ones.
 
-        Story: a link goes silent while an approval runs behind it. Resending would
-        run it twice; giving up would tell the caller too little. So the executing
-        node is asked over the newer link. A restarted one can't know: MAY_HAVE_RUN.
+        Failure: a link goes silent while an approval runs behind it. A resend would run
+        it twice, and an early end would leave the caller without the outcome. So the
+        state is requested over the newer link. A restarted node has lost its records,
+        so its calls end with MAY_HAVE_RUN.
         """
         self._peers[peer.host] = Peer(node=peer, session=session)
         recovery = self._sent.link_up(peer, session)
         for fence in recovery.fences:
             self.links.send(peer.host, fence)
         for number in recovery.lost:
-            self._lose(self.open[number], Reason.PEER_RESTARTED, now_ms)
+            self._end_lost_attempt(self.open[number], Reason.PEER_RESTARTED, now_ms)
 
     def link_lost(self, host: str, session: int, now_ms: float) -> None:
-        """Note the end of a link.
+        """Record the loss of a link.
 
-        With a newer one open its calls are fenced already. Without one a repeatable
-        call goes elsewhere at once; a non-repeatable one waits for the next link.
+        If a newer link is open, the calls are fenced already. Otherwise a repeatable
+        call is retried at once on another host, and a non-repeatable one waits for the
+        next link.
         """
         peer = self._peers.get(host)
         if peer is None or peer.session > session:
@@ -172,21 +177,21 @@
         self.router.failed(host, now_ms)
         for owned in self._on_host(host):
             if owned.repeatable:
-                self._lose(owned, Reason.LINK_LOST, now_ms)
+                self._end_lost_attempt(owned, Reason.LINK_LOST, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Give up what passed its deadline and send due acknowledgements."""
+        """Time out calls past their deadline and send due acknowledgements."""
         late = [
             owned
             for owned in self.open.values()
             if now_ms > owned.wait_ends_ms + DEADLINE_GRACE_MS
         ]
         for owned in late:
-            self._give_up(owned, now_ms)
+            self._time_out(owned, now_ms)
         self._send_acknowledgements()
 
     def is_linked(self, node: NodeId) -> bool:
-        """Return whether this node has a link of its own to another."""
+        """Return whether this node dialled an open link to ``node``."""
         peer = self._peers.get(node.host)
         return peer is not None and peer.node == node
 
@@ -230,13 +235,13 @@
         self.router.sent(host, now_ms)
         return True
 
-    def _close(self, attempt: Attempt) -> None:
-        """Await no answer of an attempt any more."""
+    def _close_attempt(self, attempt: Attempt) -> None:
+        """Stop waiting for the answer of an attempt."""
         self._sent.settle(attempt.number)
         del self.open[attempt.number]
         self.router.dropped(attempt.peer.host)
 
-    def _failed(
+    def _handle_failure(
         self, owned: OwnedCall, attempt: Attempt, answer: Answer, now_ms: float
     ) -> None:
         owned.attempt = None
@@ -245,7 +250,7 @@
         if self._may_retry(owned, answer, now_ms):
             owned.failed_hosts |= {attempt.peer.host}
             if answer.reason in OVERLOAD_REASONS:
-                owned.failed_hosts |= self._without_room(owned, now_ms)
+                owned.failed_hosts |= self._hosts_without_room(owned, now_ms)
             if self._has_other_host(owned, now_ms) and owned.allowance.spend():
                 self.retries += 1
                 self._place(owned, answer, now_ms)
@@ -259,11 +264,11 @@
             return owned.repeatable
         return answer.reason in RETRIED_REASONS or answer.reason in OVERLOAD_REASONS
 
-    def _without_room(self, owned: OwnedCall, now_ms: float) -> frozenset[str]:
-        """Return the hosts not known to take classes below that of the call.
+    def _hosts_without_room(self, owned: OwnedCall, now_ms: float) -> frozenset[str]:
+        """Return the hosts not known to admit classes below that of the call.
 
-        Failure guarded against: a paying call is refused by the busiest host while
-        another host of the service still serves trial calls.
+        Failure: a paying call is refused by the busiest host while another host of the
+        service still serves trial calls. The retry goes to such a host only.
         """
         return frozenset(
             view.name
@@ -277,28 +282,31 @@
             for view in self.membership.candidates(owned.service, now_ms)
         )
 
-    def _lose(self, owned: OwnedCall, reason: Reason, now_ms: float) -> None:
+    def _end_lost_attempt(
+        self, owned: OwnedCall, reason: Reason, now_ms: float
+    ) -> None:
         attempt = owned.attempt
-        self._close(attempt)
-        answer = _no_answer(attempt, Verdict.MAY_HAVE_RUN, reason)
-        self._failed(owned, attempt, answer, now_ms)
+        self._close_attempt(attempt)
+        answer = _make_answer(attempt, Verdict.MAY_HAVE_RUN, reason)
+        self._handle_failure(owned, attempt, answer, now_ms)
 
-    def _give_up(self, owned: OwnedCall, now_ms: float) -> None:
+    def _time_out(self, owned: OwnedCall, now_ms: float) -> None:
         """End the wait for a call past its deadline.
 
-        The executing node answers by the deadline even where its backend server
-        doesn't. So its silence is the node's or the link's: the host rests.
+        The executing node answers by the deadline even if its backend server doesn't.
+        So a missing answer is a fault of the node or the link, and the host counts as
+        failed for the router.
         """
         attempt = owned.attempt
         self.router.failed(attempt.peer.host, now_ms)
         self.links.send(attempt.peer.host, Cancel(number=attempt.number))
         if owned.repeatable or now_ms > owned.detached_until_ms:
-            self._close(attempt)
+            self._close_attempt(attempt)
             self._end(owned, Verdict.MAY_HAVE_RUN, Reason.DEADLINE)
             return
         owned.abandoned = True
         owned.wait_until_ms = owned.detached_until_ms
-        answer = _no_answer(attempt, Verdict.MAY_HAVE_RUN, Reason.DEADLINE)
+        answer = _make_answer(attempt, Verdict.MAY_HAVE_RUN, Reason.DEADLINE)
         self._finished.append(Finished(owned=owned, answer=answer, given_up=True))
 
     def _end_unplaced(self, owned: OwnedCall, last: Answer | None) -> None:
@@ -328,5 +336,5 @@
             self.links.send(host, Acknowledge(numbers=tuple(numbers)))
 
 
-def _no_answer(attempt: Attempt, verdict: Verdict, reason: Reason) -> Answer:
+def _make_answer(attempt: Attempt, verdict: Verdict, reason: Reason) -> Answer:
     return Answer(number=attempt.number, verdict=verdict, reason=reason)
--- a/packages/sassafraswinch/sassafraswinch/pending.py
+++ b/packages/sassafraswinch/sassafraswinch/pending.py
@@ -1,4 +1,4 @@
-"""Who waits for an owned call, and what its end has to settle."""
+"""Context of an owned call: its waiters, ticket and parent."""
 
 from dataclasses import dataclass, field
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LocalWaiter:
-    """A request at this node's own entry or egress listener."""
+    """A request at this node's own ingress or egress listener."""
 
     handle: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoteWaiter:
-    """A request that another node forwarded because this one issued its ticket."""
+    """A request that another node forwarded because this node issued its ticket."""
 
     node: NodeId
     number: int
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Pending:
-    """The context of an owned call."""
+    """Context of an owned call, to be settled when the call ends."""
 
     classification: Classification
     organisation: str
     begun_at_ms: float
     waiters: list[Waiter] = field(default_factory=list)
     repeat_key: bytes | None = None
-    """Names the request among its caller's repeats; None below a parent."""
+    """Key that the request shares with its caller's retries; None for a child call."""
     ticket_number: int | None = None
     parent: RunningCall | None = None
     child_number: int | None = None
-    """Number of the call among those of its parent."""
+    """Number of the call among the child calls of its parent."""
     handed: int = 0
-    """Retries that the parent handed to it."""
+    """Retries granted by the parent."""
--- a/packages/sassafraswinch/sassafraswinch/ports.py
+++ b/packages/sassafraswinch/sassafraswinch/ports.py
@@ -1,4 +1,4 @@
-"""The ports through which the decisions of a node act on the world.
+"""Ports of a node: protocols for its links, backend server, callers and recorder.
 
 A port must not call back into the node before it returns.
 """
@@ -11,20 +11,20 @@
 
 
 class LinkPort(Protocol):
-    """Messages to other nodes."""
+    """Sends messages to other nodes."""
 
     def send(self, host: str, message: Message) -> int | None:
         """Write ``message`` on the link that this node dialled to ``host``.
 
         Returns:
-            The session it was written on; None proves that nothing was written.
+            The session that it was written on; None proves that nothing was written.
         """
 
     def connect(self, host: str) -> None:
-        """Dial ``host`` if no link to it is open, and keep the link for a while."""
+        """Dial ``host`` if no link to it is open, and keep the link open for a time."""
 
     def announce(self, message: Message) -> None:
-        """Write ``message`` on every open link, whoever dialled it."""
+        """Write ``message`` on every open link, whichever side dialled it."""
 
     def reply(self, node: NodeId, message: Message) -> bool:
         """Write ``message`` on the newest link that ``node`` dialled to this node.
@@ -35,7 +35,7 @@
 
 
 class BackendPort(Protocol):
-    """Requests to the backend server of this host."""
+    """Sends requests to the backend server of this host."""
 
     def dispatch(self, key: CallKey, call: Call, traceparent: str) -> None:
         """Start ``call``; the adapter reports its end with ``backend_done``."""
@@ -45,14 +45,14 @@
 
 
 class CallerPort(Protocol):
-    """Answers to callers and to the local backend server's own calls."""
+    """Sends outcomes to callers and to the local backend server."""
 
     def respond(self, handle: int, outcome: Outcome) -> None:
-        """Give the request ``handle`` its final outcome; happens once."""
+        """Send the final outcome of the request ``handle``; called once."""
 
 
 class Recorder(Protocol):
-    """Takes note of how requests of callers ended, for the burn report."""
+    """Records the outcomes of callers' requests for the burn report."""
 
     def record(
         self,
@@ -64,4 +64,4 @@
         latency_ms: float,
         now_ms: float,
     ) -> None:
-        """Note the outcome of one request."""
+        """Record the outcome of one request."""
--- a/packages/sassafraswinch/sassafraswinch/requests.py
+++ b/packages/sassafraswinch/sassafraswinch/requests.py
@@ -1,4 +1,4 @@
-"""What passes between a node and the callers and backend servers beside it."""
+"""Requests, outcomes and backend results that a node exchanges with its adapters."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class CallKey(NamedTuple):
-    """Names one call among all owners."""
+    """Key of one call, unique among all owners."""
 
     owner: NodeId
     number: int
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A request as an adapter received it at the entry or egress listener."""
+    """A request as an adapter received it at the ingress or egress listener."""
 
     handle: int
-    """The adapter's own number, given back with the outcome."""
+    """Number assigned by the adapter, returned with the outcome."""
     service: str
     method: str
     target: str
@@ -30,10 +30,10 @@
     organisation: str = ""
     ticket: str | None = None
     traceparent: str | None = None
-    """Only read at egress, where it names the running parent."""
+    """Read at egress only, where it identifies the running parent."""
     idempotency_key: str | None = None
     deadline_ms: float | None = None
-    """Time left, where another node has taken the request; None: its class says."""
+    """Time left, if another node forwarded the request; None: that of its class."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -47,14 +47,14 @@
     headers: Headers = ()
     body: bytes = b""
     retry_after_ms: int = 0
-    """0: no time to come back is named."""
+    """0: no retry-after delay is sent."""
     ticket: str | None = None
-    """A fresh ticket for the next request of this operation."""
+    """A new ticket for the next request of this operation."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendResult:
-    """How one dispatch to the backend server ended."""
+    """Result of one dispatch to the backend server."""
 
     verdict: Verdict
     reason: Reason | None = None
--- a/packages/sassafraswinch/sassafraswinch/retry.py
+++ b/packages/sassafraswinch/sassafraswinch/retry.py
@@ -1,4 +1,4 @@
-"""Bounds on retries: of one request across its calls, and of the callers' own."""
+"""Retry budgets: of one request across its call tree, and of callers' own retries."""
 
 from collections import OrderedDict
 from collections.abc import Hashable
@@ -20,85 +20,91 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 MAX_ORGANISATIONS = 16_384
-"""Organisations whose repeats are counted apart."""
-MAX_BURST_REPEATS = 10.0
-"""Repeats that an organisation may save up."""
+"""Organisations with a retry budget of their own."""
+MAX_SAVED_RETRIES = 10.0
+"""Retries that an organisation may accumulate."""
 FIRST_REPEATS = 1.0
-"""Repeats open to an organisation that was never seen."""
+"""Initial retries of an organisation that was never seen."""
 IDLE_REPEAT_MS = 10_000.0
-"""A repeat is earned each such time without first attempts, so that a small
-organisation isn't shut out for good."""
+"""Idle time that earns one retry without first attempts, so that a small organisation
+isn't refused its retries for good."""
 
 MAX_CHILDREN = 4096
-"""Different child calls that one parent call may make: about 1 MB of memory."""
+"""Distinct child calls that one parent call may make: about 1 MB of memory."""
 
 
 class RetryAllowance:
-    """Retries left to one call and everything below it.
+    """Retries left to one call and its descendants.
 
-    Conserved: a child call gets a part, and what it didn't use comes back with its
-    answer. A part whose answer is lost counts as spent. So all retries in the tree of
-    a request are at most what its root was granted.
+    The total is conserved: a child call gets a part of it and returns the unspent rest
+    with its answer. A part whose answer is lost counts as spent. So the retries in the
+    call tree of a request never exceed what its root was granted.
     """
 
     def __init__(self, *, granted: int):
         self._granted = granted
         self._spent = 0
-        self._handed: dict[Hashable, int] = {}
+        self._granted_to_children: dict[Hashable, int] = {}
         self._lost = 0
         self._closed = False
         self.unspent = granted
 
     def spend(self) -> bool:
-        """Take one retry; False: there is none."""
+        """Spend one retry; False: none is left."""
         if self._closed or self.unspent == 0:
             return False
         self.unspent -= 1
         self._spent += 1
-        self._check()
+        self._check_conserved()
         return True
 
     def hand_over(self, child: Hashable) -> int:
-        """Take half of the rest, rounded up, for a child call.
+        """Reserve half of the unspent retries, rounded up, for a child call.
 
         Args:
-            child: names the child call, once; its number does.
+            child: unique key of the child call, such as its number.
         """
         if self._closed or self.unspent == 0:
             return 0
         part = (self.unspent + 1) // 2
         self.unspent -= part
-        self._handed[child] = part
-        self._check()
+        self._granted_to_children[child] = part
+        self._check_conserved()
         return part
 
     def give_back(self, child: Hashable, unspent: int) -> None:
-        """Return what a child call didn't use, once: a second answer has no effect.
+        """Reclaim the unspent retries of a child call.
 
-        More than the child was handed isn't believed.
+        A second answer of the same child call has no effect. The count is capped at
+        what the child call was granted.
         """
-        part = self._handed.pop(child, 0)
+        part = self._granted_to_children.pop(child, 0)
         returned = 0 if self._closed else max(0, min(unspent, part))
         self.unspent += returned
         self._lost += part - returned
-        self._check()
+        self._check_conserved()
 
     def close(self) -> int:
-        """Return the unused rest for the answer, and permit no retry from now on.
+        """Return the unspent retries for the answer, and permit no further retry.
 
-        A backend server may go on calling after it has answered. Its retries would be
-        spent here and above, had the rest not been taken out.
+        A backend server may make child calls after it has answered. Without the close,
+        their retries would be spent both here and by the parent.
         """
         rest = 0 if self._closed else self.unspent
         if not self._closed:
             self.unspent = 0
             self._lost += rest
         self._closed = True
-        self._check()
+        self._check_conserved()
         return rest
 
-    def _check(self) -> None:
-        total = self.unspent + self._spent + self._lost + sum(self._handed.values())
+    def _check_conserved(self) -> None:
+        total = (
+            self.unspent
+            + self._spent
+            + self._lost
+            + sum(self._granted_to_children.values())
+        )
         if total != self._granted or self.unspent < 0:
             raise InvariantError(
                 invariant="retry-allowance-conserved",
@@ -108,14 +114,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class RepeatBucket:
-    """The repeats that one organisation may make now."""
+    """Retries that one organisation may make now."""
 
     repeats: float
     updated_at_ms: float
 
 
 class CallerRetryBudget:
-    """Bounds the repeats of each organisation to a share of its first attempts."""
+    """Bounds the retries of each organisation to a share of its first attempts."""
 
     def __init__(
         self, *, share_percent: float, max_organisations: int = MAX_ORGANISATIONS
@@ -123,19 +129,19 @@
         self._share = share_percent / 100
         self._max_organisations = max_organisations
         self._buckets: OrderedDict[str, RepeatBucket] = OrderedDict()
-        self._first_repeats = FIRST_REPEATS
+        self._initial_retries = FIRST_REPEATS
 
     def set_share_percent(self, share_percent: float) -> None:
-        """Follow the document; what was earned before stays."""
+        """Set the share that the document says; retries earned before are kept."""
         self._share = share_percent / 100
 
     def first(self, organisation: str, now_ms: float) -> None:
-        """Count a first attempt, which earns a share of a repeat."""
+        """Count a first attempt, which earns a share of a retry."""
         bucket = self._bucket(organisation, now_ms)
-        bucket.repeats = min(MAX_BURST_REPEATS, bucket.repeats + self._share)
+        bucket.repeats = min(MAX_SAVED_RETRIES, bucket.repeats + self._share)
 
     def repeat(self, organisation: str, now_ms: float) -> bool:
-        """Take one repeat; False: refuse it."""
+        """Spend one retry; False: refuse it."""
         bucket = self._bucket(organisation, now_ms)
         if bucket.repeats < 1:
             return False
@@ -149,31 +155,31 @@
         self._buckets.move_to_end(organisation)
         idle_ms = max(0.0, now_ms - bucket.updated_at_ms)
         bucket.updated_at_ms = max(now_ms, bucket.updated_at_ms)
-        earned = bucket.repeats + idle_ms / IDLE_REPEAT_MS
-        bucket.repeats = max(bucket.repeats, min(1.0, earned))
+        accumulated = bucket.repeats + idle_ms / IDLE_REPEAT_MS
+        bucket.repeats = max(bucket.repeats, min(1.0, accumulated))
         return bucket
 
     def _new_bucket(self, organisation: str, now_ms: float) -> RepeatBucket:
         if len(self._buckets) >= self._max_organisations:
-            # One that is dropped and comes back must not have gained by that.
+            # An evicted organisation must not get its initial retries again.
             self._buckets.popitem(last=False)
-            self._first_repeats = 0.0
-        bucket = RepeatBucket(repeats=self._first_repeats, updated_at_ms=now_ms)
+            self._initial_retries = 0.0
+        bucket = RepeatBucket(repeats=self._initial_retries, updated_at_ms=now_ms)
         self._buckets[organisation] = bucket
         return bucket
 
 
 _REPEATABLE_PARENT = Refused(verdict=Verdict.NOT_RUN, reason=Reason.REPEATABLE_PARENT)
-_TOO_MANY = Refused(verdict=Verdict.NOT_RUN, reason=Reason.OVERLOADED)
-_NOT_RUN = Refused(verdict=Verdict.NOT_RUN, reason=Reason.RETRY_REFUSED)
+_TOO_MANY_CHILDREN = Refused(verdict=Verdict.NOT_RUN, reason=Reason.OVERLOADED)
+_RETRY_REFUSED = Refused(verdict=Verdict.NOT_RUN, reason=Reason.RETRY_REFUSED)
 
 
 class ChildCalls:
-    """The calls that a backend server makes while it serves one parent call.
+    """Child calls that a backend server makes while it serves one parent call.
 
-    The parent runs on this node alone, so all its child calls come through here: this
-    is where a service's own repeats are told from first calls, joined, answered from
-    the record, or paid for with the allowance.
+    The parent runs on this node alone, so all its child calls pass through here. A
+    service's own retry is told from a first call, and is joined to the running call,
+    answered from the record, or charged to the retry allowance.
     """
 
     def __init__(
@@ -195,15 +201,15 @@
         self._closed = False
 
     def claim(self, operation: str, key: bytes, *, repeatable: bool) -> Claim:
-        """Decide what a child call gets.
+        """Decide whether a child call is dispatched, joined, answered or refused.
 
         Args:
             operation: name of the operation called.
             key: its ``Idempotency-Key``, or else its fingerprint.
-            repeatable: whether the operation is.
+            repeatable: whether the operation is repeatable.
         """
         if not repeatable and self._parent_repeatable:
-            # The parent may be run again elsewhere, and would make this call again.
+            # A retry of the parent on another host would make this call again.
             return _REPEATABLE_PARENT
         number = self._numbers.get((operation, key))
         if number is None:
@@ -212,9 +218,9 @@
         if state is RunState.RUNNING:
             return Join(number=number)
         if repeatable:
-            return self._repeat(number)
+            return self._claim_retry(number)
         if state is RunState.NOT_RUN:
-            return _NOT_RUN
+            return _RETRY_REFUSED
         answer = self._answers.get((self._parent, number))
         return NOT_KEPT if answer is None else Recorded(answer=answer)
 
@@ -222,7 +228,7 @@
         """Record the outcome of a dispatched child call.
 
         Raises:
-            InvariantError: the child call isn't running.
+            InvariantError: The child call isn't running.
         """
         if self._states[number] is not RunState.RUNNING:
             raise InvariantError(
@@ -234,21 +240,21 @@
             self._answers.keep((self._parent, number), answer)
 
     def close(self) -> None:
-        """Drop the kept answers and refuse new calls: the parent has ended."""
+        """Drop the stored answers and refuse new calls, as the parent has ended."""
         self._closed = True
         for number in range(len(self._states)):
             self._answers.drop((self._parent, number))
 
     def _first_claim(self, operation: str, key: bytes) -> Claim:
         if self._closed or len(self._states) >= self._max_children:
-            return _TOO_MANY
+            return _TOO_MANY_CHILDREN
         number = len(self._states)
         self._numbers[operation, key] = number
         self._states.append(RunState.RUNNING)
         return Dispatch(number=number)
 
-    def _repeat(self, number: int) -> Claim:
+    def _claim_retry(self, number: int) -> Claim:
         if not self._allowance.spend():
-            return _NOT_RUN
+            return _RETRY_REFUSED
         self._states[number] = RunState.RUNNING
         return Dispatch(number=number)
--- a/packages/sassafraswinch/sassafraswinch/running_call.py
+++ b/packages/sassafraswinch/sassafraswinch/running_call.py
@@ -1,4 +1,4 @@
-"""A call at its executing node, with the child calls made below it."""
+"""Running calls: the executing node's state of a call and of its child calls."""
 
 import itertools
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
     started_at_ms: float | None = None
     cancelled: bool = False
     thresholds: dict[str, Rank] = field(default_factory=dict)
-    """Strictest threshold of each service that child calls met."""
+    """Strictest admission threshold that child calls met, by service."""
     open_children: int = 0
     finished_children: int = 0
     waiting_since_ms: float = 0.0
@@ -30,11 +30,11 @@
 
     @property
     def began_children(self) -> bool:
-        """Whether any call was made below it."""
+        """Whether any child call was made."""
         return self.open_children + self.finished_children > 0
 
     def child_opened(self, now_ms: float) -> None:
-        """Note that a child call began; time with open children isn't self time."""
+        """Record the start of a child call; time with open children isn't self time."""
         if not self.open_children:
             self.waiting_since_ms = now_ms
         self.open_children += 1
@@ -42,7 +42,7 @@
     def child_closed(
         self, now_ms: float, thresholds: Iterable[ServiceThreshold]
     ) -> None:
-        """Note that a child call ended and the thresholds it met."""
+        """Record the end of a child call and the thresholds that it met."""
         self.open_children -= 1
         self.finished_children += 1
         for service, rank in thresholds:
@@ -51,7 +51,7 @@
             self.waited_ms += now_ms - self.waiting_since_ms
 
     def self_time_ms(self, now_ms: float) -> float:
-        """Return the time the backend server spent on this call itself."""
+        """Return the time that the backend server spent outside of child calls."""
         waited_ms = self.waited_ms
         if self.open_children:
             waited_ms += now_ms - self.waiting_since_ms
@@ -59,7 +59,7 @@
 
 
 def thresholds_met(running: RunningCall, load: Load) -> tuple[ServiceThreshold, ...]:
-    """Return the thresholds that a call met here and below."""
+    """Return the thresholds that a call met at this host and in its child calls."""
     met = dict(running.thresholds)
     if load.threshold is not None:
         service = running.call.service
--- a/packages/sassafraswinch/sassafraswinch/sent_calls.py
+++ b/packages/sassafraswinch/sassafraswinch/sent_calls.py
@@ -1,4 +1,4 @@
-"""What an owner remembers about calls that it wrote to other nodes."""
+"""Sent calls: an owner's records of the calls written to other nodes."""
 
 from dataclasses import dataclass
 
@@ -6,14 +6,14 @@
 from sassafraswinch.verdict import Verdict
 
 MAX_SENT_CALLS = 16_384
-"""Calls without an outcome at a time: about 40 s of calls at 375 a second."""
+"""Concurrent calls without an outcome: about 40 s of calls at 375 a second."""
 MAX_FENCE_NUMBERS = 4096
 """Calls in one fence message: 32 KiB on the wire."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SentCall:
-    """Where a call was written."""
+    """The node and the link session that a call was written to."""
 
     peer: NodeId
     session: int
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Recovery:
-    """What an owner does once it has a new link to a host."""
+    """Fences and lost calls that follow from a new link to a host."""
 
     fences: tuple[Fence, ...]
     """To be sent on the new link, before any call."""
     lost: tuple[int, ...]
-    """Calls written to a previous run of the node: MAY_HAVE_RUN for good."""
+    """Calls written to a previous incarnation of the node: MAY_HAVE_RUN for good."""
 
 
 class SentCalls:
@@ -41,10 +41,10 @@
         return len(self._calls)
 
     def expect(self, number: int, *, peer: NodeId, session: int) -> bool:
-        """Note a call before its first byte is written.
+        """Record a call before its first byte is written.
 
         Returns:
-            False: there is no room; the call must not be written.
+            False if there is no room; the call must not be written then.
         """
         if len(self._calls) >= self._max_calls:
             return False
@@ -53,7 +53,7 @@
         return True
 
     def settle(self, number: int) -> None:
-        """Drop a call that has an outcome, or was provably not written."""
+        """Remove a call that has an outcome, or was provably not written."""
         call = self._calls.pop(number, None)
         if call is None:
             return
@@ -63,15 +63,15 @@
             del self._numbers[call.peer.host]
 
     def is_open(self, number: int, peer: NodeId) -> bool:
-        """Whether an answer from this peer belongs to a call without an outcome."""
+        """Return whether the call was sent to this peer and has no outcome yet."""
         call = self._calls.get(number)
         return call is not None and call.peer == peer
 
     def link_up(self, peer: NodeId, session: int) -> Recovery:
         """Fence the calls that were written to the host on earlier links.
 
-        A restarted executing node has lost its records: it would answer "never
-        started" about a call that its previous run did start. So it isn't asked.
+        A restarted executing node has lost its records and would answer "never started"
+        for a call that its previous incarnation did start. So no fence is sent for it.
         """
         earlier = [
             number
@@ -95,8 +95,8 @@
         """Settle a fenced call.
 
         Returns:
-            NOT_RUN or MAY_HAVE_RUN; None: it runs and its answer will come, or the
-            call has an outcome already.
+            NOT_RUN or MAY_HAVE_RUN; None if the call is running and its answer will
+            come, or if it has an outcome already.
         """
         if not self.is_open(reply.number, peer):
             return None
--- a/packages/sassafraswinch/sassafraswinch/transfer.py
+++ b/packages/sassafraswinch/sassafraswinch/transfer.py
@@ -1,4 +1,4 @@
-"""The packed form of documents on their way between nodes."""
+"""Compression of documents for transfer between nodes."""
 
 import zlib
 
@@ -7,10 +7,10 @@
 
 
 class UnpackError(SassafraswinchError):
-    """What a peer sent can't be unpacked.
+    """A document received from a peer can't be decompressed.
 
     Attributes:
-        reason: what is wrong with it.
+        reason: Cause of the failure.
     """
 
     def __init__(self, *, reason: str):
@@ -19,16 +19,16 @@
 
 
 def pack_document(body: bytes) -> bytes:
-    """Compress a document for sending; at 1,700 changes a day it pays."""
+    """Compress a document for transfer, as there are 1,700 changes a day."""
     return zlib.compress(body)
 
 
 def unpack_document(packed: bytes) -> bytes:
-    """Return the document that ``pack_document`` packed.
+    """Decompress a document that ``pack_document`` compressed.
 
     Raises:
-        UnpackError: the bytes aren't a packed document, or a larger one than
-            any document may be.
+        UnpackError: The bytes aren't a complete compressed document, or it is larger
+            than ``MAX_DOCUMENT_BYTES``.
     """
     reader = zlib.decompressobj()
     try:
@@ -36,5 +36,5 @@
     except zlib.error as error:
         raise UnpackError(reason=str(error)) from error
     if not reader.eof:
-        raise UnpackError(reason=f"cut off, or over {MAX_DOCUMENT_BYTES} bytes")
+        raise UnpackError(reason=f"truncated, or over {MAX_DOCUMENT_BYTES} bytes")
     return body
--- a/packages/sassafraswinch/sassafraswinch/verdict.py
+++ b/packages/sassafraswinch/sassafraswinch/verdict.py
@@ -1,4 +1,4 @@
-"""What a caller may conclude about its request from an outcome."""
+"""Verdicts on the execution of a request, and the reasons of refusals."""
 
 import enum
 
@@ -10,14 +10,14 @@
     """Proved: no backend server has started the request, and none will."""
 
     ANSWERED = "answered"
-    """The whole answer of a backend server is at hand."""
+    """The complete answer of a backend server was received."""
 
     MAY_HAVE_RUN = "may-have-run"
-    """Nothing is proved: the request may have run, be running, or never run."""
+    """Unknown: the request may have run, may be running, or may never run."""
 
 
 class Reason(enum.Enum):
-    """Why a node ended a call without a backend server's answer."""
+    """Reason for which a node ended a call without a backend server's answer."""
 
     OVERLOADED = "overloaded"
     EVICTED = "evicted"
--- a/packages/sassafraswinch/sassafraswinch/waiting.py
+++ b/packages/sassafraswinch/sassafraswinch/waiting.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a slot, in the order of their claims."""
+"""Wait queue of a gate: calls that wait for a slot, in the order of their claims."""
 
 from bisect import bisect_left, insort
 from collections.abc import Hashable, Iterator
@@ -9,16 +9,16 @@
 
 
 class Claim(NamedTuple):
-    """Order of starts at one gate: the smallest claim starts first.
+    """Priority of a call in the queue of one gate: the smallest claim starts first.
 
-    Levels decide who is refused, not who starts: a queue ordered by level lets
-    the greatest admitted levels starve until they are too old, and the work
-    already done for them at other hops is lost.
+    Levels decide which call is refused, not which starts. In a queue ordered by level
+    the greatest admitted levels starve until their deadline, and the work done for
+    them at other hops is wasted.
     """
 
     class_order: int
     unprogressed: int
-    """Finished calls of the root request, negated: work done raises the claim."""
+    """Finished calls of the root request, negated: work done raises the priority."""
 
     sequence: int
     """Number of the offer at this gate; makes claims unique."""
@@ -37,10 +37,10 @@
 
 
 class WaitingCalls:
-    """A queue ordered by claim, with both ends and each key at hand.
+    """A queue ordered by claim, with access to both ends and by key.
 
-    The queue is short (it is bounded by delay), so a sorted list with binary
-    search beats trees and pairs of heaps.
+    The queue is short, as it is bounded by delay, so a sorted list with binary search
+    is faster than trees and pairs of heaps.
     """
 
     def __init__(self):
@@ -55,9 +55,9 @@
         return iter([self._calls[claim] for claim in self._claims])
 
     def add(self, call: WaitingCall) -> None:
-        """Put a call in its place."""
+        """Add a call in the order of its claim."""
         if call.key in self._by_key:
-            facts = f"{call.key!r} is offered while it waits"
+            facts = f"{call.key!r} was offered while it is queued"
             raise InvariantError(invariant="one-start-per-call", facts=facts)
         insort(self._claims, call.claim)
         self._calls[call.claim] = call
@@ -68,19 +68,19 @@
         return bisect_left(self._claims, claim)
 
     def last_class(self) -> int:
-        """Return the class order of the lowest claim; there must be one."""
+        """Return the class order of the last call; the queue must not be empty."""
         return self._claims[-1].class_order
 
     def pop_first(self) -> WaitingCall:
-        """Take the call with the highest claim."""
-        return self._forget(self._claims.pop(0))
+        """Remove and return the call that would start first."""
+        return self._discard(self._claims.pop(0))
 
     def pop_last(self) -> WaitingCall:
-        """Take the call that would start last."""
-        return self._forget(self._claims.pop())
+        """Remove and return the call that would start last."""
+        return self._discard(self._claims.pop())
 
     def pop_lowest(self) -> WaitingCall:
-        """Take the call to refuse: of the last class and progress, by level."""
+        """Remove and return the greatest level of the last class and progress."""
         last = self._claims[-1]
         first_of_group = Claim(last.class_order, last.unprogressed, 0)
         group = self._claims[bisect_left(self._claims, first_of_group) :]
@@ -88,14 +88,14 @@
         return self.remove(self._calls[lowest].key)
 
     def remove(self, key: Hashable) -> WaitingCall | None:
-        """Take the call of this key, None if it doesn't wait."""
+        """Remove and return the call of this key; None if it isn't queued."""
         claim = self._by_key.get(key)
         if claim is None:
             return None
         del self._claims[bisect_left(self._claims, claim)]
-        return self._forget(claim)
+        return self._discard(claim)
 
-    def _forget(self, claim: Claim) -> WaitingCall:
+    def _discard(self, claim: Claim) -> WaitingCall:
         call = self._calls.pop(claim)
         del self._by_key[call.key]
         return call
--- a/packages/sassafraswinch/sassafraswinch/wake.py
+++ b/packages/sassafraswinch/sassafraswinch/wake.py
@@ -1,25 +1,24 @@
-"""Notices that the process was paused, before it acts on what it knew."""
+"""Wake detector: detects a process pause before the node acts on outdated state."""
 
 PAUSE_MS = 1_500
-"""A gap between two observations that counts as a pause. With a heartbeat each
-second, what is older could let a leaving host get new work after 3 s."""
+"""Gap between two observations that counts as a pause. Heartbeats are sent each second;
+with older state a leaving host could get new calls after 3 s."""
 
 WALL_JUMP_MS = 1_500
-"""A step of the wall clock against the monotonic one that counts as a pause: the
-monotonic clock stands still while a virtual machine is suspended."""
+"""Step of the wall clock against the monotonic one that counts as a pause: the
+monotonic clock doesn't advance while a virtual machine is suspended."""
 
 
 class WakeDetector:
-    """Compares the time of each event with that of the one before.
+    """Detects a process pause from the time between successive events.
 
-    Failure guarded against: a process stopped for a minute wakes; its event
-    loop first handles what lies in the sockets and only then its timers. So a
-    timer alone notices too late. The node calls ``observe`` first in every
-    entry point, and a timer calls it each ``tick_ms`` so that an idle process
-    isn't taken for a paused one.
+    Failure: after a pause of a minute the event loop handles buffered socket data
+    before its timers, so a timer alone detects the pause too late. The node calls
+    ``observe`` first in every entry point, and a timer calls it each ``tick_ms``, so
+    that an idle process isn't taken for a paused one.
 
     Args:
-        tick_ms: period of the timer, well below ``PAUSE_MS``.
+        tick_ms: Period of the timer, well below ``PAUSE_MS``.
     """
 
     def __init__(self, *, tick_ms: float):
