--- a/packages/sassafraswinch/sassafraswinch/errors.py
+++ b/packages/sassafraswinch/sassafraswinch/errors.py
@@ -62,6 +62,6 @@
     """
 
     def __init__(self, *, invariant: str, facts: str):
-        super().__init__(f"invariant {invariant} violated: {facts}")
+        super().__init__(f"invariant {invariant} broken: {facts}")
         self.invariant = invariant
         self.facts = facts
--- a/packages/sassafraswinch/sassafraswinch/owned_call.py
+++ b/packages/sassafraswinch/sassafraswinch/owned_call.py
@@ -5,7 +5,7 @@
 from sassafraswinch.messages import Answer, Call, Headers, NodeId, Rank
 from sassafraswinch.retry import RetryAllowance
 
-DETACHED_LIFE_MS = 600_000.0
+DETACHED_WAIT_MS = 600_000.0
 """Time after its deadline for which the outcome of a non-repeatable call is awaited."""
 
 
@@ -59,7 +59,7 @@
     @property
     def detached_until_ms(self) -> float:
         """Time until which the outcome is awaited without waiters."""
-        return self.deadline_at_ms + DETACHED_LIFE_MS
+        return self.deadline_at_ms + DETACHED_WAIT_MS
 
     def message(self, number: int, handed: int, now_ms: float) -> Call:
         """Return the message that one attempt sends."""
--- a/packages/sassafraswinch/sassafraswinch/retry_after.py
+++ b/packages/sassafraswinch/sassafraswinch/retry_after.py
@@ -14,7 +14,7 @@
 time. It is a constant, as a share of the delay would move late retries into earlier
 seconds."""
 
-MIN_FULL_BACKLOG_SHARE = 0.5
+MIN_SATURATED_DELAY_SHARE = 0.5
 """Minimum share of ``MAX_MS`` in the delay once the backlog of retries is longer than
 that. With equal delays the retries would arrive as steeply as the refusals."""
 
@@ -53,4 +53,4 @@
         wait_ms = MIN_MS + self._backlog / drain_per_ms
         if wait_ms < MAX_MS:
             return int(wait_ms + rng.uniform(0, JITTER_MS))
-        return int(rng.uniform(MIN_FULL_BACKLOG_SHARE * MAX_MS, MAX_MS))
+        return int(rng.uniform(MIN_SATURATED_DELAY_SHARE * MAX_MS, MAX_MS))
--- a/packages/sassafraswinch/tests/test_dispatch_end.py
+++ b/packages/sassafraswinch/tests/test_dispatch_end.py
@@ -1,4 +1,4 @@
-"""What the end of a dispatch proves."""
+"""Tests of the classification of dispatch results."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     ("status", "value", "shed"),
     [(503, "1", True), (503, "0", False), (500, "1", False)],
 )
-def test_only_the_documented_form_is_a_shed(status, value, shed):
+def test_only_a_503_with_the_shed_header_counts_as_shed(status, value, shed):
     result = BackendResult(
         verdict=Verdict.ANSWERED, status=status, headers=(("x-not-run", value),)
     )
@@ -21,10 +21,11 @@
     assert (outcome is BackendOutcome.SHED) is shed
 
 
-def test_shed_after_calling_onward_proves_nothing():
-    """A backend server makes a release below an approval, then says it did nothing.
+def test_shed_after_child_calls_is_may_have_run():
+    """Guard against a duplicate release.
 
-    Told NOT_RUN, the caller sends the approval again, and the release runs twice.
+    A backend server makes a release as child call of an approval and then sheds the
+    approval. After NOT_RUN the caller would retry it and the release would run twice.
     """
     result = BackendResult(
         verdict=Verdict.ANSWERED, status=503, headers=(("x-not-run", "1"),)
@@ -35,7 +36,7 @@
 
 
 @pytest.mark.parametrize("verdict", [Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN])
-def test_without_an_answer_the_client_s_verdict_holds(verdict):
+def test_verdict_of_the_backend_client_is_kept_without_an_answer(verdict):
     result = BackendResult(verdict=verdict, reason=Reason.BACKEND_UNREACHABLE)
     assert judge(result, cancelled=False, began_children=False) == (
         verdict,
--- a/packages/sassafraswinch/tests/test_execution.py
+++ b/packages/sassafraswinch/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""Execution records under late, repeated and lost frames, and little memory."""
+"""Tests of the execution ledger with late, duplicate and lost frames."""
 
 from collections import Counter
 
@@ -22,8 +22,8 @@
 ANSWER_BYTES = 3000
 
 
-class Calls(RuleBasedStateMachine):
-    """One owner's calls: what the ledger says must stay true, however frames arrive."""
+class CallsMachine(RuleBasedStateMachine):
+    """Calls of one owner: replies of the ledger stay true in any order of frames."""
 
     @initialize(max_dropped_calls=st.sampled_from([0, 1]))
     def begin(self, max_dropped_calls):
@@ -42,7 +42,7 @@
         self.finished = []
         self.fences = []
         self.started = Counter()
-        self.told_never = set()
+        self.reported_never_started = set()
 
     @rule()
     def send(self):
@@ -54,7 +54,7 @@
         self.send()
         self.arrive(pick=len(self.frames) - 1, duplicate=duplicate)
         if self.queue:
-            self.take(refuse=False)
+            self.start_or_refuse(refuse=False)
 
     @precondition(lambda self: self.frames)
     @rule(pick=st.integers(0, 3), duplicate=st.booleans())
@@ -67,7 +67,7 @@
 
     @precondition(lambda self: self.queue)
     @rule(refuse=st.booleans())
-    def take(self, refuse):
+    def start_or_refuse(self, refuse):
         number = self.queue.pop(0)
         if refuse:
             self.finish(number, Verdict.NOT_RUN)
@@ -103,17 +103,17 @@
             refused = isinstance(reply, Answer) and reply.verdict is Verdict.NOT_RUN
             never = FenceReply(number=reply.number, state=FenceState.NEVER_STARTED)
             if refused or reply == never:
-                self.told_never.add(reply.number)
+                self.reported_never_started.add(reply.number)
 
     @precondition(lambda self: self.sent > 2)
     @rule()
-    def owner_is_gone(self):
+    def evict_owner(self):
         self.ledger.forget_owner(OWNER)
 
     @precondition(lambda self: self.sent > 2 and self.now_ms == 0)
     @rule()
-    def long_silence_then_other_owner(self):
-        self.frames.clear()  # Links silent for so long have been closed.
+    def long_idle_time_then_other_owner(self):
+        self.frames.clear()  # Links that were silent for that long are closed.
         self.now_ms += FORGET_OWNER_MS
         self.ledger.tick(self.now_ms)
         self.ledger.receive(OTHER, 1, 1)
@@ -129,7 +129,7 @@
     @invariant()
     def started_at_most_once_and_never_means_never(self):
         assert all(count == 1 for count in self.started.values())
-        assert not self.told_never & self.started.keys()
+        assert not self.reported_never_started & self.started.keys()
 
     @invariant()
     def memory_is_bounded(self):
@@ -137,17 +137,17 @@
         assert self.ledger.size.records <= 6 + 1
 
 
-TestCalls = Calls.TestCase
-TestCalls.settings = settings(
+TestCallsMachine = CallsMachine.TestCase
+TestCallsMachine.settings = settings(
     derandomize=True, deadline=None, max_examples=300, stateful_step_count=40
 )
 
 
 def test_a_frame_that_arrives_after_its_fence_does_not_start():
-    """A caller is told NOT_RUN, yet its approval is done.
+    """Guard against an approval that runs after its caller got NOT_RUN.
 
-    A link goes silent with the call in it; the owner fences the call over a new link
-    and hears that it never started. Then the old link delivers the call.
+    A link goes silent with the call in transit. The owner fences the call over a new
+    link and receives "never started". Then the old link delivers the call.
     """
     ledger = ExecutionLedger(max_answer_bytes=ANSWER_BYTES)
     fenced = ledger.fence(OWNER, Fence(floor_session=2, numbers=(1,)))
@@ -157,10 +157,10 @@
 
 
 def test_a_restarted_owner_does_not_get_answers_of_its_previous_run():
-    """A caller gets the answer to somebody else's request.
+    """Guard against an answer that reaches the caller of another request.
 
-    An owner restarts and counts its calls from 1 again, while the executing node
-    still holds the answer to call 1 of the previous run.
+    An owner restarts and numbers its calls from 1 again, while the executing node
+    still holds the answer to call 1 of the previous incarnation.
     """
     ledger = ExecutionLedger(max_answer_bytes=ANSWER_BYTES)
     ledger.receive(OWNER, 1, 1)
@@ -171,11 +171,12 @@
     assert reply == FenceReply(number=1, state=FenceState.NEVER_STARTED)
 
 
-def test_nothing_is_said_of_calls_before_their_owner_was_forgotten():
-    """A caller is told NOT_RUN of an approval that was done.
+def test_calls_from_before_the_eviction_of_their_owner_are_unknown():
+    """Guard against NOT_RUN for an approval that was executed.
 
-    An owner is cut off for so long that its state is dropped for another owner. When
-    it comes back its fences come in parts; the first part makes it look well known.
+    An owner is disconnected for so long that its state is evicted for another owner.
+    After the reconnect its fences arrive in parts, and after the first part the owner
+    looks like one with known state.
     """
     ledger = ExecutionLedger(max_answer_bytes=ANSWER_BYTES, max_owners=1)
     ledger.receive(OWNER, 1, 7)
--- a/packages/sassafraswinch/tests/test_once.py
+++ b/packages/sassafraswinch/tests/test_once.py
@@ -1,4 +1,7 @@
-"""State machine: tickets, execution records and sent calls of two nodes."""
+"""State machine test of at-most-once execution across two nodes.
+
+It covers tickets, execution records and sent calls.
+"""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
@@ -28,16 +31,16 @@
 
 
 def limited(function):
-    """Let a rule run only so often in one story: the machine's ``limits`` say so."""
+    """Limit how often a rule runs in one example, by the machine's ``limits``."""
     name = function.__name__
 
-    def counted(self, **picks):
+    def limited_rule(self, **picks):
         self.counts[name] += 1
         return function(self, **picks)
 
-    counted.__name__ = name
+    limited_rule.__name__ = name
     return precondition(lambda self: self.counts[name] < self.limits.get(name, 99))(
-        counted
+        limited_rule
     )
 
 
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A caller's request: which ticket it carries, and what it asks for."""
+    """A caller's request with the index of its ticket."""
 
     ticket: int
     organisation: str
@@ -74,7 +77,7 @@
 
 @dataclass
 class Node:
-    """One run of a node: all that a restart loses."""
+    """One incarnation of a node: the state that a restart loses."""
 
     id: NodeId
     links: dict = field(default_factory=dict)
@@ -103,8 +106,8 @@
         )
 
 
-class Nodes(RuleBasedStateMachine):
-    """Frames wait in one bag: any may be delivered next, again, late or never."""
+class NodesMachine(RuleBasedStateMachine):
+    """Two nodes whose frames may be reordered, duplicated, delayed or lost."""
 
     limits = {
         "new_tickets": 2,
@@ -120,9 +123,9 @@
         self.now_ms = 0.0
         self.incarnations = 0
         self.frames = []
-        self.texts = []
+        self.issued_tickets = []
         self.runs = defaultdict(list)
-        self.told = defaultdict(set)
+        self.verdicts_by_ticket = defaultdict(set)
         self.nodes = {}
         for host in HOSTS:
             self.restart(host)
@@ -153,71 +156,71 @@
 
     def issue(self, host, count):
         tickets = self.nodes[host].tickets
-        self.texts += [
+        self.issued_tickets += [
             (host, tickets.issue("acme", OPERATION, self.now_ms)) for _ in range(count)
         ]
 
     @rule()
     @limited
-    def first_try(self):
+    def first_attempt(self):
         self.issue(host="a", count=1)
-        self.attempt(pick=0, organisation="acme", body=b"1", via="a")
+        self.attempt(pick=0, organisation="acme", body=b"1", ingress="a")
 
     @rule()
     @limited
     def running_call(self):
-        self.first_try()
+        self.first_attempt()
         if self.frames:
             self.deliver_newest()
         if self.nodes["b"].queue:
-            self.take_from_queue(pick=1, refuse=False)
+            self.start_or_refuse(pick=1, refuse=False)
 
     @rule(
         pick=st.integers(0, 2),
         organisation=st.sampled_from(["acme", "acme", "rival"]),
         body=st.sampled_from([b"1", b"1", b"2"]),
-        via=st.sampled_from(HOSTS),
+        ingress=st.sampled_from(HOSTS),
     )
     @limited
-    def attempt(self, pick, organisation, body, via):
-        ticket = max(0, len(self.texts) - 1 - pick)
+    def attempt(self, pick, organisation, body, ingress):
+        ticket = max(0, len(self.issued_tickets) - 1 - pick)
         request = Request(ticket, organisation, body)
-        host = self.texts[ticket][0]
-        if host == via:
+        host = self.issued_tickets[ticket][0]
+        if host == ingress:
             self.claim(self.nodes[host], request, self.now_ms)
         else:
-            self.send(self.nodes[via], host, request)
+            self.send(self.nodes[ingress], host, request)
 
     @precondition(lambda self: self.frames)
     @rule()
     def deliver(self):
-        self.arrive(self.frames.pop(0), retry=False, late_ms=0)
+        self.arrive(self.frames.pop(0), retry=False, delay_ms=0)
 
     @precondition(lambda self: self.frames)
     @rule()
     def deliver_newest(self):
-        self.arrive(self.frames.pop(), retry=False, late_ms=0)
+        self.arrive(self.frames.pop(), retry=False, delay_ms=0)
 
     @precondition(lambda self: self.frames)
     @rule(
         pick=st.integers(0, 3),
         duplicate=st.booleans(),
         retry=st.booleans(),
-        late_ms=st.sampled_from([0, LIFETIME_MS]),
+        delay_ms=st.sampled_from([0, LIFETIME_MS]),
     )
-    def deliver_any(self, pick, duplicate, retry, late_ms):
+    def deliver_any(self, pick, duplicate, retry, delay_ms):
         frame = self.frames[pick % len(self.frames)]
         if not duplicate:
             self.frames.remove(frame)
-        self.arrive(frame, retry, late_ms)
+        self.arrive(frame, retry, delay_ms)
 
-    def arrive(self, frame, retry, late_ms):
+    def arrive(self, frame, retry, delay_ms):
         node = self.nodes[frame.target.host]
         if node.id != frame.target:
             return
         payload = frame.payload
         if isinstance(payload, Request):
-            self.claim(node, payload, self.now_ms - late_ms)
+            self.claim(node, payload, self.now_ms - delay_ms)
         elif isinstance(payload, SentRequest):
             if node.executed.receive(frame.source, frame.session, payload.number):
                 node.queue.append((frame.source, payload))
@@ -267,7 +270,7 @@
 
     @precondition(lambda self: self.nodes_with("queue"))
     @rule(pick=st.integers(0, 1), refuse=st.sampled_from([False, False, True]))
-    def take_from_queue(self, pick, refuse):
+    def start_or_refuse(self, pick, refuse):
         node = self.pick("queue", pick)
         owner, sent = node.queue.pop(0)
         if refuse:
@@ -296,7 +299,7 @@
     def pass_time(self, ms):
         self.now_ms += ms
         if ms == FORGET_OWNER_MS:
-            self.frames.clear()  # Links silent for so long have been closed.
+            self.frames.clear()  # Links that were silent for that long are closed.
         for node in self.nodes.values():
             node.tickets.tick(self.now_ms)
             node.executed.tick(self.now_ms)
@@ -308,7 +311,7 @@
 
     def claim(self, node, request, now_ms):
         claim = node.tickets.claim(
-            self.texts[request.ticket][1],
+            self.issued_tickets[request.ticket][1],
             request.organisation,
             OPERATION,
             fingerprint("POST", "/orders/1/approval", request.body),
@@ -317,9 +320,9 @@
         if isinstance(claim, Dispatch):
             self.dispatch(node, claim.number, request)
         elif isinstance(claim, Recorded):
-            self.tell(request, claim.answer)
+            self.record_answer(request, claim.answer)
         elif isinstance(claim, Refused):
-            self.told[request.ticket].add(claim.verdict)
+            self.verdicts_by_ticket[request.ticket].add(claim.verdict)
 
     def dispatch(self, node, ticket_number, request):
         host = other(node.id.host)
@@ -337,10 +340,10 @@
             self.dispatch(node, ticket_number, request)
             return
         node.tickets.finish(ticket_number, answer, self.now_ms)
-        self.tell(request, answer)
+        self.record_answer(request, answer)
 
-    def tell(self, request, answer):
-        self.told[request.ticket].add(answer.verdict)
+    def record_answer(self, request, answer):
+        self.verdicts_by_ticket[request.ticket].add(answer.verdict)
         if answer.verdict is Verdict.ANSWERED:
             assert answer.body == request.answer_body
 
@@ -365,7 +368,7 @@
 
     @invariant()
     def not_run_is_true(self):
-        for ticket, verdicts in self.told.items():
+        for ticket, verdicts in self.verdicts_by_ticket.items():
             assert Verdict.NOT_RUN not in verdicts or not self.runs[ticket]
 
     @invariant()
@@ -376,14 +379,14 @@
             assert node.executed.size.records <= 4 + 1
 
 
-class NodesWithBadLinks(Nodes):
-    """Only links fail: longer stories about frames that outlive their link."""
+class NodesWithLinkFaults(NodesMachine):
+    """Only links fail, which leaves more steps for frames that outlive their link."""
 
     limits = {"disturb": 0, "pass_time": 0, "new_tickets": 0, "give_up": 0}
 
 
-class NodesThatRestart(Nodes):
-    """Links fail and nodes restart, all within the lifetime of one ticket."""
+class NodesWithRestarts(NodesMachine):
+    """Links fail and nodes restart within the lifetime of one ticket."""
 
     limits = {
         "pass_time": 0,
@@ -395,9 +398,9 @@
     }
 
 
-TestNodes = Nodes.TestCase
-TestNodesWithBadLinks = NodesWithBadLinks.TestCase
-TestNodesThatRestart = NodesThatRestart.TestCase
-TestNodes.settings = TestNodesWithBadLinks.settings = TestNodesThatRestart.settings = (
-    settings(derandomize=True, deadline=None, max_examples=300, stateful_step_count=50)
-)
+TestNodesMachine = NodesMachine.TestCase
+TestNodesWithLinkFaults = NodesWithLinkFaults.TestCase
+TestNodesWithRestarts = NodesWithRestarts.TestCase
+TestNodesMachine.settings = TestNodesWithLinkFaults.settings = (
+    TestNodesWithRestarts.settings
+) = settings(derandomize=True, deadline=None, max_examples=300, stateful_step_count=50)
--- a/packages/sassafraswinch/tests/test_owner.py
+++ b/packages/sassafraswinch/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owning side of a node, with fakes at its ports."""
+"""Tests of the call owner, with fake ports."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class NoLinks:
-    """Links of a node that has none."""
+    """Link port of a node without links."""
 
     def send(self, host, message):
         return None
@@ -36,11 +36,12 @@
     )
 
 
-def test_call_to_a_service_without_links_asks_for_them():
-    """In a fleet of 100 every call to another service was refused with no-host.
+def test_call_to_a_service_without_links_requests_them():
+    """Guard against calls that are always refused with no-host in a large fleet.
 
-    Above 24 hosts a node links to the services that it calls, but no call ever told
-    the plan, so the links never came. The call may be refused; the next finds links.
+    Above 24 hosts, such as in a fleet of 100, a node links only to the services that
+    it calls. If calls aren't reported to the link plan, the links are never dialled.
+    The first call may be refused; the next one finds links.
     """
     called = []
     owner = Owner(
--- a/packages/sassafraswinch/tests/test_retry.py
+++ b/packages/sassafraswinch/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries of a whole call tree stay within the allowance, whatever answers get lost."""
+"""Tests of the retry allowance of a call tree, child calls and caller retry budget."""
 
 from collections import Counter
 
@@ -25,11 +25,11 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 PICKS = st.sampled_from([0, 0, -1, -2, -3])
-"""Which call of the tree: its root, or one of the newest."""
+"""Index of a call of the tree: its root, or one of the newest."""
 
 
 class Call:
-    """One run of a call: what its executing node holds."""
+    """One execution of a call, as its executing node keeps it."""
 
     def __init__(self, *, name, granted, parent=None, child_number=None, repeatable):
         self.name = name
@@ -47,7 +47,10 @@
 
 
 class CallTree(RuleBasedStateMachine):
-    """Services call on and repeat, nodes retry, answers come twice, late or never."""
+    """Services make and retry child calls, nodes retry, answers are delayed or lost.
+
+    Answers may also be duplicated.
+    """
 
     @initialize(
         granted=st.integers(0, 4), repeatable=st.sampled_from([False, False, True])
@@ -57,7 +60,7 @@
         self.retries = 0
         self.dispatched = Counter()
         self.answers = []
-        self.awaited = []
+        self.unanswered = []
         self.calls = [Call(name=0, granted=granted, repeatable=repeatable)]
 
     @rule(pick=PICKS, key=st.sampled_from([b"1", b"2"]), read=st.booleans())
@@ -73,18 +76,18 @@
     @rule(pick=PICKS)
     def node_retries(self, pick):
         call = self.calls[pick % len(self.calls)]
-        if call in self.awaited and call.parent.allowance.spend():
+        if call in self.unanswered and call.parent.allowance.spend():
             self.retries += 1
-            self.awaited.remove(call)
+            self.unanswered.remove(call)
             self.dispatch(call.parent, call.child_number, call.repeatable)
 
     @rule(pick=PICKS)
-    def service_repeats_until_refused(self, pick):
+    def service_retries_until_refused(self, pick):
         while self.calls[pick % len(self.calls)].allowance.spend():
             self.retries += 1
 
     @rule(pick=PICKS)
-    def node_gives_up(self, pick):
+    def node_times_out(self, pick):
         self.settle(self.calls[pick % len(self.calls)], Verdict.MAY_HAVE_RUN)
 
     @rule(pick=PICKS, verdict=st.sampled_from(Verdict))
@@ -107,8 +110,8 @@
             self.settle(call, verdict)
 
     def settle(self, call, verdict):
-        if call in self.awaited:
-            self.awaited.remove(call)
+        if call in self.unanswered:
+            self.unanswered.remove(call)
             answer = Answer(number=call.name, verdict=verdict)
             children = call.parent.children
             children.finish(call.child_number, answer, repeatable=call.repeatable)
@@ -124,7 +127,7 @@
             repeatable=repeatable,
         )
         self.calls.append(child)
-        self.awaited.append(child)
+        self.unanswered.append(child)
 
     @invariant()
     def retries_are_within_the_allowance(self):
@@ -143,10 +146,10 @@
 
 
 def test_a_second_answer_returns_nothing():
-    """More retries than granted: a late answer is counted twice.
+    """Guard against more retries than granted after a duplicate answer.
 
-    A child call's answer arrives over the old link and again after a fence. Both give
-    back the same unused retry while another child is spending its own.
+    The answer of a child call arrives over the old link and again after a fence. Both
+    return the same unspent retries while another child call spends its own.
     """
     allowance = RetryAllowance(granted=4)
     assert (allowance.hand_over("first"), allowance.hand_over("second")) == (2, 1)
@@ -163,7 +166,7 @@
 
 
 def test_a_closed_allowance_permits_no_retry():
-    """More retries than granted: a service goes on calling after its answer."""
+    """Guard against more retries than granted by child calls after the answer."""
     allowance = RetryAllowance(granted=2)
     assert allowance.close() == 2
     assert not allowance.spend()
@@ -181,7 +184,10 @@
 
 
 def test_a_service_that_repeats_a_release_gets_the_recorded_answer():
-    """A supplier ships twice: a service times out and repeats a call that was done."""
+    """Guard against a duplicate release.
+
+    A service times out and retries a child call that was executed.
+    """
     calls = children()
     assert calls.claim("release", b"1", repeatable=False) == Dispatch(number=0)
     assert calls.claim("release", b"1", repeatable=False) == Join(number=0)
@@ -202,7 +208,7 @@
 
 
 def test_a_repeatable_parent_may_not_release():
-    """A supplier ships twice: a lookup that releases goods is run again elsewhere."""
+    """Guard against a duplicate release by a lookup that is retried on another host."""
     calls = children(parent_repeatable=True)
     refused = Refused(verdict=Verdict.NOT_RUN, reason=Reason.REPEATABLE_PARENT)
     assert calls.claim("release", b"1", repeatable=False) == refused
@@ -230,17 +236,17 @@
 def test_repeats_of_an_organisation_stay_a_share_of_its_first_attempts(
     share_percent, steps
 ):
-    """Also for one that is dropped for lack of room and comes back."""
+    """Check the bound, also for an organisation that is evicted and returns."""
     budget = CallerRetryBudget(share_percent=share_percent, max_organisations=2)
     now_ms = 0.0
-    firsts, repeats = Counter(), Counter()
+    first_attempts, repeats = Counter(), Counter()
     for organisation, repeat, wait_ms in steps:
         now_ms += wait_ms
         if repeat:
             repeats[organisation] += budget.repeat(organisation, now_ms)
         else:
-            firsts[organisation] += 1
+            first_attempts[organisation] += 1
             budget.first(organisation, now_ms)
-        earned = firsts[organisation] * share_percent / 100
+        earned = first_attempts[organisation] * share_percent / 100
         bound = FIRST_REPEATS + earned + now_ms / IDLE_REPEAT_MS
         assert repeats[organisation] <= bound + 1e-9
--- a/packages/sassafraswinch/tests/test_transfer.py
+++ b/packages/sassafraswinch/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Documents on their way between nodes."""
+"""Tests of the compression of documents."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -12,7 +12,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=2_000), st.integers(0, 2_000))
-def test_a_packed_document_comes_back_whole_or_not_at_all(body, kept):
+def test_truncated_document_is_an_error(body, kept):
     packed = pack_document(body)
     assert unpack_document(packed) == body
     if kept < len(packed):
@@ -21,6 +21,6 @@
 
 
 @pytest.mark.parametrize("body", (b"", b"x"))
-def test_broken_bytes_are_no_document(body):
+def test_invalid_bytes_are_an_error(body):
     with pytest.raises(UnpackError):
         unpack_document(body)
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -1,4 +1,4 @@
-"""Gates before fake backend servers, on a simulated clock, event by event."""
+"""Discrete event simulation of gates in front of fake backend servers."""
 
 import heapq
 import itertools
@@ -16,7 +16,7 @@
 
 TICK_MS = 10.0
 SHED_MS = 0.5
-WAY_MS = 1.5
+NETWORK_DELAY_MS = 1.5
 
 
 @dataclass(slots=True, kw_only=True)
@@ -28,9 +28,9 @@
     deadline_ms: float = 1000.0
     operation: str = "lookup"
     repeats: int = 0
-    """Times that a refused caller comes back."""
+    """Maximum retries of a refused caller."""
     obeys: bool = True
-    """Comes back when told, or else after 20 ms."""
+    """Retries after the retry-after delay, or else after 20 ms."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -42,19 +42,19 @@
     first: bool = True
     started_at_ms: float | None = None
     parent: int | None = None
-    """Key of the call that made this one."""
+    """Key of the parent call."""
     self_time_ms: float | None = None
     failed: bool = False
-    """Its child call was refused."""
+    """The child call was refused."""
     threshold: Rank | None = None
-    """Told on the answer of its child call."""
+    """Threshold on the answer of the child call."""
     host: "FakeHost | None" = None
     router: Router | None = None
 
 
 @dataclass(slots=True, kw_only=True)
 class Done:
-    """What became of one offer."""
+    """Outcome of one offered call."""
 
     call: FakeCall
     at_ms: float
@@ -69,23 +69,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class FakeServer:
-    """Slots and a service time; above its slots it sheds or queues by itself."""
+    """Backend server with slots and a service time; sheds or queues above its slots."""
 
     slots: int
     mean_ms: float
     sheds: bool = True
     slowness: Callable[[float], float] = lambda now_ms: 1.0
     available: Callable[[float], bool] = lambda now_ms: True
-    """Sheds every call while false, as a server that drains."""
+    """Sheds every call while false, like a draining server."""
     onward: "FakeHost | None" = None
-    """Called once by each call, which holds its slot meanwhile."""
+    """Host of the child call that each call makes while it holds its slot."""
     running: int = 0
     backlog: deque = field(default_factory=deque)
 
 
 @dataclass(slots=True, kw_only=True)
 class FakeHost:
-    """A server, its gate, and the way to it."""
+    """A backend server, its gate, and the delay to it."""
 
     gate: Gate
     server: FakeServer
@@ -94,7 +94,7 @@
 
 
 class Trial:
-    """Runs streams of calls through gates to servers and keeps what happened."""
+    """Runs streams of calls through gates to servers and records the outcomes."""
 
     def __init__(
         self,
@@ -124,14 +124,14 @@
 
     def run(self, duration_ms: float) -> "Trial":
         for stream in self.streams:
-            self._later(0.0, self._arrive, stream)
-        self._later(TICK_MS, self._tick)
+            self._schedule(0.0, self._arrive, stream)
+        self._schedule(TICK_MS, self._tick)
         while self._events and self._events[0][0] <= duration_ms:
             self.now_ms, _, action, args = heapq.heappop(self._events)
             action(*args)
         return self
 
-    def _later(self, delay_ms: float, action: Callable, *args) -> None:
+    def _schedule(self, delay_ms: float, action: Callable, *args) -> None:
         event = (self.now_ms + delay_ms, next(self._order), action, args)
         heapq.heappush(self._events, event)
 
@@ -140,7 +140,7 @@
         if rate > 0:
             self._call(stream, stream.repeats, first=True)
         pause_ms = self.rng.expovariate(rate / 1000) if rate > 0 else 10.0
-        self._later(pause_ms, self._arrive, stream)
+        self._schedule(pause_ms, self._arrive, stream)
 
     def _call(self, stream: Stream, repeats_left: int, first: bool = False) -> None:
         call = FakeCall(
@@ -155,7 +155,7 @@
         if self.shedder is None:
             self._offer(call)
         elif self.shedder.admits(stream.operation, call.rank, self.now_ms):
-            self._later(WAY_MS, self._offer, call)
+            self._schedule(NETWORK_DELAY_MS, self._offer, call)
         else:
             self.entry_refusals += 1
             wait_ms = self.shedder.retry_after_ms(
@@ -166,7 +166,7 @@
     def _offer(self, call: FakeCall) -> None:
         call.host = host = self._choose(call)
         if host.way_ms:
-            self._later(host.way_ms, self._offer_to, call)
+            self._schedule(host.way_ms, self._offer_to, call)
         else:
             self._offer_to(call)
 
@@ -191,12 +191,12 @@
             deadline_at_ms=call.offered_at_ms + stream.deadline_ms,
             now_ms=self.now_ms,
         )
-        self._carry_out(decision)
+        self._apply_decision(decision)
 
-    def _carry_out(self, decision) -> None:
+    def _apply_decision(self, decision) -> None:
         for refusal in decision.refused:
             call = self._calls.pop(refusal.key)
-            self._tell(call, refused=True)
+            self._send_load(call, refused=True)
             self._end(call, refusal.reason, refusal.retry_after_ms)
         for key in decision.start:
             call = self._calls[key]
@@ -208,20 +208,20 @@
         up = server.available(self.now_ms)
         if server.running >= server.slots or not up:
             if server.sheds or not up:
-                self._later(SHED_MS, self._finish, key, BackendOutcome.SHED)
+                self._schedule(SHED_MS, self._finish, key, BackendOutcome.SHED)
             else:
                 server.backlog.append(key)
             return
         server.running += 1
         mean_ms = server.mean_ms * server.slowness(self.now_ms)
         time_ms = mean_ms * (0.5 + self.rng.expovariate(2.0))
-        self._later(time_ms, self._served, key, server)
+        self._schedule(time_ms, self._finish_service, key, server)
 
-    def _served(self, key: int, server: FakeServer) -> None:
+    def _finish_service(self, key: int, server: FakeServer) -> None:
         call = self._calls[key]
         call.self_time_ms = self.now_ms - call.started_at_ms
         if server.onward is None:
-            self._release(key)
+            self._free_slot(key)
         else:
             child = FakeCall(
                 stream=call.stream,
@@ -234,7 +234,7 @@
             )
             self._offer_to(child)
 
-    def _release(self, key: int) -> None:
+    def _free_slot(self, key: int) -> None:
         server = self._calls[key].host.server
         server.running -= 1
         if server.backlog:
@@ -249,21 +249,21 @@
             outcome=outcome,
             now_ms=self.now_ms,
         )
-        self._carry_out(decision)
-        self._tell(call, refused=outcome is not BackendOutcome.OK)
+        self._apply_decision(decision)
+        self._send_load(call, refused=outcome is not BackendOutcome.OK)
         self._end(call, outcome, 0)
 
-    def _tell(self, call: FakeCall, *, refused: bool) -> None:
+    def _send_load(self, call: FakeCall, *, refused: bool) -> None:
         load = call.host.gate.load(self.now_ms)
         thresholds = [rank for rank in (load.threshold, call.threshold) if rank]
         threshold = min(thresholds, default=None)
         if call.parent is not None:
             self._calls[call.parent].threshold = threshold
             return
-        delay_ms = WAY_MS + call.host.way_ms
-        self._later(delay_ms, self._told, call, load, threshold, refused)
+        delay_ms = NETWORK_DELAY_MS + call.host.way_ms
+        self._schedule(delay_ms, self._receive_load, call, load, threshold, refused)
 
-    def _told(
+    def _receive_load(
         self, call: FakeCall, load: Load, threshold: Rank | None, refused: bool
     ) -> None:
         if self.shedder is not None:
@@ -277,17 +277,17 @@
     def _end(self, call: FakeCall, outcome, retry_after_ms: float) -> None:
         if call.parent is not None:
             self._calls[call.parent].failed = outcome is not BackendOutcome.OK
-            self._release(call.parent)
+            self._free_slot(call.parent)
             return
         self.done.append(Done(call=call, at_ms=self.now_ms, outcome=outcome))
         refused = outcome is not BackendOutcome.OK or call.failed
         if refused and call.repeats_left:
             wait_ms = retry_after_ms if call.stream.obeys else 20.0
-            self._later(wait_ms, self._call, call.stream, call.repeats_left - 1)
+            self._schedule(wait_ms, self._call, call.stream, call.repeats_left - 1)
 
     def _tick(self) -> None:
         onward = (host.server.onward for host in self.hosts.values())
         for host in [*self.hosts.values(), *filter(None, onward)]:
-            self._carry_out(host.gate.tick(self.now_ms))
+            self._apply_decision(host.gate.tick(self.now_ms))
             self.loads.append((self.now_ms, host.gate.load(self.now_ms)))
-        self._later(TICK_MS, self._tick)
+        self._schedule(TICK_MS, self._tick)
--- a/packages/sassafraswinch/tests/utils/figures.py
+++ b/packages/sassafraswinch/tests/utils/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a trial: goodput, inversions, recovery, queue delay."""
+"""Metrics of a simulation: goodput, priority inversions, recovery time, queue delay."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -26,15 +26,15 @@
     paying_p99_ms: float
     shed_percent: float
     wasted_percent: float
-    """Share of the calls that ran, in the first server, for nothing."""
+    """Share of the calls executed by the first server without a good outcome."""
     refused_below_percent: float
-    """Share of the refusals that the gate made, the entry having let them pass."""
+    """Share of the refusals made by the gate, after the ingress admitted the call."""
 
 
 def measure(trial: Trial, *, start_ms: float, end_ms: float, run_ms: float) -> Figures:
-    """Return the figures of the pressure between two times."""
-    inside = [d for d in trial.done if start_ms <= d.call.offered_at_ms < end_ms]
-    good = [d for d in inside if d.good]
+    """Return the metrics of the overload between two times."""
+    offered = [d for d in trial.done if start_ms <= d.call.offered_at_ms < end_ms]
+    good = [d for d in offered if d.good]
     paying = [d for d in good if d.call.rank.class_order == 0]
     server = trial.server
     steps = range(int(start_ms), int(end_ms), 10)
@@ -49,8 +49,8 @@
     started = [c for c in trial.starts if start_ms <= c.started_at_ms < end_ms]
     waits = sorted(c.started_at_ms - c.offered_at_ms for c in started)
     latencies = sorted(d.at_ms - d.call.offered_at_ms for d in paying)
-    ran = [d for d in inside if d.outcome is BackendOutcome.OK]
-    sheds = sum(d.outcome is BackendOutcome.SHED for d in inside)
+    ran = [d for d in offered if d.outcome is BackendOutcome.OK]
+    sheds = sum(d.outcome is BackendOutcome.SHED for d in offered)
     refused = sum(isinstance(d.outcome, Reason) for d in trial.done)
     below = refused - trial.entry_refusals
     inversions, mixed = _inversions(trial)
--- a/packages/sassafraswinch/tests/utils/hot_path.py
+++ b/packages/sassafraswinch/tests/utils/hot_path.py
@@ -1,4 +1,4 @@
-"""Processor time of a gate for one call: python -m tests.utils.hot_path."""
+"""CPU time of a gate for one call: python -m tests.utils.hot_path."""
 
 import random
 import statistics
@@ -13,7 +13,7 @@
 
 
 def time_us(gate: Gate, *, in_flight: int, offers_per_finish: int) -> float:
-    """Return microseconds for one offer and its share of finishes and ticks."""
+    """Return the CPU time in µs of one offer with its share of finishes and ticks."""
     rng = random.Random(1)
     ranks = [Rank(rng.randrange(2), rng.randrange(LEVELS)) for _ in range(1000)]
     running: deque[int] = deque()
