--- a/packages/sassafraswinch/sassafraswinch/early_repeats.py
+++ b/packages/sassafraswinch/sassafraswinch/early_repeats.py
@@ -13,19 +13,19 @@
         self.max_remembered = max_remembered
         self._retry_at_ms: OrderedDict[bytes, float] = OrderedDict()
 
-    def refused(self, key: bytes, come_back_at_ms: float) -> None:
+    def refused(self, key: bytes, retry_at_ms: float) -> None:
         """Record the earliest time at which the request ``key`` may be retried."""
-        self._retry_at_ms[key] = come_back_at_ms
+        self._retry_at_ms[key] = retry_at_ms
         self._retry_at_ms.move_to_end(key)
         if len(self._retry_at_ms) > self.max_remembered:
             self._retry_at_ms.popitem(last=False)
 
     def wait_left_ms(self, key: bytes, now_ms: float) -> float:
         """Return the time left until the request may be retried; 0 if it may be."""
-        come_back_at_ms = self._retry_at_ms.get(key)
-        if come_back_at_ms is None:
+        retry_at_ms = self._retry_at_ms.get(key)
+        if retry_at_ms is None:
             return 0.0
-        if come_back_at_ms <= now_ms:
+        if retry_at_ms <= now_ms:
             del self._retry_at_ms[key]
             return 0.0
-        return come_back_at_ms - now_ms
+        return retry_at_ms - now_ms
--- a/packages/sassafraswinch/sassafraswinch/execution.py
+++ b/packages/sassafraswinch/sassafraswinch/execution.py
@@ -267,8 +267,8 @@
         if record is None:
             known = state.dropped.get(number)
             if known is None:
-                forgotten = number < state.forgotten_below
-                known = FenceState.UNKNOWN if forgotten else FenceState.NEVER_STARTED
+                is_evicted = number < state.forgotten_below
+                known = FenceState.UNKNOWN if is_evicted else FenceState.NEVER_STARTED
             return FenceReply(number=number, state=known)
         if record.state is CallState.FINISHED:
             return self._answers.get((owner, number))
--- a/packages/sassafraswinch/sassafraswinch/executor.py
+++ b/packages/sassafraswinch/sassafraswinch/executor.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """An answer on its way to the owner of a call."""
+    """An answer to be sent to the owner of a call."""
 
     owner: NodeId
     message: Answer | FenceReply
--- a/packages/sassafraswinch/sassafraswinch/owned_call.py
+++ b/packages/sassafraswinch/sassafraswinch/owned_call.py
@@ -61,7 +61,7 @@
         """Time until which the outcome is awaited without waiters."""
         return self.deadline_at_ms + DETACHED_WAIT_MS
 
-    def message(self, number: int, handed: int, now_ms: float) -> Call:
+    def message(self, number: int, granted: int, now_ms: float) -> Call:
         """Return the message that one attempt sends."""
         return Call(
             number=number,
@@ -71,7 +71,7 @@
             rank=self.rank,
             repeatable=self.repeatable,
             remaining_ms=max(0, int(self.deadline_at_ms - now_ms)),
-            allowance=handed,
+            allowance=granted,
             depth=self.depth,
             progress=self.progress,
             method=self.method,
--- a/packages/sassafraswinch/sassafraswinch/owner.py
+++ b/packages/sassafraswinch/sassafraswinch/owner.py
@@ -222,14 +222,14 @@
         number = self.next_number()
         if not self._sent.expect(number, peer=peer.node, session=peer.session):
             return False
-        handed = owned.allowance.hand_over(number)
-        session = self.links.send(host, owned.message(number, handed, now_ms))
+        granted = owned.allowance.hand_over(number)
+        session = self.links.send(host, owned.message(number, granted, now_ms))
         if session is None:
             self._sent.settle(number)
-            owned.allowance.give_back(number, handed)
+            owned.allowance.give_back(number, granted)
             return False
         owned.attempt = Attempt(
-            number=number, peer=peer.node, handed=handed, sent_at_ms=now_ms
+            number=number, peer=peer.node, handed=granted, sent_at_ms=now_ms
         )
         self.open[number] = owned
         self.router.sent(host, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/retry.py
+++ b/packages/sassafraswinch/sassafraswinch/retry.py
@@ -178,8 +178,8 @@
     """Child calls that a backend server makes while it serves one parent call.
 
     The parent runs on this node alone, so all its child calls pass through here. A
-    service's own retry is told from a first call, and is joined to the running call,
-    answered from the record, or charged to the retry allowance.
+    service's own retry is distinguished from a first call, and is joined to the running
+    call, answered from the record, or charged to the retry allowance.
     """
 
     def __init__(
--- a/packages/sassafraswinch/tests/test_execution.py
+++ b/packages/sassafraswinch/tests/test_execution.py
@@ -107,7 +107,7 @@
 
     @precondition(lambda self: self.sent > 2)
     @rule()
-    def evict_owner(self):
+    def remove_owner(self):
         self.ledger.forget_owner(OWNER)
 
     @precondition(lambda self: self.sent > 2 and self.now_ms == 0)
