--- a/packages/sassafraswinch/sassafraswinch/retry.py
+++ b/packages/sassafraswinch/sassafraswinch/retry.py
@@ -137,36 +137,44 @@
 
     def first(self, organisation: str, now_ms: float) -> None:
         """Count a first attempt, which earns a share of a retry."""
-        bucket = self._bucket(organisation, now_ms)
-        bucket.repeats = min(MAX_SAVED_RETRIES, bucket.repeats + self._share)
+        organisation_bucket = self._bucket(organisation, now_ms)
+        organisation_bucket.repeats = min(
+            MAX_SAVED_RETRIES, organisation_bucket.repeats + self._share
+        )
 
     def repeat(self, organisation: str, now_ms: float) -> bool:
         """Spend one retry; False: refuse it."""
-        bucket = self._bucket(organisation, now_ms)
-        if bucket.repeats < 1:
+        organisation_bucket = self._bucket(organisation, now_ms)
+        if organisation_bucket.repeats < 1:
             return False
-        bucket.repeats -= 1
+        organisation_bucket.repeats -= 1
         return True
 
     def _bucket(self, organisation: str, now_ms: float) -> RepeatBucket:
-        bucket = self._buckets.get(organisation)
-        if bucket is None:
+        organisation_bucket = self._buckets.get(organisation)
+        if organisation_bucket is None:
             return self._new_bucket(organisation, now_ms)
         self._buckets.move_to_end(organisation)
-        idle_ms = max(0.0, now_ms - bucket.updated_at_ms)
-        bucket.updated_at_ms = max(now_ms, bucket.updated_at_ms)
-        accumulated = bucket.repeats + idle_ms / IDLE_REPEAT_MS
-        bucket.repeats = max(bucket.repeats, min(1.0, accumulated))
-        return bucket
+        idle_ms = max(0.0, now_ms - organisation_bucket.updated_at_ms)
+        organisation_bucket.updated_at_ms = max(
+            now_ms, organisation_bucket.updated_at_ms
+        )
+        accumulated = organisation_bucket.repeats + idle_ms / IDLE_REPEAT_MS
+        organisation_bucket.repeats = max(
+            organisation_bucket.repeats, min(1.0, accumulated)
+        )
+        return organisation_bucket
 
     def _new_bucket(self, organisation: str, now_ms: float) -> RepeatBucket:
         if len(self._buckets) >= self._max_organisations:
             # An evicted organisation must not get its initial retries again.
             self._buckets.popitem(last=False)
             self._initial_retries = 0.0
-        bucket = RepeatBucket(repeats=self._initial_retries, updated_at_ms=now_ms)
-        self._buckets[organisation] = bucket
-        return bucket
+        organisation_bucket = RepeatBucket(
+            repeats=self._initial_retries, updated_at_ms=now_ms
+        )
+        self._buckets[organisation] = organisation_bucket
+        return organisation_bucket
 
 
 _REPEATABLE_PARENT = Refused(verdict=Verdict.NOT_RUN, reason=Reason.REPEATABLE_PARENT)
