--- a/packages/sassafraswinch/sassafraswinch/offers.py
+++ b/packages/sassafraswinch/sassafraswinch/offers.py
@@ -9,7 +9,7 @@
 
 
 class Document(Protocol):
-    """A parsed document, as far as its version and content matter."""
+    """A parsed document with its version and its published body."""
 
     version: int
     body: bytes
--- a/packages/sassafraswinch/sassafraswinch/owner.py
+++ b/packages/sassafraswinch/sassafraswinch/owner.py
@@ -94,7 +94,7 @@
         self._place(owned, None, now_ms)
 
     def abandon(self, owned: OwnedCall, now_ms: float) -> None:
-        """Cancel a call that has no waiters; a queued or repeatable one stops."""
+        """Mark a call as abandoned by its waiters; a queued or repeatable one stops."""
         owned.abandoned = True
         attempt = owned.attempt
         if attempt is None:
@@ -250,7 +250,7 @@
         if self._may_retry(owned, answer, now_ms):
             owned.failed_hosts |= {attempt.peer.host}
             if answer.reason in OVERLOAD_REASONS:
-                owned.failed_hosts |= self._hosts_without_room(owned, now_ms)
+                owned.failed_hosts |= self._hosts_without_capacity(owned, now_ms)
             if self._has_other_host(owned, now_ms) and owned.allowance.spend():
                 self.retries += 1
                 self._place(owned, answer, now_ms)
@@ -264,7 +264,9 @@
             return owned.repeatable
         return answer.reason in RETRIED_REASONS or answer.reason in OVERLOAD_REASONS
 
-    def _hosts_without_room(self, owned: OwnedCall, now_ms: float) -> frozenset[str]:
+    def _hosts_without_capacity(
+        self, owned: OwnedCall, now_ms: float
+    ) -> frozenset[str]:
         """Return the hosts not known to admit classes below that of the call.
 
         Failure: a paying call is refused by the busiest host while another host of the
--- a/packages/sassafraswinch/sassafraswinch/service_time.py
+++ b/packages/sassafraswinch/sassafraswinch/service_time.py
@@ -19,7 +19,7 @@
 SIGNIFICANT_DIGITS = 1
 """Significant digits of a histogram: 10% is enough, at a quarter of the cost of 2."""
 
-CACHE_MS = 50.0
+QUANTILE_CACHE_MS = 50.0
 """Age at which a cached quantile of the current window is recomputed."""
 
 MAX_OPERATIONS = 256
@@ -100,7 +100,7 @@
         if (
             windows.count >= MIN_SAMPLES
             and windows.count != windows.cached_count
-            and now_ms - windows.cached_at_ms >= CACHE_MS
+            and now_ms - windows.cached_at_ms >= QUANTILE_CACHE_MS
         ):
             windows.cached = _quantiles(windows.histogram)
             windows.cached_at_ms = now_ms
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -286,8 +286,8 @@
             self._schedule(wait_ms, self._call, call.stream, call.repeats_left - 1)
 
     def _tick(self) -> None:
-        onward = (host.server.onward for host in self.hosts.values())
-        for host in [*self.hosts.values(), *filter(None, onward)]:
+        downstream = (host.server.onward for host in self.hosts.values())
+        for host in [*self.hosts.values(), *filter(None, downstream)]:
             self._apply_decision(host.gate.tick(self.now_ms))
             self.loads.append((self.now_ms, host.gate.load(self.now_ms)))
         self._schedule(TICK_MS, self._tick)
--- a/packages/sassafraswinch/tests/utils/figures.py
+++ b/packages/sassafraswinch/tests/utils/figures.py
@@ -52,40 +52,42 @@
     ran = [d for d in offered if d.outcome is BackendOutcome.OK]
     sheds = sum(d.outcome is BackendOutcome.SHED for d in offered)
     refused = sum(isinstance(d.outcome, Reason) for d in trial.done)
-    below = refused - trial.entry_refusals
-    inversions, mixed = _inversions(trial)
+    refused_downstream = refused - trial.entry_refusals
+    inversions, mixed = _count_inversions(trial)
     return Figures(
         paying_percent=100 * len(paying) / max(min(fresh[0], capacity), 1),
         all_percent=100 * len(good) / max(min(fresh.total(), capacity), 1),
         inversions=inversions,
         mixed_intervals=mixed,
-        recovery_ms=_recovery(trial, start_ms, end_ms, run_ms),
+        recovery_ms=_recovery_ms(trial, start_ms, end_ms, run_ms),
         queue_p99_ms=waits[int(len(waits) * 0.99)] if waits else 0.0,
         paying_p99_ms=latencies[int(len(latencies) * 0.99)] if latencies else 0.0,
         shed_percent=100 * sheds / max(len(started), 1),
-        refused_below_percent=100 * below / max(below + trial.entry_refusals, 1),
+        refused_below_percent=100
+        * refused_downstream
+        / max(refused_downstream + trial.entry_refusals, 1),
         wasted_percent=100 * sum(not d.good for d in ran) / max(len(ran), 1),
     )
 
 
-def _inversions(trial: Trial) -> tuple[int, int]:
+def _count_inversions(trial: Trial) -> tuple[int, int]:
     refused = [
         d.at_ms
         for d in trial.done
         if d.call.rank.class_order == 0 and not isinstance(d.outcome, BackendOutcome)
     ]
     trial_starts = [c for c in trial.starts if c.rank.class_order > 0]
-    later = 0
+    inversions_found = 0
     for call in trial_starts:
         index = bisect_left(refused, call.started_at_ms)
         if index and call.started_at_ms - refused[index - 1] < INVERSION_MS:
-            later += 1
+            inversions_found += 1
     bins = {int(at // INVERSION_MS) for at in refused}
     started = {int(c.started_at_ms // INVERSION_MS) for c in trial_starts}
-    return later, len(bins & started)
+    return inversions_found, len(bins & started)
 
 
-def _recovery(trial: Trial, start_ms: float, end_ms: float, run_ms: float) -> float:
+def _recovery_ms(trial: Trial, start_ms: float, end_ms: float, run_ms: float) -> float:
     bins = Counter(int(d.at_ms // BIN_MS) for d in trial.done if d.good)
     before = [
         bins[b] for b in range(int(start_ms // BIN_MS / 2), int(start_ms // BIN_MS))
--- a/packages/sassafraswinch/tests/utils/hot_path.py
+++ b/packages/sassafraswinch/tests/utils/hot_path.py
@@ -13,7 +13,7 @@
 
 
 def time_us(gate: Gate, *, in_flight: int, offers_per_finish: int) -> float:
-    """Return the CPU time in µs of one offer with its share of finishes and ticks."""
+    """Return microseconds of CPU time of an offer, with its finishes and ticks."""
     rng = random.Random(1)
     ranks = [Rank(rng.randrange(2), rng.randrange(LEVELS)) for _ in range(1000)]
     running: deque[int] = deque()
