--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/departures.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/departures.py
@@ -8,7 +8,7 @@
 MAX_DEPARTURES = 4_096
 """Lifetimes that are remembered. Several days of replacements at 560 hosts."""
 
-EXPIRED_BY_MS = 8_000.0
+REGISTRATION_EXPIRY_MS = 8_000.0
 """Time after which a restored store no longer lists servers that don't write: their
 entries live for several heartbeats."""
 
@@ -44,7 +44,7 @@
     def __init__(self):
         self._known: dict[InstanceIdentity, _Departure] = {}
 
-    def note(self, instance: Instance, revision: Revision) -> None:
+    def record_departure(self, instance: Instance, revision: Revision) -> None:
         """Note that an instance leaves, or that its entry was removed."""
         known = self._known.get(instance.identity)
         if known is not None and known.is_final:
@@ -57,11 +57,13 @@
         if len(self._known) > MAX_DEPARTURES:
             del self._known[next(iter(self._known))]
 
-    def forget(self, instance: Instance) -> None:
+    def discard_departure(self, instance: Instance) -> None:
         """Take an instance for one that hasn't left."""
         self._known.pop(instance.identity, None)
 
-    def accept(self, instance: Instance, revision: Revision, now_ms: float) -> bool:
+    def accept_registration(
+        self, instance: Instance, revision: Revision, now_ms: float
+    ) -> bool:
         """Decide whether an entry is to be believed; forget the departure if it is."""
         departure = self._known.get(instance.identity)
         if departure is None:
@@ -74,7 +76,7 @@
                 departure.listed_revision = revision
                 departure.listed_ms = now_ms
                 return False
-        self.forget(instance)
+        self.discard_departure(instance)
         return True
 
     def pop_returned(self, now_ms: float) -> list[Instance]:
@@ -83,10 +85,10 @@
             departure.listed
             for departure in self._known.values()
             if departure.listed is not None
-            and now_ms - departure.listed_ms >= EXPIRED_BY_MS
+            and now_ms - departure.listed_ms >= REGISTRATION_EXPIRY_MS
         ]
         for instance in returned:
-            self.forget(instance)
+            self.discard_departure(instance)
         return returned
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet.py
@@ -8,20 +8,20 @@
 from sassafraswinch.errors import InvalidFieldsError
 from sassafraswinch_sidecar.departures import Departures
 from sassafraswinch_sidecar.instances import Instance
-from sassafraswinch_sidecar.replica import MAX_REMOVED, Entry, Replica
+from sassafraswinch_sidecar.replica import MAX_REMOVED_KEYS, Entry, Replica
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
 from sassafraswinch_sidecar.routes import RouteTable
 
-RETURN_MS = 2_200.0
+RETURN_WINDOW_MS = 2_200.0
 """Time after an outage of the platform in which entries that expired meanwhile come
 back; the platform promises about 2 s."""
 
-LAPSED_MEMORY_MS = 60_000.0
+EXPIRED_RETENTION_MS = 60_000.0
 """Time in which a removed instance is remembered in case that its host says that it
 can't reach the platform. It finds that out within two seconds; the rest is for links
 that come up later."""
 
-EXPIRY_MS = 2_500.0
+MIN_EXPIRY_OUTAGE_MS = 2_500.0
 """Shortest outage in which entries expire: they live for several heartbeats."""
 
 
@@ -83,7 +83,7 @@
 
     Args:
         decoder: reads the platform's items.
-        report: is told of each that can't be read.
+        report_error: is told of each that can't be read.
         is_isolated: tells whether the host at an address says that it can't reach the
             platform, so that the missing entry of its server says nothing.
     """
@@ -92,13 +92,13 @@
         self,
         *,
         decoder: Decoder,
-        report: Callable[[InvalidFieldsError], None],
+        report_error: Callable[[InvalidFieldsError], None],
         is_isolated: Callable[[str], bool] = lambda ip: False,
     ):
         self.table: RouteTable | None = None
         self.instances: dict[str, Instance] = {}
         self._decoder = decoder
-        self._report = report
+        self._report = report_error
         self._is_isolated = is_isolated
         self._lapsed: dict[str, _Lapsed] = {}
         self._by_service: dict[str, list[Instance]] = {}
@@ -128,7 +128,7 @@
         """Return the addresses of the hosts of a zone, in order."""
         return self._by_zone.get(availability_zone, [])
 
-    def at(self, ip: str) -> list[Instance]:
+    def instances_at(self, ip: str) -> list[Instance]:
         """Return the instances at an address, leaving ones included."""
         return [found for found in self.instances.values() if found.ip == ip]
 
@@ -144,12 +144,12 @@
         lapsed = self._lapsed.get(instance_id)
         return instance_id in self._removed and not (lapsed and lapsed.in_use)
 
-    def lapsed_at(self, ip: str) -> Instance | None:
+    def expired_instance_at(self, ip: str) -> Instance | None:
         """Return the latest instance at an address whose entry lapsed, if it has none.
 
         One that is listed there, or that said that it leaves, is no such instance.
         """
-        if self.at(ip):
+        if self.instances_at(ip):
             return None
         found = [each for each in self._lapsed.values() if each.instance.ip == ip]
         latest = max(found, key=lambda each: each.first_revision, default=None)
@@ -160,26 +160,26 @@
         known_ms = now_ms - self._known_at_ms.get(instance.id, now_ms)
         return max(0.0, instance.cold_ms - known_ms)
 
-    def platform_away(self, now_ms: float) -> None:
+    def record_outage(self, now_ms: float) -> None:
         """Note that the platform can't be read."""
         if self._away_since_ms is None:
             self._away_since_ms = now_ms
 
-    def platform_back(self, now_ms: float) -> None:
+    def record_outage_end(self, now_ms: float) -> None:
         """Note that the platform can be read."""
         if self._was_away_long(now_ms):
-            self._hold_until_ms = now_ms + RETURN_MS
+            self._hold_until_ms = now_ms + RETURN_WINDOW_MS
         self._away_since_ms = None
 
-    def store_restored(self, now_ms: float) -> None:
+    def record_store_restore(self, now_ms: float) -> None:
         """Note that the platform's store came back from an older copy.
 
         Failure: servers that registered after the copy was taken have no entry, and
         every request that needs them is refused until they have written again.
         """
-        self._hold_until_ms = now_ms + RETURN_MS
+        self._hold_until_ms = now_ms + RETURN_WINDOW_MS
 
-    def apply(self, entries: Iterable[Entry], now_ms: float) -> None:
+    def apply_entries(self, entries: Iterable[Entry], now_ms: float) -> None:
         """Take in changed entries."""
         for entry in entries:
             instance_id = self._decoder.instance_id(entry.key)
@@ -207,7 +207,9 @@
             self._take_instance(instance)
         over = [found for found, held in self._held.items() if now_ms >= held.until_ms]
         if over:
-            live = {self._decoder.instance_id(entry.key) for entry in replica.live()}
+            live = {
+                self._decoder.instance_id(entry.key) for entry in replica.live_entries()
+            }
             for instance_id in over:
                 held = self._held.pop(instance_id)
                 if instance_id not in live:
@@ -226,11 +228,11 @@
         changed = False
         for instance_id, lapsed in list(self._lapsed.items()):
             if self._is_isolated(lapsed.instance.ip):
-                lapsed.used_until_ms = now_ms + RETURN_MS
+                lapsed.used_until_ms = now_ms + RETURN_WINDOW_MS
             in_use = now_ms < lapsed.used_until_ms
             changed = changed or in_use != lapsed.in_use
             lapsed.in_use = in_use
-            if not in_use and now_ms - lapsed.since_ms >= LAPSED_MEMORY_MS:
+            if not in_use and now_ms - lapsed.since_ms >= EXPIRED_RETENTION_MS:
                 del self._lapsed[instance_id]
         if changed:
             self._index()
@@ -273,11 +275,11 @@
         lapsed = self._lapsed.get(instance.id)
         if lapsed is not None and lapsed.in_use:
             # Its host says itself that the server lives.
-            self._departures.forget(instance)
-        if not self._departures.accept(instance, revision, now_ms):
+            self._departures.discard_departure(instance)
+        if not self._departures.accept_registration(instance, revision, now_ms):
             return replace(instance, leaving=True)
         if instance.leaving:
-            self._departures.note(instance, revision)
+            self._departures.record_departure(instance, revision)
         return instance
 
     def _note_first_revision(self, instance_id: str, revision: Revision) -> None:
@@ -293,7 +295,7 @@
 
     def _was_away_long(self, now_ms: float) -> bool:
         since_ms = self._away_since_ms
-        return since_ms is not None and now_ms - since_ms >= EXPIRY_MS
+        return since_ms is not None and now_ms - since_ms >= MIN_EXPIRY_OUTAGE_MS
 
     def _may_return(self, instance_id: str, now_ms: float) -> bool:
         """Return whether a removal may only be an expiry during an outage.
@@ -314,13 +316,13 @@
         comes late in it may be of a server that leaves without saying so.
         """
         if self._was_away_long(now_ms):
-            return now_ms + RETURN_MS
+            return now_ms + RETURN_WINDOW_MS
         return self._hold_until_ms
 
     def _remove(self, instance_id: str, revision: Revision, now_ms: float) -> None:
         instance = self.instances.pop(instance_id, None)
         if instance is not None:
-            self._departures.note(instance, revision)
+            self._departures.record_departure(instance, revision)
         self._known_at_ms.pop(instance_id, None)
         first_revision = self._first_revisions.pop(instance_id, UNKNOWN)
         if instance is not None and not instance.leaving:
@@ -328,7 +330,7 @@
                 instance=instance, first_revision=first_revision, since_ms=now_ms
             )
         self._removed[instance_id] = None
-        if len(self._removed) > MAX_REMOVED:
+        if len(self._removed) > MAX_REMOVED_KEYS:
             del self._removed[next(iter(self._removed))]
 
     def _apply_table(self, value: bytes) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -26,17 +26,17 @@
     serialize_message,
 )
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
-from sassafraswinch_sidecar.zone_gatherer import (
-    GATHER_STEP_MS,
-    GATHERERS,
+from sassafraswinch_sidecar.zone_aggregator import (
+    AGGREGATOR_TAKEOVER_STEP_MS,
+    AGGREGATORS_PER_ZONE,
+    ZoneAggregator,
     ZoneContacts,
-    ZoneGatherer,
-    bare_digest,
+    empty_digest,
     pause_ms,
 )
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
-MIN_PAUSE_S = 0.05
+MIN_ROUND_PAUSE_S = 0.05
 """Shortest pause between two rounds, when there is news: of the platform, which comes
 in bursts, or of hosts and zones that weren't heard before.
 
@@ -91,8 +91,12 @@
         self._data = data
         self._suspects = suspects
         self._now_ms = now_ms
-        self._duty = ZoneDuty(own_ip=own_ip, holders=GATHERERS, step_ms=GATHER_STEP_MS)
-        self._gatherer = ZoneGatherer(
+        self._duty = ZoneRole(
+            own_ip=own_ip,
+            active_sidecars=AGGREGATORS_PER_ZONE,
+            step_ms=AGGREGATOR_TAKEOVER_STEP_MS,
+        )
+        self._gatherer = ZoneAggregator(
             availability_zone=availability_zone, is_near_limit=is_near_limit
         )
         self._contacts = ZoneContacts()
@@ -101,7 +105,7 @@
         self._news = asyncio.Event()
 
     @property
-    def gathers(self) -> bool:
+    def is_aggregating(self) -> bool:
         """Whether this sidecar gathers for its zone."""
         return self._gathers
 
@@ -109,34 +113,34 @@
         """Take part until cancelled."""
         while True:
             round_ms = self._step()
-            await asyncio.sleep(MIN_PAUSE_S)
+            await asyncio.sleep(MIN_ROUND_PAUSE_S)
             try:
-                async with asyncio.timeout(round_ms / 1000 - MIN_PAUSE_S):
+                async with asyncio.timeout(round_ms / 1000 - MIN_ROUND_PAUSE_S):
                     await self._news.wait()
             except TimeoutError:
                 pass
             self._news.clear()
 
-    def has_news(self) -> None:
+    def publish_change(self) -> None:
         """Tell of a change of the platform's data, or of this sidecar, at once."""
         if self._gathers:
             self._news.set()
             return
-        gatherers = self._view.gatherers(self._now_ms())
+        gatherers = self._view.aggregators(self._now_ms())
         for link in self._links.accepted:
             if link.peer_ip in gatherers:
                 self._suspects.tell(link)
                 link.send(self._report_for(link.peer_ip))
 
-    def has_suspects(self) -> None:
+    def forward_suspects(self) -> None:
         """Hand on, when on duty, what a peer told of requests that ended servers."""
         if self._gathers:
             self._news.set()
 
-    def greet(self) -> None:
+    def announce_host(self) -> None:
         """Let those that gather, if all is well, hear that this host is up."""
         self._news.set()
-        for ip in self._fleet.hosts_of(self._zone)[:GATHERERS]:
+        for ip in self._fleet.hosts_of(self._zone)[:AGGREGATORS_PER_ZONE]:
             self._links.greet(ip)
 
     def dialled_message(self, ip: str, message: Message) -> None:
@@ -144,15 +148,15 @@
         now_ms = self._now_ms()
         link = self._links.peers[ip].link
         link.replied()
-        self._data.ask_if_behind(parse_position(message), link)
+        self._data.request_if_behind(parse_position(message), link)
         if isinstance(message, HostReport):
             if self._gatherer.heard(ip, message, now_ms):
                 self._news.set()
             return
         zone = self._contacts.zone_of(ip)
         if zone is not None:
-            self._contacts.answered(zone, ip, message.gatherers, now_ms)
-        if message.summary is not None and self._gatherer.heard_zone(
+            self._contacts.record_reply(zone, ip, message.gatherers, now_ms)
+        if message.summary is not None and self._gatherer.record_summary(
             message.summary, now_ms
         ):
             self._news.set()
@@ -164,13 +168,13 @@
             self._told(link, message)
         else:
             link.send(self._summary_reply())
-        self._data.ask_if_behind(parse_position(message), link)
+        self._data.request_if_behind(parse_position(message), link)
 
     def _told(self, link: PeerLink, digest: FleetDigest) -> None:
         now_ms = self._now_ms()
-        self._view.heard_gatherer(link.peer_ip, now_ms)
+        self._view.record_aggregator(link.peer_ip, now_ms)
         if digest.whole and self._view.source(now_ms) == link.peer_ip:
-            self._view.take(digest, now_ms)
+            self._view.apply_digest(digest, now_ms)
         link.send(self._report_for(link.peer_ip))
 
     def _report_for(self, ip: str) -> HostReport:
@@ -179,7 +183,7 @@
     def _summary_reply(self) -> SummaryReply:
         return SummaryReply(
             **position_fields(self._data.position),
-            gatherers=self._view.gatherers(self._now_ms()),
+            gatherers=self._view.aggregators(self._now_ms()),
             summary=self._summary if self._gathers else None,
         )
 
@@ -188,11 +192,11 @@
         now_ms = self._now_ms()
         members = self._members()
         round_ms = pause_ms(len(members))
-        gatherers = self._view.gatherers(now_ms)
+        gatherers = self._view.aggregators(now_ms)
         listed = self._fleet.hosts_of(self._zone)
         peers = {ip: ip in gatherers for ip in {*listed, *gatherers} - {self._own_ip}}
-        self._duty.decide(peers, now_ms)
-        self._note_duty(self._duty.is_own and bool(listed))
+        self._duty.update_role(peers, now_ms)
+        self._note_duty(self._duty.is_active and bool(listed))
         if self._gathers:
             self._gather(members, now_ms, round_ms)
         return round_ms
@@ -204,7 +208,7 @@
         log_event("gathering", level="warning", gathers=gathers, zone=self._zone)
         if not gathers:
             self._links.keep(())
-            self._view.forget_gatherer(self._own_ip)
+            self._view.remove_aggregator(self._own_ip)
 
     def _members(self) -> set[str]:
         """Return the other hosts of this zone: listed, or known by their own word."""
@@ -221,18 +225,18 @@
     def _gather(self, members: set[str], now_ms: float, round_ms: float) -> None:
         zones = self._fleet.zones()
         others = {zone: ips for zone, ips in zones.items() if zone != self._zone}
-        contacts = self._contacts.choose(others, now_ms, round_ms)
+        contacts = self._contacts.choose_contacts(others, now_ms, round_ms)
         self._links.keep(itertools.chain(members, contacts))
         self._gatherer.forget(now_ms, round_ms)
         self._gatherer.heard(self._own_ip, self._reports.report(relies=True), now_ms)
         self._summary = self._gatherer.summary()
         position = self._data.position
         digest = self._gatherer.digest(self._summary, position, now_ms)
-        self._view.heard_gatherer(self._own_ip, now_ms)
-        self._view.take(digest, now_ms)
+        self._view.record_aggregator(self._own_ip, now_ms)
+        self._view.apply_digest(digest, now_ms)
         self._tell_suspects(itertools.chain(members, contacts))
         whole = serialize_message(digest)
-        bare = serialize_message(bare_digest(position))
+        bare = serialize_message(empty_digest(position))
         for ip in members:
             self._links.poll(ip, whole if self._gatherer.relies(ip) else bare)
         request = serialize_message(SummaryRequest(**position_fields(position)))
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -8,7 +8,7 @@
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
-    parse_uses,
+    parse_usage,
 )
 from sassafraswinch_sidecar.placement import PeerLoad
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -17,18 +17,18 @@
     ZoneLoads,
 )
 from sassafraswinch_sidecar.repeat_budget import Totals
-from sassafraswinch_sidecar.zone_gatherer import FOLLOWING, ISOLATED, LEAVING
+from sassafraswinch_sidecar.zone_aggregator import FOLLOWING, ISOLATED, LEAVING
 
-VIEW_LIFE_MS = 2_000.0
+MAX_VIEW_AGE_MS = 2_000.0
 """Age at which what was told of a host, or of demand, says nothing any more. Gatherers
 tell several times a second; one that is lost is replaced within a second."""
 
-MISSING_LIFE_MS = 500.0
+MAX_UNLISTED_AGE_MS = 500.0
 """The same for a host that the gatherer no longer names: it lost power, or is cut off,
 and gatherers have already waited for it. A gatherer that has just stepped in names few
 hosts in its first rounds, which are over by then."""
 
-GATHERER_LIFE_MS = 900.0
+AGGREGATOR_TIMEOUT_MS = 900.0
 """Time without a word after which a gatherer counts as lost: three of its rounds, and
 more than a busy host stands still."""
 
@@ -53,40 +53,40 @@
         self._uses = FleetUse()
         self._told_ms = -math.inf
 
-    def heard_gatherer(self, ip: str, now_ms: float) -> None:
+    def record_aggregator(self, ip: str, now_ms: float) -> None:
         """Note a word of a gatherer of this zone."""
         self._gatherers[ip] = now_ms
 
-    def forget_gatherer(self, ip: str) -> None:
+    def remove_aggregator(self, ip: str) -> None:
         """Take nothing from a gatherer any more."""
         self._gatherers.pop(ip, None)
 
-    def gatherers(self, now_ms: float) -> list[str]:
+    def aggregators(self, now_ms: float) -> list[str]:
         """Return the gatherers of this zone that are heard, in order of address."""
         heard = self._gatherers.items()
-        return sorted(ip for ip, at in heard if now_ms - at < GATHERER_LIFE_MS)
+        return sorted(ip for ip, at in heard if now_ms - at < AGGREGATOR_TIMEOUT_MS)
 
     def source(self, now_ms: float) -> str | None:
         """Return the gatherer that the view is taken from."""
-        heard = self.gatherers(now_ms)
+        heard = self.aggregators(now_ms)
         if self._own_ip in heard:
             return self._own_ip
         return heard[0] if heard else None
 
-    def take(self, digest: FleetDigest, now_ms: float) -> None:
+    def apply_digest(self, digest: FleetDigest, now_ms: float) -> None:
         """Take in the whole digest of the source."""
         for zone in digest.zones:
             self._take_loads(zone, now_ms - zone.age_ms)
         named = {ip for zone in digest.zones for ip in zone.hosts.ips}
         for ip in self._named - named:
             load = self._loads[ip]
-            missing_ms = now_ms - VIEW_LIFE_MS + MISSING_LIFE_MS
+            missing_ms = now_ms - MAX_VIEW_AGE_MS + MAX_UNLISTED_AGE_MS
             load.told_ms = min(load.told_ms, missing_ms)
         self._named = named
         self._demand = parse_demand(digest.demand)
         hosts = sum(len(zone.hosts.ips) for zone in digest.zones)
         self._totals = parse_counts(digest.counts), hosts
-        self._uses = parse_uses(digest.uses)
+        self._uses = parse_usage(digest.uses)
         self._told_ms = now_ms
 
     def demand(self, now_ms: float) -> list[Claim]:
@@ -94,15 +94,15 @@
 
         Empty where nobody has told it lately.
         """
-        return self._demand if now_ms - self._told_ms < VIEW_LIFE_MS else []
+        return self._demand if now_ms - self._told_ms < MAX_VIEW_AGE_MS else []
 
     def totals(self, now_ms: float) -> Totals:
         """Return how much all sidecars sent, this one included, as last told."""
-        return self._totals if now_ms - self._told_ms < VIEW_LIFE_MS else ({}, 0)
+        return self._totals if now_ms - self._told_ms < MAX_VIEW_AGE_MS else ({}, 0)
 
-    def uses(self, now_ms: float) -> FleetUse:
+    def usage(self, now_ms: float) -> FleetUse:
         """Return what was asked and let in of organisations, as last told."""
-        return self._uses if now_ms - self._told_ms < VIEW_LIFE_MS else FleetUse()
+        return self._uses if now_ms - self._told_ms < MAX_VIEW_AGE_MS else FleetUse()
 
     def age_ms(self, now_ms: float) -> float:
         """Return the time since a whole digest was taken."""
@@ -115,11 +115,11 @@
     def recent_load(self, ip: str, now_ms: float) -> PeerLoad | None:
         """Return what was lately told of the server at an address."""
         load = self._loads.get(ip)
-        if load is None or now_ms - load.told_ms >= VIEW_LIFE_MS:
+        if load is None or now_ms - load.told_ms >= MAX_VIEW_AGE_MS:
             return None
         return load
 
-    def told(self, ip: str, load: ServerLoad, now_ms: float) -> PeerLoad:
+    def record_load(self, ip: str, load: ServerLoad, now_ms: float) -> PeerLoad:
         """Take in what a host says of itself, which is newer than any digest."""
         known = self._loads.get(ip)
         if known is None:
@@ -127,12 +127,12 @@
         known.report(load, now_ms)
         return known
 
-    def stood_still(self, stood_ms: float) -> None:
+    def add_paused_time(self, paused_ms: float) -> None:
         """Add time that passed unknown to the clock to all ages."""
-        self._told_ms -= stood_ms
+        self._told_ms -= paused_ms
         for load in self._loads.values():
-            load.told_ms -= stood_ms
-        self._gatherers = {ip: at - stood_ms for ip, at in self._gatherers.items()}
+            load.told_ms -= paused_ms
+        self._gatherers = {ip: at - paused_ms for ip, at in self._gatherers.items()}
 
     def _take_loads(self, zone: ZoneLoads, at_ms: float) -> None:
         for ip, in_flight, queued, limit, flags in _host_states(zone):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -18,7 +18,7 @@
 from sassafraswinch_sidecar.relay_wire import position_fields
 from sassafraswinch_sidecar.repeat_budget import Counted, RepeatBudget
 
-SUMS_LIFE_MS = 40.0
+MAX_TOTALS_AGE_MS = 40.0
 """Time in which the same sums are told to each gatherer: a part of their pause."""
 
 
@@ -84,16 +84,16 @@
     def _current_sums(self) -> _Sums:
         """Return what is added up over hosts, made once for all gatherers."""
         now_ms = self._now_ms()
-        if self._sums is None or now_ms - self._sums[0] >= SUMS_LIFE_MS:
+        if self._sums is None or now_ms - self._sums[0] >= MAX_TOTALS_AGE_MS:
             sums = _Sums(
                 demand=serialize_demand(self._admission.demand()),
                 counts=serialize_counts(self._budget.counted(now_ms)),
-                uses=serialize_uses(self._rates.report(now_ms)),
+                uses=serialize_usage(self._rates.report(now_ms)),
             )
             self._sums = now_ms, sums
         return self._sums[1]
 
-    def reply(self, sequence: int) -> HeartbeatReply:
+    def heartbeat_reply(self, sequence: int) -> HeartbeatReply:
         """Return the reply to a heartbeat; 0 where it answers none, as an announcement.
 
         Args:
@@ -148,7 +148,7 @@
     return {each.service_name: Counted(each.sent, each.repeated) for each in told}
 
 
-def serialize_uses(told: FleetUse) -> OrganisationUses:
+def serialize_usage(told: FleetUse) -> OrganisationUses:
     """Write what was asked and let in of organisations."""
     return OrganisationUses(
         names=list(told.uses),
@@ -159,7 +159,7 @@
     )
 
 
-def parse_uses(told: OrganisationUses | None) -> FleetUse:
+def parse_usage(told: OrganisationUses | None) -> FleetUse:
     """Read what was asked and let in of organisations; peers may not tell it."""
     if told is None:
         return FleetUse()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/own_entry.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/isolation_detector.py
@@ -10,11 +10,11 @@
     PlatformUnavailableError,
 )
 
-ASK_TIMEOUT_S = 0.7
+LOOKUP_TIMEOUT_S = 0.7
 """Time for the platform's answer: it takes milliseconds, and sixty times that when the
 platform is slow."""
 
-ASK_PAUSE_S = 0.4
+UNANSWERED_PAUSE_S = 0.4
 """Pause between questions while the platform doesn't answer: its return must be known
 well before the time is over in which the entry may come back."""
 
@@ -26,7 +26,7 @@
 """Pause between looks for a missing entry: the grain of the other periodic looks."""
 
 
-class OwnEntry:
+class IsolationDetector:
     """Tells whether the server's entry is missing only since this host is cut off.
 
     Load pattern: some hosts can't reach the platform for a while, nor can the servers
@@ -37,9 +37,9 @@
     server may be leaving.
 
     Args:
-        missing: returns the instance of this host whose entry is missing, if any.
+        find_missing: returns the instance of this host whose entry is missing, if any.
         store: is asked for the entry.
-        changed: called when ``is_isolated`` changes.
+        on_change: called when ``is_isolated`` changes.
 
     Attributes:
         is_isolated: whether the entry is missing and the platform doesn't answer.
@@ -48,14 +48,14 @@
     def __init__(
         self,
         *,
-        missing: Callable[[], Instance | None],
+        find_missing: Callable[[], Instance | None],
         store: PlatformStore,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ):
         self.is_isolated = False
-        self._missing = missing
+        self._missing = find_missing
         self._store = store
-        self._changed = changed
+        self._changed = on_change
 
     async def run(self) -> None:
         """Ask whenever the entry is missing, until cancelled."""
@@ -67,7 +67,7 @@
                 continue
             answers = await self._answers(instance)
             self._note(not answers, instance.id)
-            await self._pause(ANSWERED_PAUSE_S if answers else ASK_PAUSE_S)
+            await self._pause(ANSWERED_PAUSE_S if answers else UNANSWERED_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
         """Wait, but no longer than the entry is missing."""
@@ -78,8 +78,8 @@
 
     async def _answers(self, instance: Instance) -> bool:
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
-                await self._store.lists(instance.id)
+            async with asyncio.timeout(LOOKUP_TIMEOUT_S):
+                await self._store.has_instance(instance.id)
         except TimeoutError:
             return False
         except PlatformUnavailableError as error:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/standstill.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pause_detector.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-MIN_STANDSTILL_MS = 200.0
+MIN_DETECTED_PAUSE_MS = 200.0
 """Shortest standstill that counts: well above the jitter of two clock readings, and
 below what callers wait for."""
 
@@ -18,7 +18,7 @@
     return time.monotonic() * 1000
 
 
-class Standstill:
+class PauseDetector:
     """Compares two clocks of which one goes on while the machine is suspended.
 
     Failure: a machine is suspended for seconds. Its event loop goes on as if no time
@@ -40,9 +40,9 @@
         self._steady_ms = steady_ms
         self._apart_ms = boot_ms() - steady_ms()
 
-    def look(self) -> float:
+    def check_pause(self) -> float:
         """Return how long the machine stood still since the last look; 0 if not."""
         apart_ms = self._boot_ms() - self._steady_ms()
         stood_ms = apart_ms - self._apart_ms
         self._apart_ms = apart_ms
-        return stood_ms if stood_ms >= MIN_STANDSTILL_MS else 0.0
+        return stood_ms if stood_ms >= MIN_DETECTED_PAUSE_MS else 0.0
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -31,7 +31,7 @@
 
     Args:
         fleet: follows the changes.
-        changed: called after each change.
+        on_change: called after each change.
         announce: tells peers what this sidecar knows, and whether it follows the
             platform. Those that rely on it hear at once of a change, or of its loss.
 
@@ -44,13 +44,13 @@
         self,
         *,
         fleet: Fleet,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         announce: Callable[[], None],
     ):
         self.following = False
         self.restores = 0
         self._fleet = fleet
-        self._changed = changed
+        self._changed = on_change
         self._announce = announce
         self._replica = Replica(routes=fleet)
         self._loop = asyncio.get_running_loop()
@@ -66,7 +66,7 @@
         """How much of the platform's data is known."""
         return self._replica.position
 
-    def take(self, delta: Delta, source: str) -> None:
+    def apply_delta(self, delta: Delta, source: str) -> None:
         """Take in changes (ReplicaKeeper)."""
         former = self.revision
         changed = self._replica.merge(delta)
@@ -75,7 +75,7 @@
         if not changed:
             return
         version = self._fleet.table.version if self._fleet.table else None
-        self._fleet.apply(changed, self._now_ms())
+        self._fleet.apply_entries(changed, self._now_ms())
         log_event(
             "platform_data_changed",
             level="warning",
@@ -92,15 +92,15 @@
         if source == PLATFORM_SOURCE:
             self._announce()
 
-    def platform_away(self) -> None:
+    def record_outage(self) -> None:
         """The platform can't be read (ReplicaKeeper)."""
-        self._fleet.platform_away(self._now_ms())
+        self._fleet.record_outage(self._now_ms())
 
-    def platform_back(self) -> None:
+    def record_outage_end(self) -> None:
         """The platform can be read (ReplicaKeeper)."""
-        self._fleet.platform_back(self._now_ms())
+        self._fleet.record_outage_end(self._now_ms())
 
-    def platform_followed(self, following: bool) -> None:
+    def record_following(self, following: bool) -> None:
         """Following has begun or ended here (ReplicaKeeper)."""
         self.following = following
         era, number = self.revision
@@ -111,19 +111,21 @@
         """Drop what didn't come back after an outage."""
         self._fleet.tick(self._replica, now_ms)
 
-    def exchange(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Answer a peer's question for changes, or take in its answer."""
         if isinstance(message, ReplicaRequest):
-            link.send(serialize_delta(self._replica.since(parse_question(message))))
+            link.send(
+                serialize_delta(self._replica.changes_since(parse_question(message)))
+            )
         elif isinstance(message, ReplicaReply):
             self._asked_ms = 0.0
-            self.take(parse_delta(message), f"peer-{link.peer_ip}")
+            self.apply_delta(parse_delta(message), f"peer-{link.peer_ip}")
 
-    def ask_if_behind(self, told: Position, link: PeerLink) -> None:
+    def request_if_behind(self, told: Position, link: PeerLink) -> None:
         """Ask a peer for what it knows and this sidecar doesn't."""
         now_ms = self._now_ms()
         position = self.position
-        if not position.lacks(told) or now_ms - self._asked_ms < ASK_AGAIN_MS:
+        if not position.is_behind(told) or now_ms - self._asked_ms < ASK_AGAIN_MS:
             return
         self._asked_ms = now_ms
         link.send(serialize_question(position))
@@ -139,7 +141,7 @@
             former_era=former.era,
             former_revision=former.number,
         )
-        self._fleet.store_restored(self._now_ms())
+        self._fleet.record_store_restore(self._now_ms())
         self._announce()
 
     def _now_ms(self) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_reader.py
@@ -8,43 +8,43 @@
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.replica import Delta
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
 PLATFORM_SOURCE = "platform"
 """Names the platform itself as the source of changes, in logs too."""
 
-WATCH_MS = 1_500
+WATCH_TIMEOUT_MS = 1_500
 """Longest wait of one watch. A connection that fell silent, or a store that came back
 from an older copy unnoticed, is found out by its end; each call is paid for."""
 
-RETURN_WATCH_MS = 20
+FIRST_WATCH_TIMEOUT_MS = 20
 """Wait of the first watch after a failure, or after others have followed: it tells at
 once that the platform can be read. A long one would be answered by the next change,
 perhaps seconds later, and until then the platform would count as away, and peers would
 come on duty as well."""
 
-GATHER_S = (0.25, 0.6)
+BURST_PAUSE_S = (0.25, 0.6)
 """Pause after a watch that brought changes. They come in bursts, as when a service is
 released, and each call is paid for; with the rounds of gatherers, by which the others
 learn of a change within a second, it stays below the two seconds that are allowed."""
 
-RETRY_S = (0.15, 0.4)
+RETRY_PAUSE_S = (0.15, 0.4)
 """Pause after a failed call: all hosts don't come back in one moment."""
 
-MAX_RETRY_S = 1.5
+MAX_RETRY_PAUSE_S = 1.5
 """Longest pause of a sidecar alone: changes must be in force within two seconds of the
 return. Where more share a zone, one of them calls as often, and tells the others."""
 
-WATCHERS = 1
+WATCHERS_PER_ZONE = 1
 """Sidecars of a zone that follow the platform while they can. Each call is paid for. If
 the one is lost, its zone hears of changes from the gatherers of the other zones, within
 a second, until the next has stepped in."""
 
-WATCH_STEP_MS = 50.0
+WATCHER_TAKEOVER_STEP_MS = 50.0
 """Time that each further sidecar leaves to those before it, when watchers are missing:
 one call to the platform and its news take a few milliseconds."""
 
-STANDBY_S = 0.1
+STANDBY_CHECK_PAUSE_S = 0.1
 """Pause between looks at whether this sidecar has come on duty: the grain of the other
 periodic decisions."""
 
@@ -83,7 +83,7 @@
             PlatformUnavailableError: there is no answer.
         """
 
-    async def lists(self, instance_id: str) -> bool:
+    async def has_instance(self, instance_id: str) -> bool:
         """Return whether the platform lists an instance now.
 
         Raises:
@@ -101,23 +101,23 @@
         """
 
 
-class ReplicaKeeper(Protocol):
+class PlatformListener(Protocol):
     """Whoever owns the replica."""
 
     @property
     def revision(self) -> Revision:
         """Revision up to which all changes are known."""
 
-    def take(self, delta: Delta, source: str) -> None:
+    def apply_delta(self, delta: Delta, source: str) -> None:
         """Take in changes."""
 
-    def platform_away(self) -> None:
+    def record_outage(self) -> None:
         """The platform can't be read."""
 
-    def platform_back(self) -> None:
+    def record_outage_end(self) -> None:
         """The platform can be read, here or by peers that follow it."""
 
-    def platform_followed(self, following: bool) -> None:
+    def record_following(self, following: bool) -> None:
         """Following the platform has begun here, or ended."""
 
 
@@ -126,8 +126,8 @@
 
     Args:
         store: reads the platform's data.
-        keeper: owns the replica.
-        duty: tells whether this sidecar must follow; another that does tells it news.
+        listener: owns the replica.
+        role: tells whether this sidecar must follow; another that does tells it news.
         rng: source of the pauses.
     """
 
@@ -135,13 +135,13 @@
         self,
         *,
         store: PlatformStore,
-        keeper: ReplicaKeeper,
-        duty: ZoneDuty,
+        listener: PlatformListener,
+        role: ZoneRole,
         rng: random.Random,
     ):
         self._store = store
-        self._keeper = keeper
-        self._duty = duty
+        self._keeper = listener
+        self._duty = role
         self._rng = rng
         self._whole = False
         self._away = False
@@ -166,7 +166,7 @@
     @property
     def _is_needed(self) -> bool:
         """Whether to call the platform: on duty, or nobody has told anything yet."""
-        return self._duty.is_own or self._keeper.revision == UNKNOWN
+        return self._duty.is_active or self._keeper.revision == UNKNOWN
 
     async def _stand_by(self) -> None:
         """Leave the platform to others while they follow it."""
@@ -175,7 +175,7 @@
         self._whole = True  # Peers tell all that this sidecar lacks.
         while not self._is_needed:
             self._heed_peers()
-            await asyncio.sleep(STANDBY_S)
+            await asyncio.sleep(STANDBY_CHECK_PAUSE_S)
 
     async def _pause(self, seconds: float) -> None:
         """Wait, but no longer than this sidecar is needed."""
@@ -183,7 +183,7 @@
         ends_s = loop.time() + seconds
         while (left_s := ends_s - loop.time()) > 0 and self._is_needed:
             self._heed_peers()
-            await asyncio.sleep(min(left_s, STANDBY_S))
+            await asyncio.sleep(min(left_s, STANDBY_CHECK_PAUSE_S))
 
     def _heed_peers(self) -> None:
         """Take the platform for reachable while a peer follows it.
@@ -204,8 +204,8 @@
         self._follow(True)
         brought_changes = delta.revision > self._keeper.revision
         self._keeper.take(delta, PLATFORM_SOURCE)
-        if brought_changes and not delta.whole:
-            await asyncio.sleep(self._rng.uniform(*GATHER_S))
+        if brought_changes and not delta.is_full:
+            await asyncio.sleep(self._rng.uniform(*BURST_PAUSE_S))
 
     async def _read(self) -> Delta:
         delta = await self._store.read()
@@ -216,7 +216,7 @@
 
     async def _watch(self) -> Delta:
         after = self._keeper.revision
-        wait_ms = WATCH_MS if self._following else RETURN_WATCH_MS
+        wait_ms = WATCH_TIMEOUT_MS if self._following else FIRST_WATCH_TIMEOUT_MS
         delta = await self._store.watch(after, wait_ms)
         if delta.revision.era != after.era:
             raise HistoryGoneError
@@ -230,7 +230,7 @@
         self._whole = False
         self._lost_histories += 1
         if self._lost_histories > 1:
-            await self._pause(self._rng.uniform(*RETRY_S))
+            await self._pause(self._rng.uniform(*RETRY_PAUSE_S))
 
     def _note_return(self, source: str) -> None:
         if self._away:
@@ -255,5 +255,5 @@
             log_event("platform_away", level="warning", reason=error.reason)
 
     def _pause_s(self) -> float:
-        pause_s = self._rng.uniform(*RETRY_S) * self._failures
-        return min(pause_s, MAX_RETRY_S) * self._duty.spread
+        pause_s = self._rng.uniform(*RETRY_PAUSE_S) * self._failures
+        return min(pause_s, MAX_RETRY_PAUSE_S) * self._duty.spread
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
@@ -158,7 +158,7 @@
         for entry in delta.entries
     ]
     era, number = delta.revision
-    return ReplicaReply(era=era, revision=number, whole=delta.whole, entries=entries)
+    return ReplicaReply(era=era, revision=number, whole=delta.is_full, entries=entries)
 
 
 def parse_delta(reply: ReplicaReply) -> Delta:
@@ -170,4 +170,4 @@
         for told in reply.entries
     )
     revision = Revision(reply.era, reply.revision)
-    return Delta(revision=revision, whole=reply.whole, entries=entries)
+    return Delta(revision=revision, is_full=reply.whole, entries=entries)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/replica.py
@@ -13,7 +13,7 @@
 
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
-MAX_REMOVED = 4_096
+MAX_REMOVED_KEYS = 4_096
 """Removed keys that are remembered for peers that lag; older ones make a peer take
 the whole copy. Several days of replacements at 560 hosts."""
 
@@ -39,12 +39,12 @@
 
     Attributes:
         revision: all changes up to it are in the entries or known to the receiver.
-        whole: whether keys that the entries don't name are gone.
+        is_full: whether keys that the entries don't name are gone.
         entries: the changed keys.
     """
 
     revision: Revision
-    whole: bool
+    is_full: bool
     entries: tuple[Entry, ...]
 
 
@@ -95,7 +95,7 @@
         if not self._can_follow(delta):
             return [entry for entry in delta.entries if self._take_routes(entry)]
         changed = [entry for entry in delta.entries if self._take(entry)]
-        if delta.whole and delta.revision >= self.revision:
+        if delta.is_full and delta.revision >= self.revision:
             named = {entry.key for entry in delta.entries}
             changed += self._remove_others(named, delta.revision)
             # A whole reading doesn't name what was removed before it, so a peer that
@@ -104,7 +104,7 @@
         self.revision = max(self.revision, delta.revision)
         return changed
 
-    def since(self, position: Position) -> Delta:
+    def changes_since(self, position: Position) -> Delta:
         """Return what a copy at that position lacks."""
         after = position.revision
         # An era begins with a whole reading, so those of older ones take all.
@@ -116,16 +116,16 @@
             return entry.value is not None if whole else entry.revision > after
 
         entries = tuple(filter(is_lacking, self._entries.values()))
-        return Delta(revision=self.revision, whole=whole, entries=entries)
+        return Delta(revision=self.revision, is_full=whole, entries=entries)
 
-    def live(self) -> Iterable[Entry]:
+    def live_entries(self) -> Iterable[Entry]:
         """Return the entries that aren't removed."""
         return (e for e in self._entries.values() if e.value is not None)
 
     def _can_follow(self, delta: Delta) -> bool:
         if delta.revision.era == self.revision.era:
             return True
-        return delta.whole and delta.revision.era > self.revision.era
+        return delta.is_full and delta.revision.era > self.revision.era
 
     def _take(self, entry: Entry) -> bool:
         if self._routes.is_route_table(entry.key):
@@ -156,7 +156,7 @@
     def _remove_others(self, named: set[str], revision: Revision) -> list[Entry]:
         gone = [
             Entry(key=entry.key, revision=revision, value=None)
-            for entry in self.live()
+            for entry in self.live_entries()
             if entry.key not in named
             and entry.revision <= revision
             and not self._routes.is_route_table(entry.key)
@@ -171,7 +171,7 @@
 
     def _forget_removed(self) -> None:
         removed = [e for e in self._entries.values() if e.value is None]
-        if len(removed) <= MAX_REMOVED:
+        if len(removed) <= MAX_REMOVED_KEYS:
             return
         oldest = min(removed, key=lambda entry: entry.revision)
         self._forgotten_revision = max(self._forgotten_revision, oldest.revision)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/revisions.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/revisions.py
@@ -33,7 +33,7 @@
     revision: Revision
     routes_version: int
 
-    def lacks(self, other: "Position") -> bool:
+    def is_behind(self, other: "Position") -> bool:
         """Return whether another copy knows something that this one doesn't."""
         return (
             other.revision > self.revision or other.routes_version > self.routes_version
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -20,17 +20,18 @@
 from sassafraswinch_sidecar.host_reports import HostReports
 from sassafraswinch_sidecar.http_client import HttpClient
 from sassafraswinch_sidecar.http_server import HttpListener
+from sassafraswinch_sidecar.isolation_detector import IsolationDetector
 from sassafraswinch_sidecar.organisations_page import OrganisationsPage
-from sassafraswinch_sidecar.own_entry import OwnEntry
 from sassafraswinch_sidecar.pages import MetricsPage, ReadyPage
+from sassafraswinch_sidecar.pause_detector import PauseDetector
 from sassafraswinch_sidecar.peer_link import PeerLink
 from sassafraswinch_sidecar.peer_links import PeerLinks
 from sassafraswinch_sidecar.placement import Placement, capacities_of
 from sassafraswinch_sidecar.planned_stop import finish_requests
 from sassafraswinch_sidecar.platform_data import PlatformData
 from sassafraswinch_sidecar.platform_reader import (
-    WATCH_STEP_MS,
-    WATCHERS,
+    WATCHER_TAKEOVER_STEP_MS,
+    WATCHERS_PER_ZONE,
     PlatformReader,
     PlatformStore,
 )
@@ -57,12 +58,11 @@
     log_settings_changes,
 )
 from sassafraswinch_sidecar.sidecar_settings import SidecarSettings
-from sassafraswinch_sidecar.standstill import Standstill
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
 from sassafraswinch_sidecar.suspect_requests import SuspectRequests
 from sassafraswinch_sidecar.suspects_page import SuspectsPage
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
 from sassafraswinch_sidecar.zone_peers import ZonePeers
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
 TICK_S = 0.1
 """Pause between the periodic decisions. Time limits of requests are looked at with it:
@@ -101,10 +101,12 @@
         self._load_settings = load_settings
         self._loop = asyncio.get_running_loop()
         self._fleet = Fleet(
-            decoder=decoder, report=log_platform_faults, is_isolated=self._is_isolated
+            decoder=decoder,
+            report_error=log_platform_faults,
+            is_isolated=self._is_isolated,
         )
         self._data = PlatformData(
-            fleet=self._fleet, changed=self._follow_fleet, announce=self._announce
+            fleet=self._fleet, on_change=self._follow_fleet, announce=self._announce
         )
         self._view = FleetView(own_ip=settings.ip)
         self._log = RequestLog(now_ms=self._now_ms)
@@ -113,8 +115,8 @@
         self._suspect_exchange = SuspectExchange(
             suspects=self._crash_suspects,
             now_ms=self._now_ms,
-            learnt_here=lambda: self._exchange.has_news(),
-            told_here=lambda: self._exchange.has_suspects(),
+            learnt_here=lambda: self._exchange.publish_change(),
+            told_here=lambda: self._exchange.forward_suspects(),
         )
         self._suspects = SuspectRequests(
             suspects=self._crash_suspects,
@@ -131,10 +133,10 @@
             suspects=self._suspects,
             log=self._log,
         )
-        self._own_entry = OwnEntry(
-            missing=lambda: self._fleet.lapsed_at(settings.ip),
+        self._own_entry = IsolationDetector(
+            find_missing=lambda: self._fleet.expired_instance_at(settings.ip),
             store=store,
-            changed=self._tell_all,
+            on_change=self._tell_all,
         )
         self._links = PeerLinks(
             own_ip=settings.ip,
@@ -171,7 +173,7 @@
             rule=self._rate_rule,
             now_ms=self._now_ms(),
             most_hosts=lambda: self._most_sidecars.value(self._now_ms()),
-            told=self._view.uses,
+            told=self._view.usage,
             random=rng.random,
         )
         self._reports = HostReports(
@@ -196,8 +198,10 @@
             is_near_limit=self._is_near_limit,
             now_ms=self._now_ms,
         )
-        self._duty = ZoneDuty(
-            own_ip=settings.ip, holders=WATCHERS, step_ms=WATCH_STEP_MS
+        self._duty = ZoneRole(
+            own_ip=settings.ip,
+            active_sidecars=WATCHERS_PER_ZONE,
+            step_ms=WATCHER_TAKEOVER_STEP_MS,
         )
         self._zone_peers = ZonePeers(
             own_ip=settings.ip,
@@ -262,9 +266,9 @@
             held=self._held,
         )
         self._reader = PlatformReader(
-            store=store, keeper=self._data, duty=self._duty, rng=rng
+            store=store, listener=self._data, role=self._duty, rng=rng
         )
-        self._standstill = Standstill()
+        self._standstill = PauseDetector()
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
 
@@ -328,13 +332,13 @@
         elif isinstance(message, SuspectNews):
             self._suspect_exchange.take(message)
         elif isinstance(message, HeartbeatReply):
-            load = self._view.told(ip, message.load, self._now_ms())
+            load = self._view.record_load(ip, message.load, self._now_ms())
             load.leaving = message.leaving
             load.isolated = message.isolated
             link = self._links.peers[ip].link
-            self._data.ask_if_behind(parse_position(message), link)
+            self._data.request_if_behind(parse_position(message), link)
         else:
-            self._data.exchange(self._links.peers[ip].link, message)
+            self._data.handle_message(self._links.peers[ip].link, message)
 
     def accepted_message(self, link: PeerLink, message: Message) -> None:
         """Take a message from a peer that dialled this sidecar (LinkListener)."""
@@ -347,9 +351,9 @@
         elif isinstance(message, SuspectNews):
             self._suspect_exchange.take(message)
         elif isinstance(message, Heartbeat):
-            link.send(self._reports.reply(message.sequence))
+            link.send(self._reports.heartbeat_reply(message.sequence))
         else:
-            self._data.exchange(link, message)
+            self._data.handle_message(link, message)
 
     def accepted_lost(self, link: PeerLink) -> None:
         """Cancel what the peer can't be told the end of (LinkListener)."""
@@ -357,14 +361,14 @@
 
     def _announce(self) -> None:
         """Tell the zone what this sidecar knows of the platform by now."""
-        self._exchange.has_news()
+        self._exchange.publish_change()
 
     def _tell_all(self) -> None:
         """Tell all that send requests here, and the zone, of a change at once."""
-        reply = self._reports.reply(0)
+        reply = self._reports.heartbeat_reply(0)
         for link in self._links.accepted:
             link.send(reply)
-        self._exchange.has_news()
+        self._exchange.publish_change()
 
     def _is_isolated(self, ip: str) -> bool:
         """Return whether a host says that it can't reach the platform."""
@@ -385,7 +389,7 @@
 
     def _share_duty(self, now_ms: float) -> None:
         """Decide who of the zone follows the platform."""
-        self._duty.decide(self._zone_peers.following(), now_ms)
+        self._duty.update_role(self._zone_peers.following_by_peer(), now_ms)
 
     def _follow_fleet(self) -> None:
         """Take over what the platform's data say of the hosts."""
@@ -394,12 +398,12 @@
         first = not self._known_hosts
         self._known_hosts = {*listed, self._settings.ip}
         self._most_sidecars.note(len(self._known_hosts), now_ms)
-        for instance in self._fleet.at(self._settings.ip):
+        for instance in self._fleet.instances_at(self._settings.ip):
             if not instance.leaving:
                 self._executor.set_slots(instance.slots)
         self._share_duty(now_ms)
         if first:
-            self._exchange.greet()
+            self._exchange.announce_host()
 
     async def _tick_forever(self) -> None:
         while True:
@@ -417,13 +421,13 @@
             self._suspect_exchange.tick()
 
     def _notice_standstill(self) -> None:
-        stood_ms = self._standstill.look()
+        stood_ms = self._standstill.check_pause()
         if not stood_ms:
             return
         log_event("stood_still", level="warning", stood_ms=stood_ms)
         self._owner.stood_still(stood_ms)
         self._executor.stood_still(stood_ms)
-        self._view.stood_still(stood_ms)
+        self._view.add_paused_time(stood_ms)
         self._crash_suspects.stood_still(stood_ms)
 
     def _admit_anew(self, now_ms: float) -> None:
@@ -483,7 +487,7 @@
             "backend_limit": load.limit,
             "held_bytes": self._held.total_bytes,
             "owned_requests": self._owner.in_flight,
-            "gathers": self._exchange.gathers,
+            "gathers": self._exchange.is_aggregating,
             "view_age_ms": min(self._view.age_ms(self._now_ms()), NO_VIEW_MS),
             **self._suspect_exchange.gauges(),
             "linked_peers": sum(1 for _ in self._links.linked()),
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
@@ -17,10 +17,10 @@
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
-    parse_uses,
+    parse_usage,
     serialize_counts,
     serialize_demand,
-    serialize_uses,
+    serialize_usage,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     FleetDigest,
@@ -33,11 +33,11 @@
 from sassafraswinch_sidecar.repeat_budget import sum_counts
 from sassafraswinch_sidecar.revisions import Position
 
-GATHERERS = 2
+AGGREGATORS_PER_ZONE = 2
 """Sidecars of a zone that gather while they can; with one, its loss would leave the
 zone without a view until that is noticed."""
 
-GATHER_STEP_MS = 100.0
+AGGREGATOR_TAKEOVER_STEP_MS = 100.0
 """Time that each further sidecar leaves to those before it, when gatherers are missing:
 dialling a zone and telling it who gathers takes tens of milliseconds."""
 
@@ -49,8 +49,8 @@
 """Hosts that a gatherer asks in a second. In large zones the pause grows, so that it
 stays near a hundredth of a core."""
 
-LIFE_ROUNDS = 3.5
-MIN_LIFE_MS = 800.0
+MAX_SILENT_ROUNDS = 3.5
+MIN_EVICTION_TIMEOUT_MS = 800.0
 """Rounds, and time at least, without an answer after which a host, or a zone, no longer
 counts: one answer may be lost, and a busy host stand still for a moment."""
 
@@ -58,9 +58,9 @@
 """Bits of a host's state on the wire."""
 
 
-def life_ms(round_ms: float) -> float:
+def eviction_timeout_ms(round_ms: float) -> float:
     """Return the time without an answer after which a host or a zone is forgotten."""
-    return max(LIFE_ROUNDS * round_ms, MIN_LIFE_MS)
+    return max(MAX_SILENT_ROUNDS * round_ms, MIN_EVICTION_TIMEOUT_MS)
 
 
 def pause_ms(hosts: int) -> float:
@@ -81,7 +81,7 @@
         return now_ms - self.at_ms
 
 
-class ZoneGatherer:
+class ZoneAggregator:
     """The latest reports of one zone's hosts and sums of the other zones.
 
     Args:
@@ -100,7 +100,7 @@
         self._reports: dict[str, _Told[HostReport]] = {}
         self._zones: dict[str, _Told[ZoneSummary]] = {}
 
-    def heard(self, ip: str, report: HostReport, now_ms: float) -> bool:
+    def record_report(self, ip: str, report: HostReport, now_ms: float) -> bool:
         """Take in the report of a host of this zone, in place of its former one.
 
         Returns:
@@ -110,7 +110,7 @@
         self._reports[ip] = _Told(now_ms, report)
         return is_new
 
-    def heard_zone(self, summary: ZoneSummary, now_ms: float) -> bool:
+    def record_summary(self, summary: ZoneSummary, now_ms: float) -> bool:
         """Take in the sum of another zone, in place of its former one.
 
         Returns:
@@ -122,19 +122,19 @@
         hosts = len(summary.loads.hosts.ips)
         return known is None or hosts > len(known.content.loads.hosts.ips)
 
-    def relies(self, ip: str) -> bool:
+    def needs_full_digest(self, ip: str) -> bool:
         """Return whether a host wants the whole digest; one that is unknown does."""
         told = self._reports.get(ip)
         return told is None or told.content.relies
 
-    def answering(self) -> Iterable[str]:
+    def replying_hosts(self) -> Iterable[str]:
         """Return the hosts of this zone that answered in the last rounds."""
         return self._reports.keys()
 
-    def forget(self, now_ms: float, round_ms: float) -> None:
+    def evict_expired(self, now_ms: float, round_ms: float) -> None:
         """Drop the hosts and zones that no longer answer."""
-        self._reports = _young(self._reports, now_ms, life_ms(round_ms))
-        self._zones = _young(self._zones, now_ms, life_ms(round_ms))
+        self._reports = _young(self._reports, now_ms, eviction_timeout_ms(round_ms))
+        self._zones = _young(self._zones, now_ms, eviction_timeout_ms(round_ms))
 
     def summary(self) -> ZoneSummary:
         """Return the sum of this zone."""
@@ -145,8 +145,8 @@
             loads=ZoneLoads(self._zone, 0, _host_loads(reports)),
             demand=serialize_demand(merge_claims(demands)),
             counts=serialize_counts(sum_counts(counts)),
-            uses=serialize_uses(
-                sum_uses(parse_uses(report.uses) for report in reports.values())
+            uses=serialize_usage(
+                sum_uses(parse_usage(report.uses) for report in reports.values())
             ),
         )
 
@@ -177,12 +177,12 @@
             counts=serialize_counts(
                 sum_counts(parse_counts(each.counts) for each in summaries)
             ),
-            uses=serialize_uses(self._near_limits(summaries)),
+            uses=serialize_usage(self._near_limits(summaries)),
         )
 
     def _near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
         """Return the uses that hosts must hear of; the others have no effect."""
-        total = sum_uses(parse_uses(each.uses) for each in summaries)
+        total = sum_uses(parse_usage(each.uses) for each in summaries)
         near = {
             name: use
             for name, use in total.uses.items()
@@ -191,7 +191,7 @@
         return FleetUse(near, total.hosts, total.unknown_ms)
 
 
-def bare_digest(position: Position) -> FleetDigest:
+def empty_digest(position: Position) -> FleetDigest:
     """Return the digest for hosts that take their view from another gatherer."""
     return FleetDigest(
         **position_fields(position), whole=False, zones=[], demand=[], counts=[]
@@ -210,7 +210,7 @@
         self._asked: dict[str, str] = {}
         self._answered_ms: dict[str, float] = {}
 
-    def choose(
+    def choose_contacts(
         self, zones: Mapping[str, list[str]], now_ms: float, round_ms: float
     ) -> list[str]:
         """Return one address for each zone.
@@ -225,11 +225,11 @@
             answered_ms = self._answered_ms.setdefault(zone, now_ms)
             if asked not in ips:
                 self._ask(zone, ips[0], now_ms)
-            elif now_ms - answered_ms > life_ms(round_ms):
+            elif now_ms - answered_ms > eviction_timeout_ms(round_ms):
                 self._ask(zone, ips[(ips.index(asked) + 1) % len(ips)], now_ms)
         return [self._asked[zone] for zone in zones]
 
-    def answered(
+    def record_reply(
         self, zone: str, ip: str, gatherers: Iterable[str], now_ms: float
     ) -> None:
         """Note an answer, and who gathers there."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_peers.py
@@ -33,7 +33,7 @@
         self._view = view
         self._load_of = load_of
 
-    def following(self) -> Mapping[str, bool]:
+    def following_by_peer(self) -> Mapping[str, bool]:
         """Return whether each follows the platform, of those that can be relied on.
 
         Hosts that nobody has told of yet count as ones that don't. Failure: all hosts
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
@@ -66,9 +66,9 @@
     async def read(self) -> Delta:
         self._check()
         live = (e for e in self.entries.values() if e.value is not None)
-        return Delta(revision=self.revision, whole=True, entries=tuple(live))
+        return Delta(revision=self.revision, is_full=True, entries=tuple(live))
 
-    async def lists(self, instance_id: str) -> bool:
+    async def has_instance(self, instance_id: str) -> bool:
         self._check()
         entry = self.entries.get(INSTANCE + instance_id)
         return entry is not None and entry.value is not None
@@ -85,10 +85,10 @@
                     lambda: self.down or self.revision.number > number
                 )
         except TimeoutError:
-            return Delta(revision=self.revision, whole=False, entries=())
+            return Delta(revision=self.revision, is_full=False, entries=())
         self._check()
         found = (e for e in self.entries.values() if e.revision.number > number)
-        return Delta(revision=self.revision, whole=False, entries=tuple(found))
+        return Delta(revision=self.revision, is_full=False, entries=tuple(found))
 
     async def set_down(self, down: bool) -> None:
         self.down = down
@@ -116,9 +116,9 @@
         self._check()
         return await self._store.read()
 
-    async def lists(self, instance_id: str) -> bool:
+    async def has_instance(self, instance_id: str) -> bool:
         self._check()
-        return await self._store.lists(instance_id)
+        return await self._store.has_instance(instance_id)
 
     async def watch(self, after: Revision, wait_ms: int) -> Delta:
         self._check()
--- a/packages/sassafraswinch-sidecar/tests/test_fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/test_fleet.py
@@ -2,7 +2,7 @@
 
 import json
 
-from sassafraswinch_sidecar.fleet import EXPIRY_MS, RETURN_MS, Fleet
+from sassafraswinch_sidecar.fleet import MIN_EXPIRY_OUTAGE_MS, RETURN_WINDOW_MS, Fleet
 from sassafraswinch_sidecar.replica import Delta, Entry, Replica
 from sassafraswinch_sidecar.revisions import Revision
 from sidecar_standins.fleet import INSTANCE, ROUTES, MemoryDecoder
@@ -20,7 +20,7 @@
         self.isolated = set()
         self.fleet = Fleet(
             decoder=MemoryDecoder(),
-            report=self.faults.append,
+            report_error=self.faults.append,
             is_isolated=self.isolated.__contains__,
         )
         self.replica = Replica(routes=self.fleet)
@@ -36,8 +36,8 @@
         self.revision += 1
         revision = Revision(0, self.revision)
         entry = Entry(key=key, revision=revision, value=value)
-        delta = Delta(revision=revision, whole=False, entries=(entry,))
-        self.fleet.apply(self.replica.merge(delta), now_ms)
+        delta = Delta(revision=revision, is_full=False, entries=(entry,))
+        self.fleet.apply_entries(self.replica.merge(delta), now_ms)
 
     def ids(self):
         return [found.id for found in self.fleet.of_service("archiv")]
@@ -51,23 +51,23 @@
     world = World()
     world.put("a", 0.0)
     world.put("b", 0.0, ip="10.0.0.2")
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
+    world.fleet.record_outage(1_000.0)
+    world.fleet.record_outage_end(6_000.0)
     world.remove("a", 6_010.0)
     world.remove("b", 6_010.0)
     assert sorted(world.ids()) == ["a", "b"]
     world.put("a", 7_000.0)
-    world.fleet.tick(world.replica, 6_010.0 + RETURN_MS)
+    world.fleet.tick(world.replica, 6_010.0 + RETURN_WINDOW_MS)
     assert world.ids() == ["a"]
 
 
 def test_removal_told_by_a_peer_during_a_long_outage_counts_after_the_same_time():
     world = World()
     world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.remove("a", 1_000.0 + EXPIRY_MS)
+    world.fleet.record_outage(1_000.0)
+    world.remove("a", 1_000.0 + MIN_EXPIRY_OUTAGE_MS)
     assert world.ids() == ["a"]
-    world.fleet.tick(world.replica, 1_000.0 + EXPIRY_MS + RETURN_MS)
+    world.fleet.tick(world.replica, 1_000.0 + MIN_EXPIRY_OUTAGE_MS + RETURN_WINDOW_MS)
     assert world.ids() == []
 
 
@@ -77,8 +77,8 @@
     """
     world = World()
     world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(1_500.0)
+    world.fleet.record_outage(1_000.0)
+    world.fleet.record_outage_end(1_500.0)
     world.remove("a", 1_510.0)
     assert world.ids() == []
     assert world.fleet.is_leaving("a")
@@ -88,9 +88,9 @@
     """Guards against a server without a farewell that is held for a whole return."""
     world = World()
     world.put("a", 0.0)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
-    removed_ms = 6_000.0 + RETURN_MS - 100.0
+    world.fleet.record_outage(1_000.0)
+    world.fleet.record_outage_end(6_000.0)
+    removed_ms = 6_000.0 + RETURN_WINDOW_MS - 100.0
     world.remove("a", removed_ms)
     world.fleet.tick(world.replica, removed_ms + DRAIN_MS)
     assert world.ids() == []
@@ -99,10 +99,10 @@
 def test_leaving_instance_is_not_held():
     world = World()
     world.put("a", 0.0, leaving=True)
-    world.fleet.platform_away(1_000.0)
-    world.fleet.platform_back(6_000.0)
+    world.fleet.record_outage(1_000.0)
+    world.fleet.record_outage_end(6_000.0)
     world.remove("a", 6_010.0)
-    assert world.fleet.at("10.0.0.1") == []
+    assert world.fleet.instances_at("10.0.0.1") == []
 
 
 def test_old_lifetime_at_an_address_gives_way_to_the_new_one():
@@ -118,7 +118,7 @@
 def test_cold_time_runs_from_when_it_was_told():
     world = World()
     world.put("a", 1_000.0, cold_ms=3_000.0)
-    (found,) = world.fleet.at("10.0.0.1")
+    (found,) = world.fleet.instances_at("10.0.0.1")
     assert world.fleet.cold_left_ms(found, 2_000.0) == 2_000.0
     assert world.fleet.cold_left_ms(found, 9_000.0) == 0.0
 
@@ -198,8 +198,8 @@
     world.remove("cut", 5_000.0)
     assert world.ids() == []
     assert world.fleet.is_leaving("cut")
-    assert world.fleet.lapsed_at("10.0.0.1").id == "cut"
-    assert world.fleet.lapsed_at("10.0.0.2") is None
+    assert world.fleet.expired_instance_at("10.0.0.1").id == "cut"
+    assert world.fleet.expired_instance_at("10.0.0.2") is None
 
     world.isolated.add("10.0.0.1")
     world.isolated.add("10.0.0.2")
@@ -212,7 +212,7 @@
     world.put("cut", 14_000.0)
     world.fleet.tick(world.replica, 20_000.0)
     assert world.ids() == ["cut"]
-    assert world.fleet.lapsed_at("10.0.0.1") is None
+    assert world.fleet.expired_instance_at("10.0.0.1") is None
 
 
 def test_server_that_is_not_listed_again_after_the_cut_gets_no_more_work():
@@ -225,9 +225,9 @@
     world.isolated.add("10.0.0.1")
     world.fleet.tick(world.replica, 5_700.0)
     world.isolated.clear()
-    world.fleet.tick(world.replica, 5_700.0 + RETURN_MS - 1)
+    world.fleet.tick(world.replica, 5_700.0 + RETURN_WINDOW_MS - 1)
     assert world.ids() == ["cut"]
-    world.fleet.tick(world.replica, 5_700.0 + RETURN_MS)
+    world.fleet.tick(world.replica, 5_700.0 + RETURN_WINDOW_MS)
     assert world.ids() == []
     assert world.fleet.is_leaving("cut")
 
@@ -240,4 +240,4 @@
     world.isolated.add("10.0.0.1")
     world.fleet.tick(world.replica, 6_100.0)
     assert world.ids() == ["new"]
-    assert world.fleet.lapsed_at("10.0.0.1") is None
+    assert world.fleet.expired_instance_at("10.0.0.1") is None
--- a/packages/sassafraswinch-sidecar/tests/test_fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_fleet_exchange.py
@@ -25,7 +25,7 @@
 
 
 def gatherers(fleet):
-    return [node for node in fleet.nodes if node.sidecar._exchange.gathers]
+    return [node for node in fleet.nodes if node.sidecar._exchange.is_aggregating]
 
 
 def demand_at(node):
@@ -57,7 +57,7 @@
     lost, left = fleet.nodes[:2], fleet.nodes[2:]
     for node in lost:
         await node.kill()
-    await until(lambda: all(node.sidecar._exchange.gathers for node in left))
+    await until(lambda: all(node.sidecar._exchange.is_aggregating for node in left))
     got = await fleet.call(left[0], target="/approve/1", method="POST")
     assert got.status == 200
     for node in lost:
@@ -77,5 +77,5 @@
     for number in range(20):
         await fleet.call(node, request_id=f"r-{number}")
     await until(lambda: "orders" in demand_at(fleet.nodes[0]))
-    await until(lambda: not node.sidecar._exchange.gathers)
+    await until(lambda: not node.sidecar._exchange.is_aggregating)
     assert node.sidecar._view.age_ms(node.sidecar._now_ms()) < 2_000.0
--- a/packages/sassafraswinch-sidecar/tests/test_own_entry.py
+++ b/packages/sassafraswinch-sidecar/tests/test_isolation_detector.py
@@ -5,7 +5,10 @@
 
 import pytest
 
-from sassafraswinch_sidecar.own_entry import ASK_TIMEOUT_S, OwnEntry
+from sassafraswinch_sidecar.isolation_detector import (
+    LOOKUP_TIMEOUT_S,
+    IsolationDetector,
+)
 from sassafraswinch_sidecar.platform_reader import PlatformUnavailableError
 from sidecar_standins.instances import new_instance
 
@@ -33,10 +36,10 @@
         self.platform = Platform()
         self.lapsed = None
         self.told = []
-        self.own = OwnEntry(
-            missing=lambda: self.lapsed,
+        self.own = IsolationDetector(
+            find_missing=lambda: self.lapsed,
             store=self.platform,
-            changed=lambda: self.told.append(self.own.is_isolated),
+            on_change=lambda: self.told.append(self.own.is_isolated),
         )
 
 
@@ -66,11 +69,11 @@
     with asking() as world:
         world.platform.answer = silence
         world.lapsed = new_instance(1)
-        await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
+        await asyncio.sleep(LOOKUP_TIMEOUT_S + 0.5)
         assert world.told == [True]
         await asyncio.sleep(10.0)
         world.platform.answer = False
-        await asyncio.sleep(ASK_TIMEOUT_S + 0.5)
+        await asyncio.sleep(LOOKUP_TIMEOUT_S + 0.5)
         assert world.told == [True, False]
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_limits.py
@@ -42,7 +42,7 @@
 
 
 def knows_the_window(node):
-    told = node.sidecar._view.uses(node.sidecar._now_ms())
+    told = node.sidecar._view.usage(node.sidecar._now_ms())
     return told.hosts == 2 and not told.unknown_ms
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_standstill.py
+++ b/packages/sassafraswinch-sidecar/tests/test_pause_detector.py
@@ -1,6 +1,6 @@
 """Noticing that the machine stood still."""
 
-from sassafraswinch_sidecar.standstill import Standstill
+from sassafraswinch_sidecar.pause_detector import PauseDetector
 
 
 class Clocks:
@@ -17,25 +17,25 @@
     def suspend(self, for_ms):
         self.boot_ms += for_ms
 
-    def standstill(self):
-        return Standstill(
+    def pause_detector(self):
+        return PauseDetector(
             boot_ms=lambda: self.boot_ms, steady_ms=lambda: self.steady_ms
         )
 
 
 def test_only_time_that_the_steady_clock_missed_is_a_standstill():
     clocks = Clocks()
-    standstill = clocks.standstill()
+    pause_detector = clocks.pause_detector()
     clocks.run(5_000.0)
-    assert standstill.look() == 0.0
+    assert pause_detector.look() == 0.0
     clocks.suspend(3_000.0)
     clocks.run(100.0)
-    assert standstill.look() == 3_000.0
-    assert standstill.look() == 0.0
+    assert pause_detector.look() == 3_000.0
+    assert pause_detector.look() == 0.0
 
 
 def test_clocks_that_are_read_a_moment_apart_are_no_standstill():
     clocks = Clocks()
-    standstill = clocks.standstill()
+    pause_detector = clocks.pause_detector()
     clocks.suspend(20.0)
-    assert standstill.look() == 0.0
+    assert pause_detector.look() == 0.0
--- a/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
+++ b/packages/sassafraswinch-sidecar/tests/test_platform_reader.py
@@ -4,16 +4,16 @@
 import random
 
 from sassafraswinch_sidecar.platform_reader import (
-    RETRY_S,
-    RETURN_WATCH_MS,
-    WATCH_MS,
+    FIRST_WATCH_TIMEOUT_MS,
+    RETRY_PAUSE_S,
+    WATCH_TIMEOUT_MS,
     HistoryGoneError,
     PlatformReader,
     PlatformUnavailableError,
 )
 from sassafraswinch_sidecar.replica import Delta
 from sassafraswinch_sidecar.revisions import UNKNOWN, Revision
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
 
 class ScriptedStore:
@@ -42,7 +42,7 @@
             raise answer
         revision = answer if isinstance(answer, Revision) else Revision(0, answer)
         self.era = revision.era
-        return Delta(revision=revision, whole=call == "read", entries=())
+        return Delta(revision=revision, is_full=call == "read", entries=())
 
 
 def spelt(revision):
@@ -63,14 +63,14 @@
         self._began_s = asyncio.get_running_loop().time()
 
     async def read(self):
-        return Delta(revision=UNKNOWN, whole=True, entries=())
+        return Delta(revision=UNKNOWN, is_full=True, entries=())
 
     async def watch(self, after, wait_ms):
         self.watches += 1
         while self._made() <= after.number:
             await asyncio.sleep(self.gap_s / 4)
         self.told = self._made()
-        return Delta(revision=Revision(0, self.told), whole=False, entries=())
+        return Delta(revision=Revision(0, self.told), is_full=False, entries=())
 
     def _made(self):
         passed_s = asyncio.get_running_loop().time() - self._began_s
@@ -99,13 +99,13 @@
 
 
 def new_reader(store, keeper, duty):
-    return PlatformReader(store=store, keeper=keeper, duty=duty, rng=random.Random(1))
+    return PlatformReader(store=store, listener=keeper, role=duty, rng=random.Random(1))
 
 
 async def follow(*answers):
     store, keeper = ScriptedStore(*answers), Keeper()
     reader = new_reader(
-        store, keeper, ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, keeper, ZoneRole(own_ip="10.0.0.1", active_sidecars=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
@@ -126,7 +126,7 @@
     """
     store = BurstStore(changes=12, gap_s=0.02)
     reader = new_reader(
-        store, Keeper(), ZoneDuty(own_ip="10.0.0.1", holders=2, step_ms=50.0)
+        store, Keeper(), ZoneRole(own_ip="10.0.0.1", active_sidecars=2, step_ms=50.0)
     )
     task = asyncio.create_task(reader.run())
     async with asyncio.timeout(10):
@@ -166,15 +166,17 @@
     """
     down = PlatformUnavailableError(reason="reset")
     store, keeper = await follow(4, down, 4)
-    assert store.waits_ms[0] == WATCH_MS
-    assert store.waits_ms[1] == RETURN_WATCH_MS
-    assert store.waits_ms[2] == WATCH_MS
+    assert store.waits_ms[0] == WATCH_TIMEOUT_MS
+    assert store.waits_ms[1] == FIRST_WATCH_TIMEOUT_MS
+    assert store.waits_ms[2] == WATCH_TIMEOUT_MS
     assert keeper.told == ["back", "away", "back"]
 
 
 def duty_of(own_ip, **peers):
-    duty = ZoneDuty(own_ip=own_ip, holders=2, step_ms=50.0)
-    duty.decide({f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0)
+    duty = ZoneRole(own_ip=own_ip, active_sidecars=2, step_ms=50.0)
+    duty.update_role(
+        {f"10.0.0.{name[1:]}": follows for name, follows in peers.items()}, 0
+    )
     return duty
 
 
@@ -209,12 +211,12 @@
         while keeper.followed != [True, False]:
             await asyncio.sleep(0.01)
         store.answers = [4]
-        duty.decide({}, 1_000)
+        duty.update_role({}, 1_000)
         while keeper.followed != [True, False, True]:
             await asyncio.sleep(0.01)
     task.cancel()
     assert store.calls[:2] == ["read", ("watch", 4)]
-    assert store.waits_ms[0] == RETURN_WATCH_MS
+    assert store.waits_ms[0] == FIRST_WATCH_TIMEOUT_MS
 
 
 async def test_sidecar_turned_away_doesnt_take_the_platform_for_lost():
@@ -279,4 +281,4 @@
     task = asyncio.create_task(reader.run())
     await asyncio.sleep(0.5)
     task.cancel()
-    assert store.calls.count("read") <= 2 + 0.5 / RETRY_S[0]
+    assert store.calls.count("read") <= 2 + 0.5 / RETRY_PAUSE_S[0]
--- a/packages/sassafraswinch-sidecar/tests/test_relay_wire.py
+++ b/packages/sassafraswinch-sidecar/tests/test_relay_wire.py
@@ -68,7 +68,7 @@
     st.booleans(),
 )
 def test_changes_come_back_equal_removals_included(entries, whole):
-    delta = Delta(revision=Revision(2, 7), whole=whole, entries=tuple(entries))
+    delta = Delta(revision=Revision(2, 7), is_full=whole, entries=tuple(entries))
     frame = serialize_message(serialize_delta(delta))
     assert parse_delta(parse_message(frame[LENGTH_BYTES:])) == delta
 
--- a/packages/sassafraswinch-sidecar/tests/test_replica.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica.py
@@ -29,11 +29,11 @@
 
 
 def delta_of(number, *entries, whole=False, era=0):
-    return Delta(revision=Revision(era, number), whole=whole, entries=entries)
+    return Delta(revision=Revision(era, number), is_full=whole, entries=entries)
 
 
 def values(replica):
-    return {found.key: found.revision.number for found in replica.live()}
+    return {found.key: found.revision.number for found in replica.live_entries()}
 
 
 def test_later_change_wins_whatever_the_order():
@@ -64,7 +64,7 @@
     behind.merge(delta_of(2, entry("a", 2), whole=True))
     fresh.merge(delta_of(1, whole=True))
     fresh.merge(delta_of(4, entry("a", 4, None)))
-    behind.merge(fresh.since(behind.position))
+    behind.merge(fresh.changes_since(behind.position))
     assert values(behind) == {}
     assert behind.revision == Revision(0, 4)
 
@@ -89,7 +89,7 @@
     for _ in range(2):
         for left in copies:
             for right in copies:
-                left.merge(right.since(left.position))
+                left.merge(right.changes_since(left.position))
     assert values(copies[0]) == values(copies[1]) == values(copies[2])
     revisions = {copy.revision for copy in copies}
     assert len(revisions) == 1
@@ -129,10 +129,10 @@
     restored, behind = new_replica(), new_replica()
     behind.merge(delta_of(9, entry("a", 4), entry("b", 9), whole=True))
     restored.merge(delta_of(5, entry("a", 4, era=1), whole=True, era=1))
-    assert behind.position.lacks(restored.position)
-    assert not restored.position.lacks(behind.position)
-    restored.merge(behind.since(restored.position))
-    behind.merge(restored.since(behind.position))
+    assert behind.position.is_behind(restored.position)
+    assert not restored.position.is_behind(behind.position)
+    restored.merge(behind.changes_since(restored.position))
+    behind.merge(restored.changes_since(behind.position))
     assert values(behind) == values(restored) == {"a": 4}
     assert behind.position == restored.position
 
@@ -144,7 +144,7 @@
     copy = delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1)
     assert knows.merge(copy) == []
     fresh.merge(copy)
-    assert fresh.position.lacks(knows.position)
+    assert fresh.position.is_behind(knows.position)
     fresh.merge(knows.since(fresh.position))
     assert fresh.routes_version == knows.routes_version == 8
     assert knows.merge(delta_of(6, whole=True, era=2)) == []
@@ -156,7 +156,7 @@
     replica = new_replica()
     replica.merge(delta_of(3, entry(ROUTES, 3, b"7"), whole=True))
     assert replica.merge(delta_of(4, entry(ROUTES, 4, b"odd"))) == []
-    told = replica.since(new_replica().position)
+    told = replica.changes_since(new_replica().position)
     assert [found.value for found in told.entries] == [b"7"]
 
 
@@ -165,7 +165,7 @@
     cut, restored = new_replica(), new_replica()
     cut.merge(delta_of(9, entry(ROUTES, 9, b"8"), entry("a", 7), whole=True))
     restored.merge(delta_of(5, entry(ROUTES, 3, b"7", era=1), whole=True, era=1))
-    assert restored.position.lacks(cut.position)
+    assert restored.position.is_behind(cut.position)
     changed = restored.merge(cut.since(restored.position))
     assert [found.value for found in changed] == [b"8"]
     assert restored.revision == Revision(1, 5)
--- a/packages/sassafraswinch-sidecar/tests/test_replica_machine.py
+++ b/packages/sassafraswinch-sidecar/tests/test_replica_machine.py
@@ -15,7 +15,9 @@
 
 def servers(replica):
     """Return the entries of servers that aren't removed."""
-    return {each.key: each.value for each in replica.live() if each.key != ROUTES}
+    return {
+        each.key: each.value for each in replica.live_entries() if each.key != ROUTES
+    }
 
 
 class NumberedRoutes:
@@ -108,7 +110,7 @@
     def learn(self, host, way, peer, late):
         """Read the store whole, watch it, or ask a peer."""
         if way == "ask":
-            told = self.hosts[peer].since(self.hosts[host].position)
+            told = self.hosts[peer].changes_since(self.hosts[host].position)
             self.send(host, told, late)
             assert late or self.knows_all(host, peer)
         elif host not in self.cut:
@@ -118,12 +120,12 @@
         """Return the answer to a watch of which the store knows the number alone."""
         after = self.hosts[host].revision.number
         found = (e for e in self.items.values() if e.revision.number > after)
-        return Delta(revision=self.revision, whole=False, entries=tuple(found))
+        return Delta(revision=self.revision, is_full=False, entries=tuple(found))
 
     def knows_all(self, host, peer):
         """Return whether a host knows what a peer knows that isn't behind it."""
         own, other = self.hosts[host], self.hosts[peer]
-        if own.position.lacks(other.position):
+        if own.position.is_behind(other.position):
             return False
         return own.revision > other.revision or servers(own) == servers(other)
 
@@ -149,20 +151,20 @@
 
     def whole(self):
         live = tuple(e for e in self.items.values() if e.value is not None)
-        return Delta(revision=self.revision, whole=True, entries=live)
+        return Delta(revision=self.revision, is_full=True, entries=live)
 
     def teardown(self):
         """One host reads the store; the others hear of all changes from a peer."""
         self.write_again()
         first, second, third = self.hosts
         first.merge(self.whole())
-        second.merge(first.since(second.position))
-        third.merge(second.since(third.position))
+        second.merge(first.changes_since(second.position))
+        third.merge(second.changes_since(third.position))
         expected = {
             key: value for key, value in self.record.items() if value is not None
         }
         for host in self.hosts:
-            assert {entry.key: entry.value for entry in host.live()} == expected
+            assert {entry.key: entry.value for entry in host.live_entries()} == expected
             assert host.position == first.position
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
@@ -131,6 +131,6 @@
 def isolated(node, lapsed):
     """Return whether a node uses a server that the platform doesn't list."""
     found = node.sidecar._fleet.of_service(lapsed.service)
-    return [each.ip for each in found] == [lapsed.ip] and not node.sidecar._fleet.at(
+    return [each.ip for each in found] == [
         lapsed.ip
-    )
+    ] and not node.sidecar._fleet.instances_at(lapsed.ip)
--- a/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_store_restored_servers.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from sassafraswinch_sidecar.departures import EXPIRED_BY_MS
-from sassafraswinch_sidecar.fleet import RETURN_MS, Fleet
+from sassafraswinch_sidecar.departures import REGISTRATION_EXPIRY_MS
+from sassafraswinch_sidecar.fleet import RETURN_WINDOW_MS, Fleet
 from sassafraswinch_sidecar.replica import Delta, Entry, Replica
 from sassafraswinch_sidecar.revisions import Revision
 from sidecar_standins.fleet import INSTANCE, MemoryDecoder, running_fleet, until
@@ -14,7 +14,7 @@
     """A fleet that follows a store, which comes back from an older copy on demand."""
 
     def __init__(self):
-        self.fleet = Fleet(decoder=MemoryDecoder(), report=print)
+        self.fleet = Fleet(decoder=MemoryDecoder(), report_error=print)
         self.replica = Replica(routes=self.fleet)
         self.revision = Revision(0, 0)
         self.items: dict[str, Entry] = {}
@@ -42,7 +42,7 @@
             for key, entry in items.items()
         }
         live = tuple(e for e in self.items.values() if e.value is not None)
-        self._take(Delta(revision=self.revision, whole=True, entries=live), now_ms)
+        self._take(Delta(revision=self.revision, is_full=True, entries=live), now_ms)
 
     def ids(self):
         return sorted(found.id for found in self.fleet.of_service("archiv"))
@@ -56,14 +56,16 @@
         self.revision = Revision(era, number + 1)
         entry = Entry(key=key, revision=self.revision, value=value)
         self.items[key] = entry
-        self._take(Delta(revision=self.revision, whole=False, entries=(entry,)), now_ms)
+        self._take(
+            Delta(revision=self.revision, is_full=False, entries=(entry,)), now_ms
+        )
 
     def _take(self, delta, now_ms):
         era = self.replica.revision.era
         changed = self.replica.merge(delta)
         if self.replica.revision.era > era:
-            self.fleet.store_restored(now_ms)
-        self.fleet.apply(changed, now_ms)
+            self.fleet.record_store_restore(now_ms)
+        self.fleet.apply_entries(changed, now_ms)
 
 
 @pytest.fixture
@@ -83,7 +85,7 @@
     world.remove("a", 3_000.0)
     assert world.tick(9_000.0) == []
     world.restore(copy, 9_100.0)
-    assert world.tick(9_100.0 + 2 * EXPIRED_BY_MS) == []
+    assert world.tick(9_100.0 + 2 * REGISTRATION_EXPIRY_MS) == []
 
 
 def test_server_that_left_and_was_removed_gets_no_requests_again(world):
@@ -99,7 +101,7 @@
     assert world.fleet.is_leaving("a")
     assert world.fleet.is_leaving("b")
     world.remove("a", 6_000.0)
-    assert world.tick(2_100.0 + EXPIRED_BY_MS) == []
+    assert world.tick(2_100.0 + REGISTRATION_EXPIRY_MS) == []
 
 
 def test_server_that_was_removed_and_writes_again_is_used(world):
@@ -119,8 +121,8 @@
     copy = world.copy()
     world.remove("a", 10.0)
     world.restore(copy, 100.0)
-    assert world.tick(100.0 + EXPIRED_BY_MS - 1) == []
-    assert world.tick(100.0 + EXPIRED_BY_MS) == ["a"]
+    assert world.tick(100.0 + REGISTRATION_EXPIRY_MS - 1) == []
+    assert world.tick(100.0 + REGISTRATION_EXPIRY_MS) == ["a"]
 
 
 def test_doubted_server_whose_entry_cant_be_read_is_not_used(world):
@@ -130,7 +132,7 @@
     world.remove("a", 10.0)
     world.restore(copy, 100.0)
     world.write(INSTANCE + "a", b'{"fault": true}', 200.0)
-    assert world.tick(100.0 + EXPIRED_BY_MS) == []
+    assert world.tick(100.0 + REGISTRATION_EXPIRY_MS) == []
 
 
 def test_next_lifetime_of_a_server_that_left_is_used(world):
@@ -152,14 +154,14 @@
     world.restore(copy, 100.0)
     assert world.ids() == ["a", "b", "c"]
     world.put("b", 1_500.0, ip="10.0.0.2")
-    assert world.tick(100.0 + RETURN_MS) == ["a", "b"]
+    assert world.tick(100.0 + RETURN_WINDOW_MS) == ["a", "b"]
 
 
 def test_removal_long_after_the_store_came_back_counts_at_once(world):
     """Guards against requests at a server whose removal is taken for a loss."""
     world.put("a", 0.0)
     world.restore(world.copy(), 100.0)
-    world.remove("a", 100.0 + RETURN_MS)
+    world.remove("a", 100.0 + RETURN_WINDOW_MS)
     assert world.ids() == []
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_zone_gatherer.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
@@ -7,12 +7,12 @@
 
 from sassafraswinch.organisation_rates import FleetUse, Use
 from sassafraswinch_sidecar.fleet_view import (
-    GATHERER_LIFE_MS,
-    MISSING_LIFE_MS,
-    VIEW_LIFE_MS,
+    AGGREGATOR_TIMEOUT_MS,
+    MAX_UNLISTED_AGE_MS,
+    MAX_VIEW_AGE_MS,
     FleetView,
 )
-from sassafraswinch_sidecar.host_reports import parse_uses, serialize_uses
+from sassafraswinch_sidecar.host_reports import parse_usage, serialize_usage
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     HostReport,
     RouteDemand,
@@ -20,13 +20,13 @@
     ServerLoad,
 )
 from sassafraswinch_sidecar.revisions import Position, Revision
-from sassafraswinch_sidecar.zone_gatherer import (
+from sassafraswinch_sidecar.zone_aggregator import (
     MAX_POLLS_PER_S,
     PAUSE_MS,
+    ZoneAggregator,
     ZoneContacts,
-    ZoneGatherer,
-    bare_digest,
-    life_ms,
+    empty_digest,
+    eviction_timeout_ms,
     pause_ms,
 )
 
@@ -35,8 +35,8 @@
 IPS = {zone: [f"10.{n}.0.{host}" for host in range(3)] for n, zone in enumerate(ZONES)}
 
 
-def zone_gatherer(zone):
-    return ZoneGatherer(
+def zone_aggregator(zone):
+    return ZoneAggregator(
         availability_zone=zone, is_near_limit=lambda name, use: use.spent >= 20
     )
 
@@ -58,13 +58,13 @@
 
 
 def test_hosts_are_told_the_sums_of_all_zones():
-    near, far = (zone_gatherer(zone) for zone in ZONES)
+    near, far = (zone_aggregator(zone) for zone in ZONES)
     for zone, gatherer in zip(ZONES, (near, far), strict=True):
         for ip in IPS[zone]:
             gatherer.heard(ip, new_report(), 0.0)
-    near.heard_zone(far.summary(), 100.0)
+    near.record_summary(far.summary(), 100.0)
     view = FleetView(own_ip=IPS["brno-a"][2])
-    view.take(near.digest(near.summary(), POSITION, 200.0), 200.0)
+    view.apply_digest(near.digest(near.summary(), POSITION, 200.0), 200.0)
     (claim,) = view.demand(200.0)
     assert (claim.kind, claim.rate_per_s) == ("orders", 30.0)
     assert math.isclose(claim.needs["archiv"], 0.2)
@@ -72,37 +72,37 @@
     assert (counts["archiv"].requests, counts["archiv"].repeats, tellers) == (60, 6, 6)
     assert view.recent_load(IPS["brno-b"][0], 200.0).in_flight == 10
     # What was told 100 ms ago in another zone is that much older here.
-    assert view.recent_load(IPS["brno-b"][0], 100.0 + VIEW_LIFE_MS) is None
-    assert view.recent_load(IPS["brno-a"][0], 100.0 + VIEW_LIFE_MS) is not None
+    assert view.recent_load(IPS["brno-b"][0], 100.0 + MAX_VIEW_AGE_MS) is None
+    assert view.recent_load(IPS["brno-a"][0], 100.0 + MAX_VIEW_AGE_MS) is not None
 
 
 def test_hosts_are_told_of_organisations_near_their_limit():
-    near, far = (zone_gatherer(zone) for zone in ZONES)
+    near, far = (zone_aggregator(zone) for zone in ZONES)
     told = FleetUse({"large": Use(4.0, 7), "small": Use(0.5, 1)}, 1, 250.0)
     for zone, gatherer in zip(ZONES, (near, far), strict=True):
         for ip in IPS[zone]:
-            gatherer.heard(ip, new_report(uses=serialize_uses(told)), 0.0)
-    near.heard_zone(far.summary(), 100.0)
+            gatherer.heard(ip, new_report(uses=serialize_usage(told)), 0.0)
+    near.record_summary(far.summary(), 100.0)
     view = FleetView(own_ip=IPS["brno-a"][2])
-    view.take(near.digest(near.summary(), POSITION, 200.0), 200.0)
-    assert view.uses(200.0) == FleetUse({"large": Use(24.0, 42)}, 6, 1_500.0)
-    assert view.uses(200.0 + VIEW_LIFE_MS) == FleetUse()
+    view.apply_digest(near.digest(near.summary(), POSITION, 200.0), 200.0)
+    assert view.usage(200.0) == FleetUse({"large": Use(24.0, 42)}, 6, 1_500.0)
+    assert view.usage(200.0 + MAX_VIEW_AGE_MS) == FleetUse()
 
 
 def test_hosts_that_tell_nothing_of_organisations_are_none_of_their_sum():
-    gatherer = zone_gatherer("brno-a")
+    gatherer = zone_aggregator("brno-a")
     gatherer.heard("10.0.0.1", new_report(), 0.0)
-    assert parse_uses(gatherer.summary().uses) == FleetUse()
+    assert parse_usage(gatherer.summary().uses) == FleetUse()
 
 
 def test_word_of_a_host_itself_is_newer_than_any_digest():
-    gatherer = zone_gatherer("brno-a")
+    gatherer = zone_aggregator("brno-a")
     gatherer.heard("10.0.0.1", new_report(requests=3, leaving=True), 0.0)
     view = FleetView(own_ip="10.0.0.9")
-    view.told("10.0.0.1", ServerLoad(in_flight=7, queued=0, limit=20), 100.0)
-    view.take(gatherer.digest(gatherer.summary(), POSITION, 100.0), 100.0)
+    view.record_load("10.0.0.1", ServerLoad(in_flight=7, queued=0, limit=20), 100.0)
+    view.apply_digest(gatherer.digest(gatherer.summary(), POSITION, 100.0), 100.0)
     assert view.load("10.0.0.1").in_flight == 7
-    view.take(gatherer.digest(gatherer.summary(), POSITION, 200.0), 200.0)
+    view.apply_digest(gatherer.digest(gatherer.summary(), POSITION, 200.0), 200.0)
     assert view.load("10.0.0.1").in_flight == 3
     assert view.load("10.0.0.1").leaving
 
@@ -111,34 +111,34 @@
     """A host loses power. Whoever goes on sending there lets each request wait for a
     link that doesn't come up.
     """
-    gatherer = zone_gatherer("brno-a")
+    gatherer = zone_aggregator("brno-a")
     view = FleetView(own_ip="10.0.0.9")
     gatherer.heard("10.0.0.1", new_report(), 0.0)
-    view.take(gatherer.digest(gatherer.summary(), POSITION, 0.0), 0.0)
-    lost_ms = life_ms(PAUSE_MS)
+    view.apply_digest(gatherer.digest(gatherer.summary(), POSITION, 0.0), 0.0)
+    lost_ms = eviction_timeout_ms(PAUSE_MS)
     gatherer.forget(lost_ms, PAUSE_MS)
-    view.take(gatherer.digest(gatherer.summary(), POSITION, lost_ms), lost_ms)
+    view.apply_digest(gatherer.digest(gatherer.summary(), POSITION, lost_ms), lost_ms)
     assert view.recent_load("10.0.0.1", lost_ms) is not None
-    assert view.recent_load("10.0.0.1", lost_ms + MISSING_LIFE_MS) is None
+    assert view.recent_load("10.0.0.1", lost_ms + MAX_UNLISTED_AGE_MS) is None
 
 
 def test_view_is_taken_from_one_gatherer_until_it_is_lost():
     view = FleetView(own_ip="10.0.0.9")
-    view.heard_gatherer("10.0.0.2", 0.0)
-    view.heard_gatherer("10.0.0.1", 0.0)
+    view.record_aggregator("10.0.0.2", 0.0)
+    view.record_aggregator("10.0.0.1", 0.0)
     assert view.source(1.0) == "10.0.0.1"
-    view.heard_gatherer("10.0.0.2", GATHERER_LIFE_MS)
-    assert view.source(GATHERER_LIFE_MS) == "10.0.0.2"
-    view.heard_gatherer("10.0.0.9", GATHERER_LIFE_MS)
-    assert view.source(GATHERER_LIFE_MS) == "10.0.0.9"
+    view.record_aggregator("10.0.0.2", AGGREGATOR_TIMEOUT_MS)
+    assert view.source(AGGREGATOR_TIMEOUT_MS) == "10.0.0.2"
+    view.record_aggregator("10.0.0.9", AGGREGATOR_TIMEOUT_MS)
+    assert view.source(AGGREGATOR_TIMEOUT_MS) == "10.0.0.9"
 
 
 def test_hosts_that_take_their_view_elsewhere_are_told_no_more_than_who_gathers():
-    gatherer = zone_gatherer("brno-a")
+    gatherer = zone_aggregator("brno-a")
     assert gatherer.relies("10.0.0.1")
     gatherer.heard("10.0.0.1", new_report(relies=False), 0.0)
     assert not gatherer.relies("10.0.0.1")
-    assert not bare_digest(POSITION).whole
+    assert not empty_digest(POSITION).whole
 
 
 def test_time_that_stood_still_makes_the_view_older():
@@ -146,11 +146,11 @@
     was told before would pass for fresh.
     """
     view = FleetView(own_ip="10.0.0.9")
-    view.told("10.0.0.1", ServerLoad(7, 0, 20), 0.0)
-    view.take(bare_digest(POSITION), 0.0)
-    view.stood_still(VIEW_LIFE_MS)
+    view.record_load("10.0.0.1", ServerLoad(7, 0, 20), 0.0)
+    view.apply_digest(empty_digest(POSITION), 0.0)
+    view.add_paused_time(MAX_VIEW_AGE_MS)
     assert view.recent_load("10.0.0.1", 1.0) is None
-    assert view.age_ms(1.0) > VIEW_LIFE_MS
+    assert view.age_ms(1.0) > MAX_VIEW_AGE_MS
 
 
 def test_rounds_of_large_zones_are_further_apart():
@@ -161,9 +161,9 @@
 def test_contact_that_does_not_gather_tells_who_does():
     contacts = ZoneContacts()
     zones = {"brno-b": ["10.1.0.0", "10.1.0.1", "10.1.0.2"]}
-    assert contacts.choose(zones, 0.0, 250.0) == ["10.1.0.0"]
-    contacts.answered("brno-b", "10.1.0.0", ["10.1.0.2"], 10.0)
-    assert contacts.choose(zones, 250.0, 250.0) == ["10.1.0.2"]
+    assert contacts.choose_contacts(zones, 0.0, 250.0) == ["10.1.0.0"]
+    contacts.record_reply("brno-b", "10.1.0.0", ["10.1.0.2"], 10.0)
+    assert contacts.choose_contacts(zones, 250.0, 250.0) == ["10.1.0.2"]
 
 
 def test_contact_that_is_lost_gives_way_to_the_next():
@@ -172,8 +172,11 @@
     """
     contacts = ZoneContacts()
     zones = {"brno-b": ["10.1.0.0", "10.1.0.1", "10.1.0.2"]}
-    step_ms = life_ms(250.0) + 1
-    asked = [contacts.choose(zones, number * step_ms, 250.0)[0] for number in range(4)]
+    step_ms = eviction_timeout_ms(250.0) + 1
+    asked = [
+        contacts.choose_contacts(zones, number * step_ms, 250.0)[0]
+        for number in range(4)
+    ]
     assert asked == ["10.1.0.0", "10.1.0.1", "10.1.0.2", "10.1.0.0"]
 
 
@@ -187,7 +190,7 @@
     def __init__(self):
         super().__init__()
         self.now_ms = 0.0
-        self.gatherers = {z: zone_gatherer(z) for z in ZONES}
+        self.gatherers = {z: zone_aggregator(z) for z in ZONES}
         self.told = {}
         self.passed_on = {}
 
@@ -200,7 +203,7 @@
     def report(self, zone, host, requests, times):
         ip = IPS[zone][host]
         for _ in range(times):
-            self.gatherers[zone].heard(ip, new_report(requests), self.now_ms)
+            self.gatherers[zone].record_report(ip, new_report(requests), self.now_ms)
         self.told[ip] = (self.now_ms, requests)
 
     @rule(zone=st.sampled_from(ZONES), times=st.integers(1, 3))
@@ -209,7 +212,7 @@
         self.gatherers[other].forget(self.now_ms, PAUSE_MS)
         summary = self.gatherers[other].summary()
         for _ in range(times):
-            self.gatherers[zone].heard_zone(summary, self.now_ms)
+            self.gatherers[zone].record_summary(summary, self.now_ms)
         self.passed_on[zone] = self.now_ms
 
     @rule(step_ms=st.integers(1, 600))
@@ -221,7 +224,7 @@
         for zone, gatherer in self.gatherers.items():
             gatherer.forget(self.now_ms, PAUSE_MS)
             view = FleetView(own_ip="10.9.9.9")
-            view.take(
+            view.apply_digest(
                 gatherer.digest(gatherer.summary(), POSITION, self.now_ms), self.now_ms
             )
             counts, tellers = view.totals(self.now_ms)
@@ -229,16 +232,21 @@
             own = self.young(IPS[zone], self.now_ms)
             assert tellers <= sum(len(ips) for ips in IPS.values())
             assert sum(own) <= total <= sum(own) + 3 * 50
-            if self.now_ms - self.passed_on.get(zone, -math.inf) >= self.life_ms:
+            if (
+                self.now_ms - self.passed_on.get(zone, -math.inf)
+                >= self.eviction_timeout_ms
+            ):
                 assert (total, tellers) == (sum(own), len(own))
 
     @property
-    def life_ms(self):
-        return life_ms(PAUSE_MS)
+    def eviction_timeout_ms(self):
+        return eviction_timeout_ms(PAUSE_MS)
 
     def young(self, ips, now_ms):
         told = [self.told[ip] for ip in ips if ip in self.told]
-        return [requests for at, requests in told if now_ms - at < self.life_ms]
+        return [
+            requests for at, requests in told if now_ms - at < self.eviction_timeout_ms
+        ]
 
 
 TestGathering = Gathering.TestCase
--- a/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_peers.py
@@ -29,7 +29,7 @@
 def peers(loads):
     view = FleetView(own_ip=OWN_IP)
     for number in (2, 3, 9):
-        view.told(f"10.0.0.{number}", ServerLoad(0, 0, 8), 0.0)
+        view.record_load(f"10.0.0.{number}", ServerLoad(0, 0, 8), 0.0)
     return ZonePeers(
         own_ip=OWN_IP,
         availability_zone="brno-a",
@@ -43,14 +43,14 @@
     loads["10.0.0.2"] = PeerLoad(following=True)
     loads["10.0.0.3"] = PeerLoad(following=True, leaving=True)
     loads["10.0.0.9"] = PeerLoad(following=True)
-    assert peers.following() == {"10.0.0.2": True, "10.0.0.4": False}
+    assert peers.following_by_peer() == {"10.0.0.2": True, "10.0.0.4": False}
 
 
 def test_host_that_was_told_of_and_is_out_of_reach_is_left_out(peers):
     """A watcher loses power. Whoever still counted it would leave the zone without
     news until its entry expires.
     """
-    assert peers.following() == {"10.0.0.4": False}
+    assert peers.following_by_peer() == {"10.0.0.4": False}
 
 
 def test_hosts_that_nobody_has_told_of_yet_count_as_peers(peers):
@@ -58,6 +58,6 @@
     each took itself for the only one, all of them would follow the platform.
     """
     peers._view = FleetView(own_ip=OWN_IP)
-    assert peers.following() == dict.fromkeys(
+    assert peers.following_by_peer() == dict.fromkeys(
         ["10.0.0.2", "10.0.0.3", "10.0.0.4"], False
     )
--- a/packages/sassafraswinch-sidecar/tests/test_zone_duty.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_role.py
@@ -2,19 +2,19 @@
 
 from hypothesis import given, strategies as st
 
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
+from sassafraswinch_sidecar.zone_role import ZoneRole
 
-WATCHERS, STEP_MS = 2, 50.0
+WATCHERS_PER_ZONE, STEP_MS = 2, 50.0
 IPS = [f"10.0.0.{number}" for number in range(1, 10)]
 
 
 def new_duty(own_ip):
-    return ZoneDuty(own_ip=own_ip, holders=WATCHERS, step_ms=STEP_MS)
+    return ZoneRole(own_ip=own_ip, active_sidecars=WATCHERS_PER_ZONE, step_ms=STEP_MS)
 
 
 def decided(own_ip, peers, now_ms=0.0):
     duty = new_duty(own_ip)
-    duty.decide(peers, now_ms)
+    duty.update_role(peers, now_ms)
     return duty
 
 
@@ -29,24 +29,26 @@
     following = dict.fromkeys(sees, False)
     for number in range(rounds):
         for ip, duty in duties.items():
-            duty.decide({peer: following[peer] for peer in sees[ip]}, number * STEP_MS)
-            following[ip] = duty.is_own
+            duty.update_role(
+                {peer: following[peer] for peer in sees[ip]}, number * STEP_MS
+            )
+            following[ip] = duty.is_active
     return {ip for ip, follows in following.items() if follows}
 
 
 def test_two_sidecars_of_a_zone_follow_and_the_others_stand_by():
     sees = {ip: set(IPS) - {ip} for ip in IPS}
-    assert settle(sees) == set(IPS[:WATCHERS])
+    assert settle(sees) == set(IPS[:WATCHERS_PER_ZONE])
     duty = decided(IPS[5], {ip: ip in IPS[:3] for ip in IPS if ip != IPS[5]})
-    assert not duty.is_own
+    assert not duty.is_active
 
 
 def test_sidecar_that_sees_nobody_follows_at_once():
     """A host is cut off from all others, but not from the platform."""
     duty = decided(IPS[8], dict.fromkeys(IPS[:8], True))
-    assert not duty.is_own
-    duty.decide({}, 1.0)
-    assert duty.is_own
+    assert not duty.is_active
+    duty.update_role({}, 1.0)
+    assert duty.is_active
     assert not duty.is_held
 
 
@@ -57,8 +59,8 @@
     took = {}
     for now_ms in range(0, 1_000, 10):
         for ip, duty in duties.items():
-            duty.decide({p: f for p, f in peers.items() if p != ip}, now_ms)
-            if duty.is_own:
+            duty.update_role({p: f for p, f in peers.items() if p != ip}, now_ms)
+            if duty.is_active:
                 took.setdefault(ip, now_ms)
                 peers[ip] = True
     assert set(took) == set(IPS[2:4])
@@ -67,9 +69,9 @@
 
 def test_all_try_while_the_platform_is_away_each_so_much_less_often():
     duty = decided(IPS[8], dict.fromkeys(IPS[:8], False))
-    duty.decide(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
-    assert duty.is_own
-    assert duty.spread == len(IPS) / WATCHERS
+    duty.update_role(dict.fromkeys(IPS[:8], False), 10 * STEP_MS)
+    assert duty.is_active
+    assert duty.spread == len(IPS) / WATCHERS_PER_ZONE
 
 
 @given(st.lists(st.sets(st.sampled_from(IPS)), min_size=len(IPS), max_size=len(IPS)))
@@ -78,4 +80,4 @@
     sees = {ip: view - {ip} for ip, view in zip(IPS, views, strict=True)}
     following = settle(sees)
     for ip in set(IPS) - following:
-        assert len(sees[ip] & following) >= WATCHERS
+        assert len(sees[ip] & following) >= WATCHERS_PER_ZONE
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -32,7 +32,7 @@
 EXCESS = 1.25
 """What may be let in within a window: as a multiple of the limit, and on top."""
 
-VIEW_LIFE_MS = 2_000.0
+MAX_VIEW_AGE_MS = 2_000.0
 COMES_BACK = 0.5
 """Part of refused callers that come back once."""
 
@@ -56,7 +56,7 @@
     way: Way
     up: bool = True
     told: FleetUse = field(default_factory=FleetUse)
-    told_ms: float = -VIEW_LIFE_MS
+    told_ms: float = -MAX_VIEW_AGE_MS
     reports: list[FleetUse] = field(default_factory=list)
 
 
@@ -198,7 +198,7 @@
     def told(self, number: int, now_ms: float) -> FleetUse:
         """Return what a host is told."""
         host = self.hosts[number]
-        return host.told if now_ms - host.told_ms < VIEW_LIFE_MS else FleetUse()
+        return host.told if now_ms - host.told_ms < MAX_VIEW_AGE_MS else FleetUse()
 
     def reached(self, number: int) -> list[Host]:
         """Return the hosts that one reaches."""
@@ -211,7 +211,7 @@
             host.way = self._way(fleet=self, number=host.number, now_ms=self.now_ms)
             host.reports = []
             host.told = FleetUse()
-            host.told_ms = -VIEW_LIFE_MS
+            host.told_ms = -MAX_VIEW_AGE_MS
 
     def tell(self) -> None:
         """Do one round of reports."""
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -11,7 +11,7 @@
 from sassafraswinch_platform import store as store_module
 from sassafraswinch_platform.store import UNREADABLE, WATCH_ANSWER_S, ReadOnlyStore
 from sassafraswinch_sidecar.platform_reader import (
-    WATCH_MS,
+    WATCH_TIMEOUT_MS,
     HistoryGoneError,
     PlatformUnavailableError,
 )
@@ -84,7 +84,7 @@
     }
     standin.answers["/v1/kv-range"] = lambda query: (200, pages[query.get("after")])
     delta = await store.read()
-    assert (delta.revision, delta.whole) == (Revision(0, 5), True)
+    assert (delta.revision, delta.is_full) == (Revision(0, 5), True)
     assert [entry.key for entry in delta.entries] == [
         "op/config",
         "servers/a",
@@ -112,7 +112,7 @@
         {"events": events, "at_rev": 8},
     )
     delta = await store.watch(Revision(0, 5), 1_000)
-    assert (delta.revision, delta.whole) == (Revision(0, 8), False)
+    assert (delta.revision, delta.is_full) == (Revision(0, 8), False)
     assert [(e.key, e.value) for e in delta.entries] == [
         ("servers/a", b"{}"),
         ("servers/b", None),
@@ -206,8 +206,8 @@
     standin.answers["/v1/kv-key"] = lambda query: (
         (200, item("servers/a", 3)) if query["key"] == "servers/a" else (404, {})
     )
-    assert await store.lists("a")
-    assert not await store.lists("b")
+    assert await store.has_instance("a")
+    assert not await store.has_instance("b")
 
 
 @pytest.mark.parametrize(
@@ -216,7 +216,7 @@
 async def test_refusal_of_the_store_is_an_answer(standin, store, status, answered):
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with pytest.raises(PlatformUnavailableError) as caught:
-        await store.lists("a")
+        await store.has_instance("a")
     assert caught.value.answered is answered
 
 
@@ -239,7 +239,7 @@
     standin.era = 2
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with contextlib.suppress(HistoryGoneError, PlatformUnavailableError):
-        await store.lists("a")
+        await store.has_instance("a")
     assert store.era == 2
 
 
@@ -248,7 +248,7 @@
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     for era in (2, 900, 2):
         standin.era = era
-        await store.lists("a")
+        await store.has_instance("a")
     assert store.era == 2
 
 
@@ -282,7 +282,7 @@
 
 def test_silent_watch_is_given_up_before_changes_are_due():
     """Guards against a zone that relies on a host whose watch nobody answers."""
-    assert WATCH_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= STABLE_WINDOW_S
+    assert WATCH_TIMEOUT_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= STABLE_WINDOW_S
 
 
 async def test_silent_connections_are_not_used_again(standin, store, monkeypatch):
@@ -290,7 +290,7 @@
     monkeypatch.setattr(store_module, "WATCH_ANSWER_S", 0.05)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
-    await asyncio.gather(store.lists("a"), store.lists("b"))
+    await asyncio.gather(store.has_instance("a"), store.has_instance("b"))
     silent = asyncio.Event()
     standin.before_answer = silent.wait
     with pytest.raises(PlatformUnavailableError):
