--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from sassafraswinch_node.logs import log_event
-from sassafraswinch_sidecar.http_client import HttpClient, Probe
+from sassafraswinch_sidecar.http_client import HttpClient, ProbeResult
 
 PROBE_S = 0.4
 """Pause between attempts to connect to a backend server that is down."""
@@ -131,7 +131,7 @@
                 task.cancel()
 
     async def _look(self) -> None:
-        refused = await self._client.probe(LOOK_S) is Probe.REFUSED
+        refused = await self._client.probe(LOOK_S) is ProbeResult.REFUSED
         self._looking = None
         if refused:
             self.ended = True
@@ -149,7 +149,7 @@
         self._probing = self._loop.create_task(self._probe())
 
     async def _probe(self) -> None:
-        while await self._client.probe() is not Probe.CONNECTED:
+        while await self._client.probe() is not ProbeResult.CONNECTED:
             await asyncio.sleep(PROBE_S)
         self.up = True
         self.ended = False
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/checked_structs.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/checked_structs.py
@@ -13,7 +13,7 @@
 
 from sassafraswinch.errors import InvalidFieldError, InvalidFieldsError
 
-WHOLE_TEXT = "(whole text)"
+WHOLE_TEXT_FIELD = "(whole text)"
 """Stands for the field where the text as a whole is wrong."""
 
 Checked = TypeVar("Checked", bound=msgspec.Struct)
@@ -36,8 +36,8 @@
     try:
         return msgspec.json.decode(text, type=kind)
     except (ValueError, RecursionError) as error:
-        found = list(_text_faults(kind, text)) or [(WHOLE_TEXT, str(error))]
-        raise struct_faults(source, found) from error
+        found = list(_text_faults(kind, text)) or [(WHOLE_TEXT_FIELD, str(error))]
+        raise invalid_fields_error(source, found) from error
 
 
 def convert_struct(kind: type[Checked], raw: Any, *, source: str) -> Checked:
@@ -52,14 +52,18 @@
         InvalidFieldsError: names the fields that are missing, wrong or unknown.
     """
     if not isinstance(raw, dict):
-        raise struct_faults(source, [(WHOLE_TEXT, "expected a mapping of fields")])
+        raise invalid_fields_error(
+            source, [(WHOLE_TEXT_FIELD, "expected a mapping of fields")]
+        )
     found = [*_field_faults(kind, raw), *_unknown_faults(kind, raw)]
     if found:
-        raise struct_faults(source, found)
+        raise invalid_fields_error(source, found)
     return msgspec.convert(raw, kind)
 
 
-def struct_faults(source: str, found: list[tuple[str, str]]) -> InvalidFieldsError:
+def invalid_fields_error(
+    source: str, found: list[tuple[str, str]]
+) -> InvalidFieldsError:
     """Return the error that names faults, each as its field and the reason."""
     errors = [
         InvalidFieldError(source=source, field=field, reason=reason)
@@ -103,4 +107,4 @@
     missing = _MISSING.match(found["reason"])
     if missing is not None:
         path += f".{missing['name']}"
-    return (field + path).strip(".") or WHOLE_TEXT, found["reason"]
+    return (field + path).strip(".") or WHOLE_TEXT_FIELD, found["reason"]
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/event_loop.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/event_loop.py
@@ -3,7 +3,7 @@
 import asyncio
 import os
 
-IO_URING_SWITCH = "UV_USE_IO_URING"
+IO_URING_VARIABLE = "UV_USE_IO_URING"
 """Environment variable by which libuv decides on io_uring, when a loop is made."""
 
 
@@ -17,7 +17,7 @@
     process that asks. It is switched off before libuv is loaded. Versions from 1.49 on
     no longer heed the switch, hence the upper bound of uvloop in the dependencies.
     """
-    os.environ[IO_URING_SWITCH] = "0"
+    os.environ[IO_URING_VARIABLE] = "0"
     import uvloop
 
     return uvloop.new_event_loop()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -267,7 +267,7 @@
         self._client.send(execution.exchange, fresh=not request.idempotent)
 
     def _exchange_done(self, exchange: Exchange, end: HttpResponse | Fault) -> None:
-        execution = exchange.item
+        execution = exchange.context
         if isinstance(end, HttpResponse):
             self._watch.alive()
             self._ends.answered()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -141,13 +141,13 @@
         """Let those that gather, if all is well, hear that this host is up."""
         self._news.set()
         for ip in self._fleet.hosts_of(self._zone)[:AGGREGATORS_PER_ZONE]:
-            self._links.greet(ip)
+            self._links.dial_once(ip)
 
     def dialled_message(self, ip: str, message: Message) -> None:
         """Take an answer from a sidecar that this one asked."""
         now_ms = self._now_ms()
         link = self._links.peers[ip].link
-        link.replied()
+        link.record_reply()
         self._data.request_if_behind(parse_position(message), link)
         if isinstance(message, HostReport):
             if self._gatherer.heard(ip, message, now_ms):
@@ -207,7 +207,7 @@
         self._gathers = gathers
         log_event("gathering", level="warning", gathers=gathers, zone=self._zone)
         if not gathers:
-            self._links.keep(())
+            self._links.maintain(())
             self._view.remove_aggregator(self._own_ip)
 
     def _members(self) -> set[str]:
@@ -226,7 +226,7 @@
         zones = self._fleet.zones()
         others = {zone: ips for zone, ips in zones.items() if zone != self._zone}
         contacts = self._contacts.choose_contacts(others, now_ms, round_ms)
-        self._links.keep(itertools.chain(members, contacts))
+        self._links.maintain(itertools.chain(members, contacts))
         self._gatherer.forget(now_ms, round_ms)
         self._gatherer.heard(self._own_ip, self._reports.report(relies=True), now_ms)
         self._summary = self._gatherer.summary()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/planned_stop.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/graceful_shutdown.py
@@ -3,21 +3,21 @@
 import asyncio
 from collections.abc import Callable
 
-SERVE_ON_SHARE = 0.55
+SERVING_SHARE = 0.55
 """Part of the time to stop in which new requests are still served. The platform sends
 callers elsewhere after two missed questions, a second apart."""
 
 STOP_SHARE = 0.85
 """Part of that time after which the process ends, whatever is in flight."""
 
-QUIET_MS = 300.0
+QUIET_PERIOD_MS = 300.0
 """Time without any request after which a stopping process ends early."""
 
 LOOK_S = 0.05
 """Pause between looks at what is in flight."""
 
 
-async def finish_requests(
+async def drain_requests(
     *,
     drain_ms: float,
     in_flight: Callable[[], int],
@@ -36,12 +36,12 @@
         await asyncio.sleep(LOOK_S)
         now_ms = loop.time() * 1000
         spent_ms = now_ms - began_ms
-        served_on = spent_ms > drain_ms * SERVE_ON_SHARE
+        served_on = spent_ms > drain_ms * SERVING_SHARE
         if served_on:
             refuse_new()
         if in_flight():
             quiet_since_ms = now_ms
-        if served_on and now_ms - quiet_since_ms > QUIET_MS:
+        if served_on and now_ms - quiet_since_ms > QUIET_PERIOD_MS:
             return
         if spent_ms > drain_ms * STOP_SHARE:
             return
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
@@ -21,7 +21,7 @@
 """Idle time after which a connection isn't used again where its server states no
 timeout: shorter than the five seconds that servers commonly have."""
 
-IDLE_MARGIN_MS = 1_500.0
+KEEP_ALIVE_MARGIN_MS = 1_500.0
 """Time before the stated timeout at which a connection isn't used again."""
 
 
@@ -40,14 +40,14 @@
     RESET = "reset"
     """The connection ended before the response was whole."""
 
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
     """What came isn't a response to this request."""
 
     TOO_LONG = "too-long"
     """The response has a longer body than this process may hold."""
 
 
-class Probe(enum.Enum):
+class ProbeResult(enum.Enum):
     """What a try to connect finds."""
 
     CONNECTED = "connected"
@@ -55,7 +55,7 @@
     REFUSED = "refused"
     """Nobody listens: the server's process has ended."""
 
-    SILENT = "silent"
+    NO_RESPONSE = "silent"
     """No answer, which doesn't tell a dead server from a slow or cut off one."""
 
 
@@ -75,17 +75,17 @@
     Attributes:
         payload: the request as it is written.
         method: its method.
-        expects: tells whether a response belongs to the request; servers may send
+        matches_response: tells whether a response belongs to the request; servers may send
             second answers of earlier ones.
-        done: called once with the response or the fault.
-        item: what the sender knows the request by.
+        on_done: called once with the response or the fault.
+        context: what the sender knows the request by.
     """
 
     payload: bytes
     method: bytes
-    expects: Callable[[HttpResponse], bool]
-    done: Callable[["Exchange", HttpResponse | Fault], None]
-    item: object = None
+    matches_response: Callable[[HttpResponse], bool]
+    on_done: Callable[["Exchange", HttpResponse | Fault], None]
+    context: object = None
     connection: "ServerConnection | None" = None
     cancelled: bool = False
 
@@ -109,7 +109,7 @@
         self._foreign = False
         self.usable = True
         self.idle_since_ms = 0.0
-        self.rested_ms = 0.0
+        self.idle_before_use_ms = 0.0
         self.idle_limit_ms = IDLE_MS
         self._new_message()
 
@@ -152,7 +152,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._fail(Fault.GARBLED)
+            self._fail(Fault.MALFORMED)
         else:
             if self._complete is not None:
                 self._finish(self._complete)
@@ -211,7 +211,7 @@
         if response.status < 200:
             self._fields, self._body = [], []
             return
-        if self._exchange is not None and not self._exchange.expects(response):
+        if self._exchange is not None and not self._exchange.matches_response(response):
             # A second answer of an earlier request: this one's answer is behind it.
             self._foreign = True
             self._fields, self._body = [], []
@@ -236,17 +236,17 @@
         if not self.usable and self._transport is not None:
             self._transport.abort()
         self._released(self)
-        if exchange.expects(response):
-            exchange.done(exchange, response)
+        if exchange.matches_response(response):
+            exchange.on_done(exchange, response)
         else:
-            exchange.done(exchange, Fault.GARBLED)
+            exchange.on_done(exchange, Fault.MALFORMED)
 
     def _fail(self, fault: Fault) -> None:
         exchange, self._exchange = self._exchange, None
         self.abort()
         self._released(self)
         if exchange is not None:
-            exchange.done(exchange, fault)
+            exchange.on_done(exchange, fault)
 
     def _read_idle_limit(self, response: HttpResponse) -> None:
         for lowered, _, value in response.fields:
@@ -255,7 +255,7 @@
             for part in value.split(b","):
                 key, _, seconds = part.strip().partition(b"=")
                 if key.lower() == b"timeout" and seconds.isdigit():
-                    limit_ms = int(seconds) * 1000 - IDLE_MARGIN_MS
+                    limit_ms = int(seconds) * 1000 - KEEP_ALIVE_MARGIN_MS
                     self.idle_limit_ms = max(limit_ms, 0.0)
 
 
@@ -309,7 +309,7 @@
         if exchange.connection is not None:
             exchange.connection.abort()
 
-    async def probe(self, timeout_s: float = CONNECT_TIMEOUT_S) -> Probe:
+    async def probe(self, timeout_s: float = CONNECT_TIMEOUT_S) -> ProbeResult:
         """Try to connect; the connection is kept.
 
         Args:
@@ -318,12 +318,12 @@
         try:
             connection = await self._connection_within(timeout_s)
         except ConnectionRefusedError:
-            return Probe.REFUSED
+            return ProbeResult.REFUSED
         except (OSError, TimeoutError):
-            return Probe.SILENT
+            return ProbeResult.NO_RESPONSE
         connection.idle_since_ms = self._loop.time() * 1000
         self._release(connection)
-        return Probe.CONNECTED
+        return ProbeResult.CONNECTED
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -344,7 +344,7 @@
                 idle.append(connection)
                 return None
             else:
-                connection.rested_ms = idle_ms
+                connection.idle_before_use_ms = idle_ms
                 return connection
         return None
 
@@ -355,7 +355,7 @@
                 connection.idle_since_ms = self._loop.time() * 1000
                 self._release(connection)
         elif connection is None or not connection.usable:
-            exchange.done(exchange, Fault.UNREACHABLE)
+            exchange.on_done(exchange, Fault.UNREACHABLE)
         else:
             connection.send(exchange)
 
@@ -381,7 +381,7 @@
 
     def _lost_unanswered(self, connection: ServerConnection) -> None:
         now_ms = self._loop.time() * 1000
-        self._idle_limit.lost(connection.rested_ms, now_ms)
+        self._idle_limit.lost(connection.idle_before_use_ms, now_ms)
 
     def _release(self, connection: ServerConnection) -> None:
         if connection.usable:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_server.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_server.py
@@ -12,7 +12,7 @@
 from sassafraswinch_sidecar.http_fields import Fields, has_body, status_line
 from sassafraswinch_sidecar.routes import RequestLimits
 
-SWEEP_S = 0.5
+TIMEOUT_CHECK_INTERVAL_S = 0.5
 """Pause between checks of the connections' timeouts, which are seconds long."""
 
 WRITE_TIMEOUT_MS = 20_000.0
@@ -20,11 +20,11 @@
 held for it counts toward this process's memory."""
 
 NO_MEMORY_STATUS = 503
-NO_MEMORY_FIELD = b"Retry-After: 1\r\n"
+NO_MEMORY_RETRY_FIELD = b"Retry-After: 1\r\n"
 """Time after which callers whose bodies there is no room for are told to come back:
 what is held is read within seconds, or its connection is closed."""
 
-MAX_PIPELINED = 8
+MAX_PIPELINED_REQUESTS = 8
 """Requests read ahead on one connection; then it isn't read until one is answered."""
 
 
@@ -47,7 +47,7 @@
     def handle(self, request: HttpRequest, connection: "CallerConnection") -> None:
         """Take a request; ``connection.respond`` gives its only answer."""
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """The caller closed its connection before the answer."""
 
 
@@ -105,7 +105,7 @@
         self._note_unread(0)
         current, self._current = self._current, None
         if current is not None:
-            self._handler.gone(current)
+            self._handler.caller_disconnected(current)
 
     def data_received(self, data: bytes) -> None:
         """Parse what was read (asyncio.Protocol)."""
@@ -185,7 +185,10 @@
         )
         self._reset_message()
         self._ready.append(request)
-        if len(self._ready) > MAX_PIPELINED and not self._transport.is_closing():
+        if (
+            len(self._ready) > MAX_PIPELINED_REQUESTS
+            and not self._transport.is_closing()
+        ):
             self._transport.pause_reading()
 
     def respond(
@@ -225,7 +228,7 @@
         elif self._ready:
             self._loop.call_soon(self._next)
 
-    def sweep(self, now_ms: float) -> None:
+    def check_timeouts(self, now_ms: float) -> None:
         """Close the connection where the caller has let a timeout pass."""
         limits = self._limits()
         if self._write_blocked_ms is not None:
@@ -247,7 +250,10 @@
     def _next(self) -> None:
         if self._current is not None or self._ended or not self._ready:
             return
-        if len(self._ready) > MAX_PIPELINED and not self._transport.is_closing():
+        if (
+            len(self._ready) > MAX_PIPELINED_REQUESTS
+            and not self._transport.is_closing()
+        ):
             self._transport.resume_reading()
         self._current = self._ready.popleft()
         self._handler.handle(self._current, self)
@@ -271,7 +277,7 @@
         if self._ended:
             return
         if self._current is None and not self._ready:
-            fields = NO_MEMORY_FIELD if status == NO_MEMORY_STATUS else b""
+            fields = NO_MEMORY_RETRY_FIELD if status == NO_MEMORY_STATUS else b""
             self._write(
                 status_line(status)
                 + fields
@@ -370,7 +376,7 @@
     async def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(TIMEOUT_CHECK_INTERVAL_S)
             now_ms = loop.time() * 1000
             for connection in list(self.connections):
-                connection.sweep(now_ms)
+                connection.check_timeouts(now_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/line_output.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/line_output.py
@@ -3,10 +3,10 @@
 import asyncio
 import os
 
-FLUSH_S = 0.1
+FLUSH_DELAY_S = 0.1
 """Pause between writes: a system call for each line would cost more than the line."""
 
-MAX_HELD_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Text held while nobody reads; what exceeds it is dropped and counted."""
 
 
@@ -28,7 +28,7 @@
     def write(self, text: str) -> int:
         """Take a line."""
         line = text.encode()
-        if self._held_bytes + len(line) > MAX_HELD_BYTES:
+        if self._held_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped_lines += 1
         else:
             self._held.append(line)
@@ -41,7 +41,7 @@
             self._write_out()
         elif self._planned is None:
             loop = asyncio.get_running_loop()
-            self._planned = loop.call_later(FLUSH_S, self._write_out)
+            self._planned = loop.call_later(FLUSH_DELAY_S, self._write_out)
 
     def close(self) -> None:
         """Write what is held, as far as it can be written; for the end of the process.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
@@ -59,7 +59,7 @@
             body="".join(f"{line}\n" for line in lines).encode(),
         )
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """Nothing is under way (RequestHandler)."""
 
     def _line(self, organisation: Organisation, version: int) -> str:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pages.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pages.py
@@ -30,7 +30,7 @@
             status = 200 if self._is_ready() else 503
         connection.respond(request, status=status, header_lines=b"")
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """Nothing is under way (RequestHandler)."""
 
 
@@ -67,5 +67,5 @@
             body=self._metrics.render(),
         )
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """Nothing is under way (RequestHandler)."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
@@ -16,11 +16,11 @@
 
 PROTOCOL_VERSION = 2
 
-SUSPECT_MS = 450.0
+UNRESPONSIVE_AFTER_MS = 450.0
 """Silence after an unanswered heartbeat from which a peer gets no new requests: well
 above the delay of a busy event loop, and below what callers wait for."""
 
-DEAD_MS = 1_000.0
+LINK_TIMEOUT_MS = 1_000.0
 """Silence after which the link is given up and dialled anew. Connections may go
 silent for good, without a reset, while new ones work."""
 
@@ -64,40 +64,40 @@
     """Frames of one connection.
 
     Args:
-        greeting: what this side says first.
-        greeted: called once the peer has said hello.
-        receive: called with each further message.
-        lost: called once when the connection is gone.
+        own_hello: what this side says first.
+        on_handshake: called once the peer has said hello.
+        on_message: called with each further message.
+        on_lost: called once when the connection is gone.
         batch: puts off writes, together with those of other links.
 
     Attributes:
         peer_ip: address that the peer names in its greeting; empty until then.
         availability_zone: where the peer says it is.
-        heard_since_check: whether anything was read since its owner looked last.
+        received_since_check: whether anything was read since its owner looked last.
         takes_suspects: whether the peer understands news of suspects.
-        suspects_told: number of the last change of suspects that the peer was told.
+        suspects_sent_up_to: number of the last change of suspects that the peer was told.
     """
 
     def __init__(
         self,
         *,
-        greeting: Hello,
-        greeted: Callable[["PeerLink"], None],
-        receive: Callable[["PeerLink", Message], None],
-        lost: Callable[["PeerLink"], None],
+        own_hello: Hello,
+        on_handshake: Callable[["PeerLink"], None],
+        on_message: Callable[["PeerLink", Message], None],
+        on_lost: Callable[["PeerLink"], None],
         batch: WriteBatch,
     ):
         self.peer_ip = ""
         self.availability_zone = ""
         self.incarnation = 0
         self.fault = ""
-        self.heard_since_check = False
+        self.received_since_check = False
         self.takes_suspects = False
-        self.suspects_told = 0
-        self._greeting = greeting
-        self._greeted = greeted
-        self._receive = receive
-        self._lost = lost
+        self.suspects_sent_up_to = 0
+        self._greeting = own_hello
+        self._greeted = on_handshake
+        self._receive = on_message
+        self._lost = on_lost
         self._batch = batch
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -150,11 +150,11 @@
             return 0.0
         return self._now_ms() - self._owed_since_ms
 
-    def quiet_ms(self) -> float:
+    def receive_idle_ms(self) -> float:
         """Return how long nothing has come from the peer."""
         return self._now_ms() - self._heard_ms
 
-    def replied(self) -> None:
+    def record_reply(self) -> None:
         """Note the reply to a heartbeat: the peer reads what is sent."""
         self._owed_since_ms = None
 
@@ -178,14 +178,14 @@
         with contextlib.suppress(OSError):
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             raw.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(DEAD_MS * 2)
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(LINK_TIMEOUT_MS * 2)
             )
         self.send(self._greeting)
 
     def data_received(self, data: bytes) -> None:
         """Decode and hand over whole messages (asyncio.Protocol)."""
         self._splitter.feed(data)
-        self.heard_since_check = True
+        self.received_since_check = True
         self._heard_ms = self._now_ms()
         try:
             with self._batch:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
@@ -9,7 +9,7 @@
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.peer import Peer
 from sassafraswinch_sidecar.peer_link import (
-    DEAD_MS,
+    LINK_TIMEOUT_MS,
     PROTOCOL_VERSION,
     PeerLink,
     WriteBatch,
@@ -24,7 +24,7 @@
 )
 from sassafraswinch_sidecar.relay_wire import Message
 
-CHECK_S = 0.25
+LINK_CHECK_INTERVAL_S = 0.25
 """Pause between checks of the links. One with requests under way from which nothing
 came since the last check gets a heartbeat."""
 
@@ -32,7 +32,7 @@
 """Longest wait of a request for its link. Dialling, or asking for a sign of life, takes
 milliseconds, and tens of them at a host that starts; another host serves it sooner."""
 
-AVOID_MS = 1_000.0
+UNREACHABLE_BACKOFF_MS = 1_000.0
 """Time in which nothing is sent to a host whose link didn't come up: its server's
 entry, and what gatherers tell, follow within seconds."""
 
@@ -40,26 +40,26 @@
 """Time for a connection: ways take milliseconds, and a host that is cut off never
 answers."""
 
-REDIAL_S = 0.3
+REDIAL_DELAY_S = 0.3
 """Pause before a kept link is dialled again: restarted processes are back soon."""
 
-STALL_MS = 300.0
+SUSPENSION_THRESHOLD_MS = 300.0
 """Delay of the checks from which this process itself stood still."""
 
 
 class LinkListener(Protocol):
     """What the owner of the links is told."""
 
-    def greeted(self, link: PeerLink) -> None:
+    def link_opened(self, link: PeerLink) -> None:
         """A link is up, whichever side dialled it."""
 
     def link_lost(self, ip: str) -> None:
         """A dialled link is gone; what was written may still arrive."""
 
-    def unsent(self, requests: Collection[RelayRequest]) -> None:
+    def requests_unsent(self, requests: Collection[RelayRequest]) -> None:
         """Requests that waited for a link weren't written, and never will be."""
 
-    def is_wanted(self, call_id: int) -> bool:
+    def is_pending(self, call_id: int) -> bool:
         """Return whether a request that waited for its link still has to go."""
 
     def dialled_message(self, ip: str, message: Message) -> None:
@@ -68,7 +68,7 @@
     def accepted_message(self, link: PeerLink, message: Message) -> None:
         """A peer asked something on the link that it dialled."""
 
-    def accepted_lost(self, link: PeerLink) -> None:
+    def accepted_link_lost(self, link: PeerLink) -> None:
         """A link that a peer dialled is gone."""
 
 
@@ -140,7 +140,7 @@
         if self._server is not None:
             self._server.close()
         for peer in self.peers.values():
-            peer.take_waiting(self._now_ms())
+            peer.pop_waiting(self._now_ms())
             if peer.dialling is not None:
                 peer.dialling.cancel()
             if peer.link is not None:
@@ -148,18 +148,18 @@
         for link in list(self.accepted):
             link.close()
 
-    def keep(self, ips: Iterable[str]) -> None:
+    def maintain(self, ips: Iterable[str]) -> None:
         """Keep links to these hosts; those to others stay until they are lost."""
         wanted = set(ips) - {self._own_ip}
         for ip, peer in self.peers.items():
-            peer.kept = ip in wanted
+            peer.persistent = ip in wanted
         for ip in wanted:
             peer = self._peer(ip)
-            peer.kept = True
+            peer.persistent = True
             if peer.link is None:
                 self._dial(ip, 0.0)
 
-    def greet(self, ip: str) -> None:
+    def dial_once(self, ip: str) -> None:
         """Dial a host once, so that it hears of this one."""
         if ip != self._own_ip and self._peer(ip).link is None:
             self._dial(ip, 0.0)
@@ -167,9 +167,9 @@
     def can_reach(self, ip: str) -> bool:
         """Return whether a request may be sent to a host, as far as its link tells."""
         peer = self.peers.get(ip)
-        return peer is None or peer.can_be_sent_to(self._now_ms())
+        return peer is None or peer.accepts_requests(self._now_ms())
 
-    def request(self, ip: str, request: RelayRequest) -> bool:
+    def send_request(self, ip: str, request: RelayRequest) -> bool:
         """Send a request, or let it wait for its link.
 
         Returns:
@@ -242,24 +242,24 @@
     def _waited(self, peer: Peer) -> None:
         """End the wait for a link that didn't come up in time."""
         peer.timer = None
-        peer.avoided_until_ms = self._now_ms() + AVOID_MS
+        peer.backoff_until_ms = self._now_ms() + UNREACHABLE_BACKOFF_MS
         self._return_waiting(peer)
 
     def _flush(self, peer: Peer) -> None:
         """Write the requests that waited for the link."""
         wanted = (
             request
-            for request in peer.take_waiting(self._now_ms())
-            if self._listener.is_wanted(request.call_id)
+            for request in peer.pop_waiting(self._now_ms())
+            if self._listener.is_pending(request.call_id)
         )
         unsent = [request for request in wanted if not self._write(peer, request)]
         if unsent:
-            self._listener.unsent(unsent)
+            self._listener.requests_unsent(unsent)
 
     def _return_waiting(self, peer: Peer) -> None:
-        waiting = peer.take_waiting(self._now_ms())
+        waiting = peer.pop_waiting(self._now_ms())
         if waiting:
-            self._listener.unsent(waiting)
+            self._listener.requests_unsent(waiting)
 
     def _new_link(
         self,
@@ -268,10 +268,10 @@
     ) -> PeerLink:
         dialled = greeted == self._dialled_greeted
         return PeerLink(
-            greeting=self._greeting,
-            greeted=greeted,
-            receive=self._dialled_message if dialled else self._accepted_message,
-            lost=lost,
+            own_hello=self._greeting,
+            on_handshake=greeted,
+            on_message=self._dialled_message if dialled else self._accepted_message,
+            on_lost=lost,
             batch=self._batch,
         )
 
@@ -284,10 +284,10 @@
     async def _keep_dialling(self, ip: str, peer: Peer, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
         while not await self._dial_once(ip, peer):
-            if not peer.kept:
-                peer.avoided_until_ms = self._now_ms() + AVOID_MS
+            if not peer.persistent:
+                peer.backoff_until_ms = self._now_ms() + UNREACHABLE_BACKOFF_MS
                 break
-            await asyncio.sleep(REDIAL_S)
+            await asyncio.sleep(REDIAL_DELAY_S)
         peer.dialling = None
         if peer.link is None:
             self._return_waiting(peer)
@@ -295,7 +295,7 @@
     async def _dial_once(self, ip: str, peer: Peer) -> bool:
         loop = asyncio.get_running_loop()
         peer.connected = False
-        peer.greeted.clear()
+        peer.handshake_done.clear()
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await loop.create_connection(
@@ -309,7 +309,7 @@
         # The peer's greeting completes the link; without one it is dropped.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(DIAL_TIMEOUT_S):
-                await peer.greeted.wait()
+                await peer.handshake_done.wait()
         return peer.link is not None
 
     def _dialled_greeted(self, link: PeerLink) -> None:
@@ -318,13 +318,13 @@
         if old is not None:
             old.abort("replaced")
         peer.outstanding = 0
-        peer.avoided_until_ms = 0.0
+        peer.backoff_until_ms = 0.0
         # The task that dials ends by itself. Failure: the greeting is read before the
         # dialling has returned; cancelled then, it closes the connection, and the link
         # stays as one that looks open.
-        peer.greeted.set()
+        peer.handshake_done.set()
         log_event("link_up", peer=link.peer_ip, incarnation=link.incarnation)
-        self._listener.greeted(link)
+        self._listener.link_opened(link)
         self._flush(peer)
 
     def _dialled_lost(self, link: PeerLink) -> None:
@@ -335,8 +335,8 @@
         peer.outstanding = 0
         log_event("link_lost", peer=link.peer_ip, reason=link.fault)
         self._listener.link_lost(link.peer_ip)
-        if peer.kept:
-            self._dial(link.peer_ip, REDIAL_S)
+        if peer.persistent:
+            self._dial(link.peer_ip, REDIAL_DELAY_S)
         elif peer.waiting:
             self._dial(link.peer_ip, 0.0)
 
@@ -347,14 +347,14 @@
         if isinstance(message, RelayResponse):
             peer.outstanding = max(0, peer.outstanding - 1)
         elif isinstance(message, HeartbeatReply) and message.sequence:
-            link.replied()
+            link.record_reply()
         self._listener.dialled_message(link.peer_ip, message)
         if peer.waiting and peer.is_live:
             self._flush(peer)
 
     def _accepted_greeted(self, link: PeerLink) -> None:
         self.accepted.add(link)
-        self._listener.greeted(link)
+        self._listener.link_opened(link)
         peer = self.peers.get(link.peer_ip)
         if peer is not None:
             self._heed_greeting(peer, link)
@@ -367,14 +367,14 @@
         it waits a second for links that would be up at once; meanwhile requests find
         no server, and half of the credit of the first two seconds was lost.
         """
-        peer.avoided_until_ms = 0.0
+        peer.backoff_until_ms = 0.0
         former = peer.link
         if former is not None and former.incarnation != greeted.incarnation:
             former.abort("restarted")
             self._dialled_lost(former)
         if peer.link is not None or peer.connected:
             return
-        if not peer.kept and peer.dialling is None:
+        if not peer.persistent and peer.dialling is None:
             return
         if peer.dialling is not None:
             peer.dialling.cancel()
@@ -386,13 +386,13 @@
 
     def _accepted_lost(self, link: PeerLink) -> None:
         self.accepted.discard(link)
-        self._listener.accepted_lost(link)
+        self._listener.accepted_link_lost(link)
 
     async def _check_forever(self) -> None:
         while True:
-            due_ms = self._now_ms() + CHECK_S * 1000
-            await asyncio.sleep(CHECK_S)
-            stalled = self._now_ms() - due_ms > STALL_MS
+            due_ms = self._now_ms() + LINK_CHECK_INTERVAL_S * 1000
+            await asyncio.sleep(LINK_CHECK_INTERVAL_S)
+            stalled = self._now_ms() - due_ms > SUSPENSION_THRESHOLD_MS
             for peer in list(self.peers.values()):
                 if peer.link is not None:
                     self._check(peer, peer.link, stalled)
@@ -400,11 +400,11 @@
     def _check(self, peer: Peer, link: PeerLink, stalled: bool) -> None:
         if stalled:
             link.forgive_silence()
-        if link.silent_ms() > DEAD_MS:
+        if link.silent_ms() > LINK_TIMEOUT_MS:
             link.abort("silent")
             return
-        quiet = not link.heard_since_check and peer.outstanding > 0
-        link.heard_since_check = False
+        quiet = not link.received_since_check and peer.outstanding > 0
+        link.received_since_check = False
         if quiet:
             self._ask(link)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
@@ -51,7 +51,7 @@
         now_ms = self._now_ms()
         peer = self._links.peers.get(ip)
         if peer is not None:
-            if not peer.can_be_sent_to(now_ms):
+            if not peer.accepts_requests(now_ms):
                 return None
             if peer.is_live:
                 return self._view.load(ip)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -138,7 +138,7 @@
         """Take no requests any more; those under way go on."""
         self._closed = True
 
-    def gone(self, http: HttpRequest) -> None:
+    def caller_disconnected(self, http: HttpRequest) -> None:
         """The caller has left: stop what is idempotent (RequestHandler)."""
         relay = self._by_http.get(http)
         if relay is None:
@@ -313,7 +313,7 @@
             self._own_load.sent_since += 1
             self._executor.submit(request, self._own_response, self)
             return
-        if not self._links.request(instance.ip, request):
+        if not self._links.send_request(instance.ip, request):
             del self.relays[relay.call_id]
             self._place(relay)
             return
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -10,12 +10,17 @@
 from sassafraswinch.crash_suspects import CrashSuspects
 from sassafraswinch.organisation_rates import OrganisationRates, RateRule, Use
 from sassafraswinch_node.logs import log_event
+from sassafraswinch_sidecar.configuration_events import (
+    log_platform_faults,
+    log_settings_changes,
+)
 from sassafraswinch_sidecar.dialect import HeaderNames
 from sassafraswinch_sidecar.entry_admission import NO_CAPACITY, EntryAdmission
 from sassafraswinch_sidecar.executor import Executor
 from sassafraswinch_sidecar.fleet import Decoder, Fleet
 from sassafraswinch_sidecar.fleet_exchange import ExchangeMessage, FleetExchange
 from sassafraswinch_sidecar.fleet_view import FleetView
+from sassafraswinch_sidecar.graceful_shutdown import drain_requests
 from sassafraswinch_sidecar.held_bytes import HeldBytes, most_held_bytes
 from sassafraswinch_sidecar.host_reports import HostReports
 from sassafraswinch_sidecar.http_client import HttpClient
@@ -27,7 +32,6 @@
 from sassafraswinch_sidecar.peer_link import PeerLink
 from sassafraswinch_sidecar.peer_links import PeerLinks
 from sassafraswinch_sidecar.placement import Placement, capacities_of
-from sassafraswinch_sidecar.planned_stop import finish_requests
 from sassafraswinch_sidecar.platform_data import PlatformData
 from sassafraswinch_sidecar.platform_reader import (
     WATCHER_TAKEOVER_STEP_MS,
@@ -53,10 +57,6 @@
 from sassafraswinch_sidecar.repeat_budget import RepeatBudget
 from sassafraswinch_sidecar.request_log import RequestLog
 from sassafraswinch_sidecar.routes import RequestLimits
-from sassafraswinch_sidecar.sidecar_faults import (
-    log_platform_faults,
-    log_settings_changes,
-)
 from sassafraswinch_sidecar.sidecar_settings import SidecarSettings
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
 from sassafraswinch_sidecar.suspect_requests import SuspectRequests
@@ -68,7 +68,7 @@
 """Pause between the periodic decisions. Time limits of requests are looked at with it:
 a timer for each request costs a twentieth of its processor time."""
 
-NO_VIEW_MS = 1e9
+UNKNOWN_VIEW_AGE_MS = 1e9
 """Age that the metrics show while nobody has told anything of the fleet."""
 
 DEFAULT_LIMITS = RequestLimits()
@@ -307,7 +307,7 @@
         log_event("task_failed", level="error", error=repr(task.exception()))
         self._stopping.set()
 
-    def greeted(self, link: PeerLink) -> None:
+    def link_opened(self, link: PeerLink) -> None:
         """Tell a new peer which requests ended servers (LinkListener)."""
         self._suspect_exchange.greet(link)
 
@@ -315,11 +315,11 @@
         """Decide anew on the calls of a lost link (LinkListener)."""
         self._owner.link_lost(ip)
 
-    def unsent(self, requests: Collection[RelayRequest]) -> None:
+    def requests_unsent(self, requests: Collection[RelayRequest]) -> None:
         """Place requests anew that were never written (LinkListener)."""
         self._owner.unsent(requests)
 
-    def is_wanted(self, call_id: int) -> bool:
+    def is_pending(self, call_id: int) -> bool:
         """Return whether a request that waits still has to go (LinkListener)."""
         return call_id in self._owner.relays
 
@@ -355,7 +355,7 @@
         else:
             self._data.handle_message(link, message)
 
-    def accepted_lost(self, link: PeerLink) -> None:
+    def accepted_link_lost(self, link: PeerLink) -> None:
         """Cancel what the peer can't be told the end of (LinkListener)."""
         self._executor.owner_lost(link)
 
@@ -453,7 +453,7 @@
         self._executor.leave()
         self._tell_all()
         self._outbound.drain()
-        await finish_requests(
+        await drain_requests(
             drain_ms=self._settings.drain_s * 1000,
             in_flight=self._in_flight,
             refuse_new=self._owner.close,
@@ -488,7 +488,7 @@
             "held_bytes": self._held.total_bytes,
             "owned_requests": self._owner.in_flight,
             "gathers": self._exchange.is_aggregating,
-            "view_age_ms": min(self._view.age_ms(self._now_ms()), NO_VIEW_MS),
+            "view_age_ms": min(self._view.age_ms(self._now_ms()), UNKNOWN_VIEW_AGE_MS),
             **self._suspect_exchange.gauges(),
             "linked_peers": sum(1 for _ in self._links.linked()),
             "route_table_version": table.version if table else 0,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_settings.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_settings.py
@@ -8,9 +8,9 @@
 
 from sassafraswinch_node.addresses import Address, parse_address
 from sassafraswinch_sidecar.checked_structs import (
-    WHOLE_TEXT,
+    WHOLE_TEXT_FIELD,
     convert_struct,
-    struct_faults,
+    invalid_fields_error,
 )
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -85,7 +85,7 @@
     settings = convert_struct(SidecarSettings, _parse_yaml(text, source), source=source)
     faults = list(_address_faults(settings))
     if faults:
-        raise struct_faults(source, faults)
+        raise invalid_fields_error(source, faults)
     return settings
 
 
@@ -101,7 +101,9 @@
     try:
         return yaml.safe_load(text)
     except (yaml.YAMLError, RecursionError) as error:
-        raise struct_faults(source, [(WHOLE_TEXT, f"not YAML: {error}")]) from None
+        raise invalid_fields_error(
+            source, [(WHOLE_TEXT_FIELD, f"not YAML: {error}")]
+        ) from None
 
 
 def _address_faults(settings: SidecarSettings) -> Iterator[tuple[str, str]]:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -86,11 +86,11 @@
         if not link.takes_suspects:
             return
         last_change = self._suspects.last_change
-        if link.suspects_told == last_change:
+        if link.suspects_sent_up_to == last_change:
             return
-        words = self._suspects.words(self._now_ms(), after=link.suspects_told)
+        words = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
         if not words or link.send(serialize_news(words)):
-            link.suspects_told = last_change
+            link.suspects_sent_up_to = last_change
 
     def take(self, news: SuspectNews) -> None:
         """Take in what a peer tells."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -58,7 +58,7 @@
         else:
             connection.respond(request, status=NOT_FOUND, header_lines=b"")
 
-    def gone(self, request: HttpRequest) -> None:
+    def caller_disconnected(self, request: HttpRequest) -> None:
         """Nothing is under way (RequestHandler)."""
 
     def _list(self, request: HttpRequest, connection: CallerConnection) -> None:
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/backend.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/backend.py
@@ -8,7 +8,7 @@
 
 
 @dataclass
-class Seen:
+class SeenRequest:
     """A request that arrived."""
 
     method: bytes
@@ -22,7 +22,7 @@
 
 
 def answer(
-    seen: Seen,
+    seen: SeenRequest,
     *,
     status: int = 200,
     body: bytes = b"whole body",
@@ -48,7 +48,7 @@
 def serve_as(instance_id: str) -> "Behaviour":
     """Return the behaviour of an instance, which refuses requests for others."""
 
-    def behave(connection: "Connection", seen: Seen) -> None:
+    def behave(connection: "Connection", seen: SeenRequest) -> None:
         if seen.headers[b"x-expected-instance"] == instance_id.encode():
             connection.transport.write(answer(seen))
             return
@@ -63,7 +63,7 @@
 
     def __init__(self, backend: "Backend"):
         self.backend = backend
-        self.seen: Seen | None = None
+        self.seen: SeenRequest | None = None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -77,7 +77,7 @@
         self.parser.feed_data(data)
 
     def on_message_begin(self):
-        self.seen = Seen(method=b"", target=b"")
+        self.seen = SeenRequest(method=b"", target=b"")
 
     def on_url(self, url):
         self.seen.target += url
@@ -94,7 +94,7 @@
         self.backend.behaviour(self, self.seen)
 
 
-Behaviour = Callable[[Connection, Seen], None]
+Behaviour = Callable[[Connection, SeenRequest], None]
 """Gives a request its answer, or none."""
 
 
@@ -102,13 +102,13 @@
     """Listens at an address; ``behaviour`` says what each request gets."""
 
     def __init__(self):
-        self.seen: list[Seen] = []
+        self.seen: list[SeenRequest] = []
         self.connections: list[Connection] = []
         self.closed: list[Connection] = []
         self.behaviour: Behaviour = self.serve
 
     @staticmethod
-    def serve(connection: Connection, seen: Seen) -> None:
+    def serve(connection: Connection, seen: SeenRequest) -> None:
         """Answer at once."""
         connection.transport.write(answer(seen))
 
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/crashing.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/crashing.py
@@ -26,7 +26,7 @@
         self._store = fleet.store
         self._numbers = itertools.count(1)
         self._tasks: list[asyncio.Task] = []
-        for node in fleet.of(service):
+        for node in fleet.nodes_of(service):
             self._behave(node)
 
     def _behave(self, node) -> None:
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -133,15 +133,15 @@
     store: MemoryStore
     nodes: list[Node] = field(default_factory=list)
 
-    def of(self, service: str) -> list[Node]:
+    def nodes_of(self, service: str) -> list[Node]:
         return [node for node in self.nodes if node.service == service]
 
-    async def call(self, node: Node, **options) -> "Got":
+    async def call(self, node: Node, **options) -> "CallerResponse":
         return await call(node.settings.address("outbound"), **options)
 
 
 @dataclass
-class Got:
+class CallerResponse:
     """What a caller got."""
 
     status: int
@@ -167,16 +167,16 @@
     ).encode() + body
 
 
-async def read_answer(reader) -> Got:
+async def read_answer(reader) -> CallerResponse:
     """Read one answer."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.split(": ", 1) for line in head[1:] if line)
     headers = {name.lower(): value for name, value in headers.items()}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Got(status=int(head[0].split()[1]), headers=headers, body=body)
+    return CallerResponse(status=int(head[0].split()[1]), headers=headers, body=body)
 
 
-async def call(address, **options) -> Got:
+async def call(address, **options) -> CallerResponse:
     """Send one request on a connection of its own."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(request_bytes(**options))
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/store.py
@@ -14,7 +14,7 @@
 INSTANCE = "instance/"
 """Prefix of the keys of backend servers."""
 
-AWAY_S = 0.7
+OUTAGE_S = 0.7
 """Time for which the store is away before it comes back from a copy."""
 
 
@@ -54,7 +54,7 @@
     async def restore(self, copy: "StoreCopy") -> None:
         """Be away for a moment, and come back from an older copy."""
         await self.set_down(True)
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(OUTAGE_S)
         era = self.era + 1
         self.entries = {
             key: replace(entry, revision=Revision(era, entry.revision.number))
--- a/packages/sassafraswinch-sidecar/tests/test_checked_structs.py
+++ b/packages/sassafraswinch-sidecar/tests/test_checked_structs.py
@@ -8,7 +8,7 @@
 
 from sassafraswinch.errors import InvalidFieldsError
 from sassafraswinch_sidecar.checked_structs import (
-    WHOLE_TEXT,
+    WHOLE_TEXT_FIELD,
     convert_struct,
     parse_struct,
 )
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("text", [b"", b"[]", b"{", b"\xff", b"[" * 100_000])
 def test_text_that_holds_no_fields_is_a_fault_of_the_whole(text):
     found = faults_of(lambda: parse_struct(Thing, text, source="there"))
-    assert list(found) == [WHOLE_TEXT]
+    assert list(found) == [WHOLE_TEXT_FIELD]
 
 
 def test_unknown_field_of_a_file_is_a_fault():
--- a/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
+++ b/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
     lost, or the server's process ended while it ran, and that two such requests with
     different ids are the same.
     """
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
 
     def lose(connection, seen):
         connection.transport.abort()
@@ -128,7 +128,7 @@
         await end_three_servers(fleet, servers)
         await asyncio.sleep(SPREAD_S)
         await servers.all_up()
-        node = fleet.of("archiv")[0]
+        node = fleet.nodes_of("archiv")[0]
         await node.kill()
         node.start()
         await until(lambda: node.sidecar.is_ready)
@@ -162,7 +162,7 @@
     """
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
-        (caller,) = fleet.of("schvaleni")
+        (caller,) = fleet.nodes_of("schvaleni")
         statuses = []
 
         async def call_on(connection, seen):
@@ -185,7 +185,7 @@
 
 async def test_lost_answers_make_no_suspects(fleet):
     """A server drops connections, and loses answers, but goes on running."""
-    for node in fleet.of("archiv"):
+    for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = lambda connection, seen: connection.transport.abort()
     for number in range(6):
         await fleet.call(fleet.nodes[2], request_id=f"r-{number}")
@@ -208,7 +208,7 @@
 
         return behave
 
-    for node in fleet.of("archiv"):
+    for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = end_first(node)
         node.sidecar._suspects.answered = lambda request: None
     got = await fleet.call(fleet.nodes[2])
@@ -222,7 +222,7 @@
 
 async def test_end_of_a_server_that_leaves_makes_no_suspects(fleet):
     """A server ends as planned, and cuts off what still ran there."""
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
     call = asyncio.create_task(fleet.call(node, target="/approve/1"))
     await until(lambda: node.backend.seen)
@@ -237,7 +237,7 @@
     """A server hangs under a request until somebody ends it. The request was given up
     long before, but nothing was answered since.
     """
-    node = fleet.of("schvaleni")[0]
+    node = fleet.nodes_of("schvaleni")[0]
     node.backend.behaviour = lambda connection, seen: None
     await fleet.call(node, target="/approve/1", time_left_ms=100)
     assert not len(node.sidecar._crash_suspects)
@@ -268,7 +268,7 @@
         ]
         for number in range(4):
             await asyncio.sleep(0.3)
-            node = fleet.of("archiv")[number % 3]
+            node = fleet.nodes_of("archiv")[number % 3]
             node.backend.close()
             await servers.restart(node)
         stopped.set()
@@ -287,7 +287,7 @@
             for end in ("i-1/a", "i-2/b"):
                 digests = digests_of_get(target.decode())
                 fleet.nodes[0].sidecar._suspects.ended(digests, end)
-        (archiv,) = fleet.of("archiv")
+        (archiv,) = fleet.nodes_of("archiv")
         held = []
         archiv.backend.behaviour = lambda connection, seen: held.append(
             (connection, seen)
@@ -309,7 +309,7 @@
     async with running_fleet(*["archiv"] * 3, "schvaleni") as fleet:
         for number in range(30):
             await fleet.call(fleet.nodes[number % 4], request_id=f"p-{number}")
-        archives = fleet.of("archiv")
+        archives = fleet.nodes_of("archiv")
         assert all(node.backend.seen for node in archives)
         running = []
         for node in archives:
--- a/packages/sassafraswinch-sidecar/tests/test_planned_stop.py
+++ b/packages/sassafraswinch-sidecar/tests/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafraswinch_sidecar.planned_stop import QUIET_MS, finish_requests
+from sassafraswinch_sidecar.graceful_shutdown import QUIET_PERIOD_MS, drain_requests
 
 DRAIN_MS = 6_000.0
 
@@ -14,7 +14,7 @@
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     refused_s = []
-    await finish_requests(
+    await drain_requests(
         drain_ms=DRAIN_MS,
         in_flight=lambda: in_flight(loop.time() - began_s),
         refuse_new=lambda: refused_s.append(loop.time() - began_s),
@@ -30,7 +30,7 @@
     """
     refused_s, ended_s = await stop(lambda spent_s: spent_s < busy_s)
     assert 3.0 < refused_s < 3.6
-    assert refused_s <= ended_s < refused_s + QUIET_MS / 1000 + 0.2
+    assert refused_s <= ended_s < refused_s + QUIET_PERIOD_MS / 1000 + 0.2
 
 
 @pytest.mark.looptime
--- a/packages/sassafraswinch-sidecar/tests/test_http_client.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_client.py
@@ -12,7 +12,7 @@
     Fault,
     HttpClient,
     HttpResponse,
-    Probe,
+    ProbeResult,
 )
 from sassafraswinch_sidecar.idle_limit import FRESH_MS
 from sidecar_standins.backend import Backend, answer
@@ -201,7 +201,7 @@
     backend.server.close()
     client = HttpClient(ip="127.0.0.1", port=backend.port)
     assert await ask(client) is Fault.UNREACHABLE
-    assert await client.probe() is Probe.REFUSED
+    assert await client.probe() is ProbeResult.REFUSED
 
 
 async def test_cancelled_request_closes_its_connection_and_reports_nothing(
--- a/packages/sassafraswinch-sidecar/tests/test_http_server.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_server.py
@@ -27,7 +27,7 @@
         if not self.holds:
             connection.respond(request, status=200, header_lines=b"", body=request.body)
 
-    def gone(self, request):
+    def caller_disconnected(self, request):
         self.left.append(request)
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
+++ b/packages/sassafraswinch-sidecar/tests/test_organisation_keys.py
@@ -43,12 +43,12 @@
 
 
 def seen_by(fleet, service):
-    return [seen for node in fleet.of(service) for seen in node.backend.seen]
+    return [seen for node in fleet.nodes_of(service) for seen in node.backend.seen]
 
 
 async def test_the_server_gets_the_organisation_and_not_the_key(fleet):
     fields = KEY + "X-Organisation: forged\r\nAccept: x\r\n"
-    got = await fleet.call(fleet.of("schvaleni")[0], fields=fields)
+    got = await fleet.call(fleet.nodes_of("schvaleni")[0], fields=fields)
     (seen,) = seen_by(fleet, "archiv")
     assert got.status == 200
     assert seen.headers[b"x-organisation"] == b"a"
@@ -130,16 +130,16 @@
     def refuse(connection, seen):
         tasks.append(asyncio.create_task(remove_key_and_refuse(connection, seen)))
 
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = refuse
-    got = await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
+    got = await fleet.call(fleet.nodes_of("schvaleni")[0], fields=KEY)
     assert got.status == 503
     assert len(archiv.backend.seen) == 1
 
 
 async def call_within(fleet, *, parent_runs):
     """Let a server make a call without a key; return what it got."""
-    (caller,) = fleet.of("schvaleni")
+    (caller,) = fleet.nodes_of("schvaleni")
     results = []
     tasks = []
 
@@ -156,7 +156,7 @@
         tasks.append(asyncio.create_task(call_on(connection, seen)))
 
     caller.backend.behaviour = behave
-    await fleet.call(fleet.of("archiv")[0], target="/approve/1", fields=KEY)
+    await fleet.call(fleet.nodes_of("archiv")[0], target="/approve/1", fields=KEY)
     return results[0]
 
 
@@ -175,14 +175,14 @@
 
 async def test_keys_show_in_no_text_of_a_request(fleet):
     shown = []
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
 
     def look(connection, seen):
-        owner = fleet.of("schvaleni")[0].sidecar._owner
+        owner = fleet.nodes_of("schvaleni")[0].sidecar._owner
         shown.extend(repr(relay) for relay in owner.relays.values())
         connection.transport.write(answer(seen))
 
     archiv.backend.behaviour = look
-    await fleet.call(fleet.of("schvaleni")[0], fields=KEY)
+    await fleet.call(fleet.nodes_of("schvaleni")[0], fields=KEY)
     assert shown
     assert "key-a" not in "".join(shown)
--- a/packages/sassafraswinch-sidecar/tests/test_peer_links.py
+++ b/packages/sassafraswinch-sidecar/tests/test_peer_links.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sassafraswinch_sidecar.peer import QUIET_MS
+from sassafraswinch_sidecar.peer import QUIET_PERIOD_MS
 from sassafraswinch_sidecar.peer_links import (
-    AVOID_MS,
     DIAL_TIMEOUT_S,
-    REDIAL_S,
+    REDIAL_DELAY_S,
+    UNREACHABLE_BACKOFF_MS,
     WAIT_MS,
     PeerLinks,
 )
@@ -31,7 +31,7 @@
         self.returned = []
         self.unwanted = set()
 
-    def greeted(self, link):
+    def link_opened(self, link):
         pass
 
     def link_lost(self, ip):
@@ -40,10 +40,10 @@
     def dialled_message(self, ip, message):
         pass
 
-    def unsent(self, requests):
+    def requests_unsent(self, requests):
         self.returned += [request.call_id for request in requests]
 
-    def is_wanted(self, call_id):
+    def is_pending(self, call_id):
         return call_id not in self.unwanted
 
 
@@ -83,10 +83,10 @@
     def expect_reply(self):
         self.silent = 1.0
 
-    def replied(self):
+    def record_reply(self):
         self.silent = self.quiet = 0.0
 
-    def quiet_ms(self):
+    def receive_idle_ms(self):
         return self.quiet
 
     def silent_ms(self):
@@ -115,7 +115,7 @@
     """
     network = Dialler(monkeypatch)
     links = new_links()
-    links.keep([PEER])
+    links.maintain([PEER])
     await asyncio.sleep(0.2)
     links._accepted_greeted(Link())
     await asyncio.sleep(0.01)
@@ -131,7 +131,7 @@
     network = Dialler(monkeypatch)
     network.answers = True
     links = new_links()
-    links.keep([PEER])
+    links.maintain([PEER])
     await asyncio.sleep(0.01)
     links._accepted_greeted(Link())
     await asyncio.sleep(0.1)
@@ -145,7 +145,7 @@
     """
     network = Dialler(monkeypatch)
     links = new_links()
-    links.keep([PEER])
+    links.maintain([PEER])
     await asyncio.sleep(0.01)
     former = links.peers[PEER].link = Link(incarnation=8)
     links._accepted_greeted(Link(incarnation=8))
@@ -161,8 +161,8 @@
 async def test_peer_that_stays_away_is_dialled_now_and_then(monkeypatch):
     network = Dialler(monkeypatch)
     links = new_links()
-    links.keep([PEER])
-    await asyncio.sleep(10.5 * (DIAL_TIMEOUT_S + REDIAL_S))
+    links.maintain([PEER])
+    await asyncio.sleep(10.5 * (DIAL_TIMEOUT_S + REDIAL_DELAY_S))
     assert len(network.dialled_at_s) == 11
     await links.close()
 
@@ -181,12 +181,12 @@
     network = Dialler(monkeypatch)
     network.answers = True
     links = new_links()
-    assert links.request(PEER, new_request(1))
+    assert links.send_request(PEER, new_request(1))
     await asyncio.sleep(0.05)
     links._dialled_greeted(link := Link())
     (sent,) = link.sent
     assert (sent.call_id, sent.remaining_ms, sent.max_wait_ms) == (1, 950, 150)
-    assert links.request(PEER, new_request(2))
+    assert links.send_request(PEER, new_request(2))
     assert [request.call_id for request in link.sent] == [1, 2]
     await links.close()
 
@@ -198,12 +198,12 @@
     """
     network = Dialler(monkeypatch)
     links = new_links()
-    assert links.request(PEER, new_request(1))
+    assert links.send_request(PEER, new_request(1))
     await asyncio.sleep(WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
-    assert not links.request(PEER, new_request(2))
-    await asyncio.sleep(DIAL_TIMEOUT_S + AVOID_MS / 1000)
-    assert links.request(PEER, new_request(3))
+    assert not links.send_request(PEER, new_request(2))
+    await asyncio.sleep(DIAL_TIMEOUT_S + UNREACHABLE_BACKOFF_MS / 1000)
+    assert links.send_request(PEER, new_request(3))
     await asyncio.sleep(0.01)
     assert len(network.dialled_at_s) == 2
     await links.close()
@@ -216,8 +216,8 @@
     Dialler(monkeypatch)
     links = new_links()
     links._peer(PEER).link = link = Link()
-    link.quiet = QUIET_MS + 1
-    assert links.request(PEER, new_request(1))
+    link.quiet = QUIET_PERIOD_MS + 1
+    assert links.send_request(PEER, new_request(1))
     assert [type(message) for message in link.sent] == [Heartbeat]
     await asyncio.sleep(WAIT_MS / 1000 + 0.01)
     assert links._listener.returned == [1]
@@ -229,9 +229,9 @@
     Dialler(monkeypatch)
     links = new_links()
     links._peer(PEER).link = link = Link()
-    link.quiet = QUIET_MS + 1
+    link.quiet = QUIET_PERIOD_MS + 1
     for call_id in (1, 2, 3):
-        assert links.request(PEER, new_request(call_id))
+        assert links.send_request(PEER, new_request(call_id))
     links._listener.unwanted = {2}
     links.cancel(PEER, 2)
     link.quiet = 0.0
@@ -251,7 +251,7 @@
     """
     network = Dialler(monkeypatch)
     links = new_links()
-    links.greet(PEER)
+    links.dial_once(PEER)
     await asyncio.sleep(0.01)
     links._dialled_greeted(Link())
     dialling = links.peers[PEER].dialling
--- a/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
+++ b/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
@@ -50,10 +50,10 @@
 async def runs_of_callers(fleet):
     """Send a request whose call fails; return how often its own server ran it."""
     tasks = []
-    callers = fleet.of("schvaleni")
+    callers = fleet.nodes_of("schvaleni")
     for node in callers:
         node.backend.behaviour = call_archiv(node, tasks)(fleet)
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = shed
     await fleet.call(archiv, target="/approve/1")
     return sum(len(node.backend.seen) for node in callers)
@@ -64,7 +64,7 @@
     service above answers 500; to repeat its requests would run the whole tree again,
     for calls that may not even be repeated themselves.
     """
-    for node in fleet.of("schvaleni"):
+    for node in fleet.nodes_of("schvaleni"):
         node.sidecar._budget.allows = lambda *args, **options: False
     assert await runs_of_callers(fleet) == 1
 
@@ -98,7 +98,7 @@
     """
     for node in fleet.nodes:
         node.sidecar._budget.allows = lambda *args, **options: True
-    (archiv,) = fleet.of("archiv")
+    (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = pass_each(4)
     for number in range(5):
         got = await fleet.call(fleet.nodes[1], request_id=f"r-{number}")
@@ -118,5 +118,5 @@
         node.backend.behaviour = shed
     got = await fleet.call(fleet.nodes[0], target="/approve/1")
     assert got.status == 503
-    seen = sorted(len(node.backend.seen) for node in fleet.of("schvaleni"))
+    seen = sorted(len(node.backend.seen) for node in fleet.nodes_of("schvaleni"))
     assert seen == [0, MAX_OFFERS]
--- a/packages/sassafraswinch-sidecar/tests/test_request_log.py
+++ b/packages/sassafraswinch-sidecar/tests/test_request_log.py
@@ -3,7 +3,7 @@
 import asyncio
 import os
 
-from sassafraswinch_sidecar.line_output import MAX_HELD_BYTES, LineOutput
+from sassafraswinch_sidecar.line_output import MAX_BUFFERED_BYTES, LineOutput
 from sassafraswinch_sidecar.request_log import RequestLog
 
 
@@ -61,7 +61,7 @@
         output.flush()
     output._write_out()
     assert output.dropped_lines > 10_000
-    assert output._held_bytes <= MAX_HELD_BYTES
+    assert output._held_bytes <= MAX_BUFFERED_BYTES
     assert os.read(reader, 7) == b"event=x"
     os.close(reader)
     output._write_out()
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar.py
@@ -24,7 +24,7 @@
 
 
 async def test_request_reaches_another_host_and_its_answer_comes_back_whole(fleet):
-    entry = fleet.of("schvaleni")[0]
+    entry = fleet.nodes_of("schvaleni")[0]
     got = await fleet.call(
         entry,
         method="PUT",
@@ -34,7 +34,7 @@
     )
     assert (got.status, got.body) == (200, b"whole body")
     assert got.headers["x-signature"] == "s.1"
-    (seen,) = [s for node in fleet.of("archiv") for s in node.backend.seen]
+    (seen,) = [s for node in fleet.nodes_of("archiv") for s in node.backend.seen]
     assert (seen.method, seen.target, seen.body) == (b"PUT", b"/orders/7?x=1", b"order")
     assert seen.headers[b"x-caller-service"] == b"schvaleni"
     assert seen.headers[b"caller-id"] == b"c"
@@ -56,7 +56,7 @@
     got = await read_answer(reader)
     writer.close()
     assert got.status == 200
-    (seen,) = [s for node in fleet.of("archiv") for s in node.backend.seen]
+    (seen,) = [s for node in fleet.nodes_of("archiv") for s in node.backend.seen]
     assert seen.body == b"abcde"
 
 
@@ -123,7 +123,7 @@
     def lose(connection, seen):
         connection.transport.abort()
 
-    first, second = fleet.of("archiv")
+    first, second = fleet.nodes_of("archiv")
     first.backend.behaviour = lose
     statuses = {
         (await fleet.call(fleet.nodes[2], request_id=f"r-{n}")).status for n in range(3)
@@ -135,7 +135,7 @@
 async def test_server_that_proves_it_ran_nothing_lets_an_action_go_elsewhere():
     """A server sheds an approval in the documented form; another one runs it."""
     async with running_fleet("schvaleni", "schvaleni", "archiv") as fleet:
-        shedding, healthy = fleet.of("schvaleni")
+        shedding, healthy = fleet.nodes_of("schvaleni")
 
         def shed(connection, seen):
             bytes_ = answer(seen, status=503, fields=b"X-Not-Run: 1\r\n", signed=False)
@@ -169,13 +169,13 @@
     """A caller gives up; its lookup must not go on holding a slot of the server."""
     patient = route("orders", "/orders/", "archiv", timeout_ms=60_000.0)
     await fleet.store.put(ROUTES, {"version": 2, "routes": [patient]})
-    for node in fleet.of("archiv"):
+    for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = lambda connection, seen: None
     await until(lambda: fleet.nodes[2].sidecar._fleet.table.version == 2)
     address = fleet.nodes[2].settings.address("outbound")
     _, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(request_bytes(time_left_ms=60_000))
-    backends = [node.backend for node in fleet.of("archiv")]
+    backends = [node.backend for node in fleet.nodes_of("archiv")]
     await until(lambda: any(backend.seen for backend in backends))
     writer.close()
     await until(lambda: any(backend.closed for backend in backends))
@@ -205,7 +205,7 @@
 
 
 async def test_leaving_instance_gets_no_new_work(fleet):
-    first, second = fleet.of("archiv")
+    first, second = fleet.nodes_of("archiv")
     await first.put_instance(fleet.store, leaving=True)
     await until(lambda: len(fleet.nodes[2].sidecar._fleet.of_service("archiv")) == 1)
     for number in range(5):
@@ -278,7 +278,7 @@
     """
     node, other = fleet.nodes[2], fleet.nodes[0]
     held = []
-    for found in fleet.of("archiv"):
+    for found in fleet.nodes_of("archiv"):
         found.backend.behaviour = lambda connection, seen: held.append(
             (connection, seen)
         )
@@ -353,7 +353,7 @@
 
 async def test_body_goes_on_to_a_host_that_has_room_for_it(fleet):
     """A host holds all the bytes that it may. Requests with bodies go to another."""
-    full, other = fleet.of("archiv")
+    full, other = fleet.nodes_of("archiv")
     full.sidecar._held.hold(10**9)
     for number in range(3):
         got = await fleet.call(
@@ -368,7 +368,7 @@
     told by the first refusal, and doesn't send it request after request. The server
     may stay after all, so the word counts for a moment only.
     """
-    first, second = fleet.of("archiv")
+    first, second = fleet.nodes_of("archiv")
     entry = fleet.nodes[2].sidecar
     first.sidecar._executor._is_leaving = lambda instance_id: True
     first_load, second_load = (entry._loads.of(n.ip) for n in (first, second))
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -22,7 +22,7 @@
 
     def __init__(self, *, takes_suspects=True, is_open=True):
         self.takes_suspects = takes_suspects
-        self.suspects_told = 0
+        self.suspects_sent_up_to = 0
         self.is_open = is_open
         self.sent = []
 
