--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_answers.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/caller_responses.py
@@ -4,14 +4,14 @@
 import random
 
 from sassafraswinch.organisation_rates import RateDecision
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 from sassafraswinch_sidecar.relay_intake import (
     NO_ROUTE,
     UNKNOWN_KEY,
+    IntakeRefusal,
     Relay,
-    Unroutable,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse
 from sassafraswinch_sidecar.request_log import RequestLog
@@ -23,7 +23,7 @@
 MIN_RETRY_AFTER_MS = 50.0
 """Shortest wait told: below it a caller meets the same queue."""
 
-UNREADY_RETRY_MS = 500.0
+UNREADY_RETRY_AFTER_MS = 500.0
 """Wait told while no routes are known: reading them takes less than a second."""
 
 OVERLOADED = "overloaded"
@@ -44,19 +44,19 @@
 TIMEOUT_STATUS = 504
 
 
-class RelayAnswers:
+class CallerResponses:
     """Writes what callers get."""
 
     def __init__(
         self,
         *,
         names: HeaderNames,
-        counts: RelayCounts,
+        counters: RelayCounters,
         log: RequestLog,
         rng: random.Random,
     ):
         self._id_name = names.request_id
-        self._counts = counts
+        self._counts = counters
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
@@ -64,7 +64,7 @@
     def deliver(self, relay: Relay, response: RelayResponse) -> None:
         """Pass a backend server's answer on."""
         held_ms = self._held_ms(relay.http)
-        self._counts.answered(relay.route.name, held_ms, response.status)
+        self._counts.record_response(relay.route.name, held_ms, response.status)
         told = self._log.served if response.status < 400 else self._log.failed
         told(
             "answered",
@@ -92,7 +92,7 @@
             service: the service that is full.
             share: part of the route's requests that is admitted.
         """
-        self._counts.ended(OVERLOADED)
+        self._counts.record_unserved(OVERLOADED)
         self._log.failed(
             "refused_at_entry",
             relay.request_id,
@@ -111,7 +111,7 @@
             relay: the request; it knows when its caller may come back.
             decision: what it was refused by.
         """
-        self._counts.ended(OVER_LIMIT)
+        self._counts.record_unserved(OVER_LIMIT)
         limit = relay.caller.limit
         self._log.failed(
             "refused_over_limit",
@@ -137,7 +137,7 @@
             reason: why, as a word for logs and counters.
             status: ``NOT_RUN_STATUS`` only with a proof.
         """
-        self._counts.ended(reason)
+        self._counts.record_unserved(reason)
         self._log.failed(
             "not_served",
             relay.request_id,
@@ -145,7 +145,7 @@
             status=status,
             reason=reason,
             offers=relay.offers,
-            places=relay.places,
+            places=relay.placements,
             instance=relay.instance_id,
             held_ms=self._held_ms(relay.http),
             inner=relay.parent is not None,
@@ -159,10 +159,10 @@
         relay.connection.respond(relay.http, status=status, header_lines=lines)
 
     def refuse(
-        self, http: HttpRequest, connection: CallerConnection, why: Unroutable
+        self, http: HttpRequest, connection: CallerConnection, why: IntakeRefusal
     ) -> None:
         """Answer a request that takes no route."""
-        self._counts.ended(why.reason)
+        self._counts.record_unserved(why.reason)
         self._log.failed(
             "refused",
             why.request_id,
@@ -177,7 +177,7 @@
             lines = b"WWW-Authenticate: Bearer\r\n"
             connection.respond(http, status=UNKNOWN_KEY_STATUS, header_lines=lines)
             return
-        lines = _retry_after(UNREADY_RETRY_MS)
+        lines = _retry_after(UNREADY_RETRY_AFTER_MS)
         connection.respond(http, status=NOT_RUN_STATUS, header_lines=lines)
 
     def _wait_ms(self, relay: Relay) -> float:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sassafraswinch_sidecar.backend_watch import BackendWatch
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_client import (
     Exchange,
@@ -14,7 +14,7 @@
     HttpResponse,
 )
 from sassafraswinch_sidecar.http_fields import (
-    DROPPED,
+    NOT_FORWARDED,
     serialize_end_to_end,
 )
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -36,14 +36,14 @@
 TICK_S = 0.02
 """Grain of the longest waits, which are tens of milliseconds and more."""
 
-OVERTIME_MS = 50.0
+RESPONSE_GRACE_MS = 50.0
 """Time past its limit after which a server's answer is no longer waited for. It
 stops at the limit by itself, and its answer to that is the truer one."""
 
 OTHER_INSTANCE = "other-instance"
 INSTANCE_LEAVING = "instance-leaving"
 MISDIRECTED_STATUS = 421
-SERVER_FAILURE = 500
+SERVER_FAILURE_STATUS = 500
 """Least status of answers that clear no request: its run may have been cut short."""
 
 SERVER_ENDED = "server-ended"
@@ -61,7 +61,7 @@
     reply: Reply
     owner: object
     deadline_ms: float
-    place: QueuedRequest | None = None
+    queue_entry: QueuedRequest | None = None
     exchange: Exchange | None = None
     offered: bool = False
     ended: bool = False
@@ -162,7 +162,7 @@
                 execution.actual_instance_id = self._watch.trusted_instance_id()
             self._end_unrun(execution, refusal)
             return
-        execution.place = QueuedRequest(
+        execution.queue_entry = QueuedRequest(
             execution,
             request.inner,
             request.priority,
@@ -170,7 +170,7 @@
             request.progress,
             request.last,
         )
-        if not self.queue.offer(execution.place, now_ms):
+        if not self.queue.offer(execution.queue_entry, now_ms):
             self._end_unrun(execution, "overloaded")
             return
         self._executions[owner, request.call_id] = execution
@@ -189,12 +189,12 @@
         execution = self._executions.get((owner, call_id))
         if execution is None:
             return
-        if self.queue.withdraw(execution.place):
+        if self.queue.withdraw(execution.queue_entry):
             self._forget(execution)
         elif execution.request.idempotent:
             self._break_off(execution)
 
-    def owner_lost(self, owner: object) -> None:
+    def cancel_owner(self, owner: object) -> None:
         """Cancel all requests of an owner that can't be told their ends."""
         for key_owner, call_id in list(self._executions):
             if key_owner is owner:
@@ -332,10 +332,10 @@
         if encoded or (response.status < 300 and not signed):
             self._end(execution, Verdict.MAY_HAVE_RUN, "server-garbled")
             return
-        if response.status < SERVER_FAILURE:
+        if response.status < SERVER_FAILURE_STATUS:
             self._ends.ran_well(execution.request)
             self._suspects.answered(execution.request)
-        lines = serialize_end_to_end(response.fields, DROPPED)
+        lines = serialize_end_to_end(response.fields, NOT_FORWARDED)
         self._end(
             execution,
             Verdict.ANSWERED,
@@ -345,15 +345,15 @@
             body=response.body,
         )
 
-    def stood_still(self, stood_ms: float) -> None:
+    def apply_pause(self, stood_ms: float) -> None:
         """Take the time that passed, unknown to the clock, off all time limits."""
         for execution in self._executions.values():
             execution.deadline_ms -= stood_ms
-            execution.place.give_up_at_ms -= stood_ms
+            execution.queue_entry.give_up_at_ms -= stood_ms
 
     def expire(self, now_ms: float) -> None:
         """End the requests whose server has let their time pass."""
-        overdue_ms = now_ms - OVERTIME_MS
+        overdue_ms = now_ms - RESPONSE_GRACE_MS
         late = [
             execution
             for execution in self._executions.values()
@@ -426,7 +426,7 @@
         )
 
     def _release(self, execution: Execution) -> None:
-        place = execution.place
+        place = execution.queue_entry
         if place is None or place.started_at_ms is None or execution.ended:
             return
         held_ms = self.queue.finished(place, self._loop.time() * 1000)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -9,6 +9,12 @@
 from sassafraswinch_sidecar.fleet import Fleet
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.host_reports import HostReports
+from sassafraswinch_sidecar.message_codec import (
+    Message,
+    parse_position,
+    position_fields,
+    serialize_message,
+)
 from sassafraswinch_sidecar.peer_link import PeerLink
 from sassafraswinch_sidecar.peer_links import PeerLinks
 from sassafraswinch_sidecar.platform_data import PlatformData
@@ -19,12 +25,6 @@
     SummaryRequest,
     ZoneSummary,
 )
-from sassafraswinch_sidecar.relay_wire import (
-    Message,
-    parse_position,
-    position_fields,
-    serialize_message,
-)
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
 from sassafraswinch_sidecar.zone_aggregator import (
     AGGREGATOR_TAKEOVER_STEP_MS,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -16,7 +16,7 @@
     ServerLoad,
     ZoneLoads,
 )
-from sassafraswinch_sidecar.repeat_budget import Totals
+from sassafraswinch_sidecar.retry_budget import FleetTotals
 from sassafraswinch_sidecar.zone_aggregator import FOLLOWING, ISOLATED, LEAVING
 
 MAX_VIEW_AGE_MS = 2_000.0
@@ -49,7 +49,7 @@
         self._named: set[str] = set()
         self._gatherers: dict[str, float] = {}
         self._demand: list[Claim] = []
-        self._totals: Totals = ({}, 0)
+        self._totals: FleetTotals = ({}, 0)
         self._uses = FleetUse()
         self._told_ms = -math.inf
 
@@ -96,7 +96,7 @@
         """
         return self._demand if now_ms - self._told_ms < MAX_VIEW_AGE_MS else []
 
-    def totals(self, now_ms: float) -> Totals:
+    def totals(self, now_ms: float) -> FleetTotals:
         """Return how much all sidecars sent, this one included, as last told."""
         return self._totals if now_ms - self._told_ms < MAX_VIEW_AGE_MS else ({}, 0)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/held_bytes.py
@@ -1,6 +1,6 @@
 """How many bytes of requests and answers a process holds, against a bound."""
 
-HELD_SHARE = 0.2
+BODY_MEMORY_SHARE = 0.2
 """Part of the process's memory that bodies may take. A body exists up to three times
 for a moment: as it was read, in a frame or a request, and in a socket's buffer."""
 
@@ -13,15 +13,15 @@
     refused unread instead, which nobody else notices.
 
     Args:
-        most_bytes: the bound.
+        max_bytes: the bound.
 
     Attributes:
         unsent_bytes: bytes for peers that they haven't read, as measured last.
     """
 
-    def __init__(self, *, most_bytes: float):
+    def __init__(self, *, max_bytes: float):
         self.unsent_bytes = 0
-        self._most_bytes = most_bytes
+        self._most_bytes = max_bytes
         self._bodies_bytes = 0
 
     @property
@@ -42,6 +42,6 @@
         self._bodies_bytes -= fewer_bytes
 
 
-def most_held_bytes(memory_mb: float) -> float:
+def max_held_bytes(memory_mb: float) -> float:
     """Return the bound for a process that may take so much memory."""
-    return memory_mb * 1_000_000 * HELD_SHARE
+    return memory_mb * 1_000_000 * BODY_MEMORY_SHARE
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -7,6 +7,7 @@
 from sassafraswinch.organisation_rates import FleetUse, OrganisationRates, Use
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import Executor
+from sassafraswinch_sidecar.message_codec import position_fields
 from sassafraswinch_sidecar.platform_data import PlatformData
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     HeartbeatReply,
@@ -15,8 +16,7 @@
     RouteDemand,
     SentCount,
 )
-from sassafraswinch_sidecar.relay_wire import position_fields
-from sassafraswinch_sidecar.repeat_budget import Counted, RepeatBudget
+from sassafraswinch_sidecar.retry_budget import AttemptCounts, RetryBudget
 
 MAX_TOTALS_AGE_MS = 40.0
 """Time in which the same sums are told to each gatherer: a part of their pause."""
@@ -49,7 +49,7 @@
         data: PlatformData,
         executor: Executor,
         admission: EntryAdmission,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         rates: OrganisationRates,
         is_stopping: Callable[[], bool],
         is_isolated: Callable[[], bool],
@@ -87,7 +87,7 @@
         if self._sums is None or now_ms - self._sums[0] >= MAX_TOTALS_AGE_MS:
             sums = _Sums(
                 demand=serialize_demand(self._admission.demand()),
-                counts=serialize_counts(self._budget.counted(now_ms)),
+                counts=serialize_counts(self._budget.window_counts(now_ms)),
                 uses=serialize_usage(self._rates.report(now_ms)),
             )
             self._sums = now_ms, sums
@@ -135,17 +135,17 @@
     ]
 
 
-def serialize_counts(counts: Mapping[str, Counted]) -> list[SentCount]:
+def serialize_counts(counts: Mapping[str, AttemptCounts]) -> list[SentCount]:
     """Write requests and repeats by service."""
     return [
-        SentCount(service, count.requests, count.repeats)
+        SentCount(service, count.requests, count.retries)
         for service, count in counts.items()
     ]
 
 
-def parse_counts(told: Iterable[SentCount]) -> dict[str, Counted]:
+def parse_counts(told: Iterable[SentCount]) -> dict[str, AttemptCounts]:
     """Read requests and repeats by service."""
-    return {each.service_name: Counted(each.sent, each.repeated) for each in told}
+    return {each.service_name: AttemptCounts(each.sent, each.repeated) for each in told}
 
 
 def serialize_usage(told: FleetUse) -> OrganisationUses:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_fields.py
@@ -8,7 +8,7 @@
 """Header fields in order: name in lower case, name as received, value. Names are
 compared several times on the path of each message, and lowered once."""
 
-DROPPED = HOP_BY_HOP | {b"content-length", b"expect"}
+NOT_FORWARDED = HOP_BY_HOP | {b"content-length", b"expect"}
 """Fields that aren't passed on: those of one connection, and the framing, which each
 sender writes itself. A request with two framings could smuggle another one inside."""
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_wire.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/message_codec.py
@@ -130,7 +130,7 @@
     )
 
 
-def serialize_question(position: Position) -> ReplicaRequest:
+def serialize_replica_request(position: Position) -> ReplicaRequest:
     """Return the message that asks for what a copy at a position lacks."""
     era, number = position.revision
     return ReplicaRequest(
@@ -138,7 +138,7 @@
     )
 
 
-def parse_question(request: ReplicaRequest) -> Position:
+def parse_replica_request(request: ReplicaRequest) -> Position:
     """Return the position of whoever asks."""
     return Position(
         revision=Revision(request.era, request.after_revision),
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_outcomes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/outcome_recorder.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
-from sassafraswinch_sidecar.executor import SERVER_FAILURE
+from sassafraswinch_sidecar.executor import SERVER_FAILURE_STATUS
 from sassafraswinch_sidecar.placement import (
     LEAVING_WORD_MS,
     PaceMeter,
@@ -14,7 +14,7 @@
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse, Verdict
 
 
-class RelayOutcomes:
+class OutcomeRecorder:
     """Learns how fast and sound servers are, and what routes need.
 
     Args:
@@ -32,7 +32,7 @@
         """Return the mean length of a route's answers; 0 before the first."""
         return self._answer_bytes.mean(route)
 
-    def execution_ended(
+    def record_execution(
         self, relay: Relay, response: RelayResponse, load: PeerLoad | None
     ) -> None:
         """Learn from one execution how fast and sound its server is.
@@ -46,7 +46,8 @@
             return
         now_ms = self._now_ms()
         failed = (
-            response.verdict != Verdict.ANSWERED or response.status >= SERVER_FAILURE
+            response.verdict != Verdict.ANSWERED
+            or response.status >= SERVER_FAILURE_STATUS
         )
         if response.reason != "deadline":
             load.ended(failed=failed, now_ms=now_ms)
@@ -55,22 +56,22 @@
                 kind = (relay.route.name, relay.service)
                 load.took(self._paces.measure(kind, taken.slot_ms), now_ms)
 
-    def refused_as_leaving(self, load: PeerLoad | None) -> None:
+    def record_leaving_refusal(self, load: PeerLoad | None) -> None:
         """Note that a sidecar refuses requests since its server leaves."""
         if load is not None:
             load.refuses_until_ms = self._now_ms() + LEAVING_WORD_MS
 
-    def answered(self, relay: Relay, response: RelayResponse) -> None:
+    def record_response(self, relay: Relay, response: RelayResponse) -> None:
         """Learn from a request's final answer what its route needs."""
         served = response.status < 300
         if served:
             self._answer_bytes.count(relay.route.name, len(response.body))
         if relay.parent is None and served:
-            self._admission.learn(relay.kind, relay.slot_ms, self._now_ms())
+            self._admission.learn(relay.admission_class, relay.slot_ms, self._now_ms())
         elif relay.parent is None:
-            self._admission.learn_at_least(relay.kind, relay.slot_ms)
+            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
 
-    def failed(self, relay: Relay) -> None:
+    def record_failure(self, relay: Relay) -> None:
         """Learn from a request that ends without an answer what it took at least."""
         if relay.parent is None and relay.slot_ms:
-            self._admission.learn_at_least(relay.kind, relay.slot_ms)
+            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pages.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/pages.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 
 if TYPE_CHECKING:
     from sassafraswinch_sidecar.sidecar_metrics import SidecarMetrics
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, *, counts: RelayCounts, gauges: Callable[[], Mapping[str, float]]
+        self, *, counts: RelayCounters, gauges: Callable[[], Mapping[str, float]]
     ):
         self._counts = counts
         self._gauges = gauges
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 from sassafraswinch_node.frames import FrameSplitter, WireError
-from sassafraswinch_sidecar.relay_protocol.ttypes import Hello
-from sassafraswinch_sidecar.relay_wire import (
+from sassafraswinch_sidecar.message_codec import (
     MAX_FRAME_BYTES,
     Message,
     parse_message,
     serialize_message,
 )
+from sassafraswinch_sidecar.relay_protocol.ttypes import Hello
 
 PROTOCOL_VERSION = 2
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from sassafraswinch_node.logs import log_event
+from sassafraswinch_sidecar.message_codec import Message
 from sassafraswinch_sidecar.peer import Peer
 from sassafraswinch_sidecar.peer_link import (
     LINK_TIMEOUT_MS,
@@ -22,7 +23,6 @@
     RelayRequest,
     RelayResponse,
 )
-from sassafraswinch_sidecar.relay_wire import Message
 
 LINK_CHECK_INTERVAL_S = 0.25
 """Pause between checks of the links. One with requests under way from which nothing
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/platform_data.py
@@ -5,16 +5,16 @@
 
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.fleet import Fleet
-from sassafraswinch_sidecar.peer_link import PeerLink
-from sassafraswinch_sidecar.platform_reader import PLATFORM_SOURCE
-from sassafraswinch_sidecar.relay_protocol.ttypes import ReplicaReply, ReplicaRequest
-from sassafraswinch_sidecar.relay_wire import (
+from sassafraswinch_sidecar.message_codec import (
     Message,
     parse_delta,
-    parse_question,
+    parse_replica_request,
     serialize_delta,
-    serialize_question,
+    serialize_replica_request,
 )
+from sassafraswinch_sidecar.peer_link import PeerLink
+from sassafraswinch_sidecar.platform_reader import PLATFORM_SOURCE
+from sassafraswinch_sidecar.relay_protocol.ttypes import ReplicaReply, ReplicaRequest
 from sassafraswinch_sidecar.replica import Delta, Replica
 from sassafraswinch_sidecar.revisions import UNKNOWN, Position, Revision
 
@@ -115,7 +115,9 @@
         """Answer a peer's question for changes, or take in its answer."""
         if isinstance(message, ReplicaRequest):
             link.send(
-                serialize_delta(self._replica.changes_since(parse_question(message)))
+                serialize_delta(
+                    self._replica.changes_since(parse_replica_request(message))
+                )
             )
         elif isinstance(message, ReplicaReply):
             self._asked_ms = 0.0
@@ -128,7 +130,7 @@
         if not position.is_behind(told) or now_ms - self._asked_ms < ASK_AGAIN_MS:
             return
         self._asked_ms = now_ms
-        link.send(serialize_question(position))
+        link.send(serialize_replica_request(position))
 
     def _note_restore(self, former: Revision, source: str) -> None:
         self.restores += 1
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -7,10 +7,16 @@
 from sassafraswinch.crash_suspects import Judgement, Standing
 from sassafraswinch.organisation_rates import OrganisationRates
 from sassafraswinch.request_digest import digest_request, digest_text
+from sassafraswinch_sidecar.caller_responses import (
+    MAY_HAVE_RUN_STATUS,
+    NOT_RUN_STATUS,
+    TIMEOUT_STATUS,
+    CallerResponses,
+)
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import (
     INSTANCE_LEAVING,
-    SERVER_FAILURE,
+    SERVER_FAILURE_STATUS,
     Executor,
 )
 from sassafraswinch_sidecar.fleet import Fleet
@@ -18,26 +24,23 @@
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
 from sassafraswinch_sidecar.instances import Instance
+from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.peer_links import PeerLinks
 from sassafraswinch_sidecar.placement import PeerLoad, Placement
-from sassafraswinch_sidecar.relay_answers import (
-    MAY_HAVE_RUN_STATUS,
-    NOT_RUN_STATUS,
-    TIMEOUT_STATUS,
-    RelayAnswers,
-)
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 from sassafraswinch_sidecar.relay_intake import KEY_CHANGED, Relay, RelayIntake
-from sassafraswinch_sidecar.relay_outcomes import RelayOutcomes
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     RelayRequest,
     RelayResponse,
     Verdict,
 )
-from sassafraswinch_sidecar.relay_repeats import MIN_RETRY_LEFT_MS, RelayRepeats
 from sassafraswinch_sidecar.relay_requests import request_of
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget
+from sassafraswinch_sidecar.relay_retry_policy import (
+    MIN_RETRY_REMAINING_MS,
+    RelayRetryPolicy,
+)
 from sassafraswinch_sidecar.request_log import RequestLog
+from sassafraswinch_sidecar.retry_budget import RetryBudget
 from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
 from sassafraswinch_sidecar.slot_times import add_slot_times, parse_slot_times
 from sassafraswinch_sidecar.substitutes import Substitutes
@@ -47,11 +50,11 @@
     SuspectRequests,
 )
 
-MAX_PLACES = 4
+MAX_REFUSALS = 4
 """Instances that are asked for one request; refusals by their sidecars before the
 backend server are free, but each takes a way there and back."""
 
-FINAL_MARGIN_MS = 130.0
+FINAL_RESPONSE_MARGIN_MS = 130.0
 """Time past its limit until which the answer of the executing sidecar is awaited: it
 tells whether the request has run."""
 
@@ -60,7 +63,7 @@
 """Time after its start in which a sidecar waits for its first links rather than refuse
 for want of them: a killed process is back at once, and its callers come at once."""
 
-SETTLE_PAUSE_S = 0.03
+SETTLE_RETRY_INTERVAL_S = 0.03
 """Pause between looks for a link in that time: dialling takes milliseconds."""
 
 
@@ -77,7 +80,7 @@
         own_ip: str,
         own_load: PeerLoad,
         intake: RelayIntake,
-        answers: RelayAnswers,
+        responses: CallerResponses,
         fleet: Fleet,
         links: PeerLinks,
         view: FleetView,
@@ -85,10 +88,10 @@
         placement: Placement,
         rates: OrganisationRates,
         admission: EntryAdmission,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         suspects: SuspectRequests,
         held: HeldBytes,
-        counts: RelayCounts,
+        counters: RelayCounters,
         log: RequestLog,
     ):
         self.relays: dict[int, Relay] = {}
@@ -96,7 +99,7 @@
         self._closed = False
         self._own_ip = own_ip
         self._intake = intake
-        self._answers = answers
+        self._answers = responses
         self._fleet = fleet
         self._links = links
         self._view = view
@@ -106,10 +109,10 @@
         self._admission = admission
         self._suspects = suspects
         self._held = held
-        self._counts = counts
+        self._counts = counters
         self._log = log
-        self._repeats = RelayRepeats(budget=budget, now_ms=self._now_ms)
-        self._outcomes = RelayOutcomes(admission=admission, now_ms=self._now_ms)
+        self._repeats = RelayRetryPolicy(budget=budget, now_ms=self._now_ms)
+        self._outcomes = OutcomeRecorder(admission=admission, now_ms=self._now_ms)
         self._call_ids = itertools.count(1)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
@@ -123,7 +126,7 @@
 
     def handle(self, http: HttpRequest, connection: CallerConnection) -> None:
         """Take a request (RequestHandler)."""
-        taken = self._intake.take(http, connection, closed=self._closed)
+        taken = self._intake.accept_request(http, connection, closed=self._closed)
         if not isinstance(taken, Relay):
             self._answers.refuse(http, connection, taken)
             return
@@ -143,7 +146,7 @@
         relay = self._by_http.get(http)
         if relay is None:
             return
-        self._counts.ended("caller-left")
+        self._counts.record_unserved("caller-left")
         self._log.failed(
             "caller_left",
             relay.request_id,
@@ -155,19 +158,19 @@
 
     def expire(self, now_ms: float) -> None:
         """End the requests whose time has passed without an answer."""
-        overdue_ms = now_ms - FINAL_MARGIN_MS
+        overdue_ms = now_ms - FINAL_RESPONSE_MARGIN_MS
         late = [
             relay for relay in self._by_http.values() if relay.deadline_ms < overdue_ms
         ]
         for relay in late:
             self._timed_out(relay)
 
-    def stood_still(self, stood_ms: float) -> None:
+    def apply_pause(self, stood_ms: float) -> None:
         """Take the time that callers waited, unknown to the clock, off their limits."""
         for relay in self._by_http.values():
             relay.deadline_ms -= stood_ms
 
-    def response(self, response: RelayResponse, load: PeerLoad | None) -> None:
+    def handle_response(self, response: RelayResponse, load: PeerLoad | None) -> None:
         """Take the end of a call from the executing sidecar."""
         if load is not None:
             load.report(response.load, self._now_ms())
@@ -182,7 +185,7 @@
         if response.server_end:
             self._suspects.ended(digest_request(relay), response.server_end)
         self._repeats.learn(relay)
-        self._outcomes.execution_ended(relay, response, load)
+        self._outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
             self._answered(relay, response)
         elif response.verdict == Verdict.NOT_RUN:
@@ -191,7 +194,7 @@
             relay.may_have_run = True
             self._may_have_run(relay, response.reason)
 
-    def link_lost(self, ip: str) -> None:
+    def handle_link_lost(self, ip: str) -> None:
         """Decide anew on all calls that a lost link carried."""
         for relay in [found for found in self.relays.values() if found.ip == ip]:
             self.relays.pop(relay.call_id, None)
@@ -200,7 +203,7 @@
             relay.offered_to.add(relay.identity)
             self._may_have_run(relay, "link-lost")
 
-    def unsent(self, requests: Iterable[RelayRequest]) -> None:
+    def place_unsent(self, requests: Iterable[RelayRequest]) -> None:
         """Place requests anew that waited for a link and weren't written to it."""
         for request in requests:
             relay = self.relays.pop(request.call_id, None)
@@ -210,17 +213,17 @@
     def _admit(self, relay: Relay) -> bool:
         if not self._is_within_rate(relay):
             return False
-        self._admission.offered(relay.kind, relay.priority)
+        self._admission.offered(relay.admission_class, relay.priority)
         if not self._held.fits():
             # Its answer would be one more that is held for a slow reader.
             self._fail(relay, "no-memory", NOT_RUN_STATUS)
             return False
-        blocking = self._admission.blocking(relay.kind, relay.level)
+        blocking = self._admission.blocking(relay.admission_class, relay.level)
         if blocking is None:
             self._spend(relay)
             return True
         self._answers.refuse_overloaded(
-            relay, blocking, self._admission.fits[relay.kind].share
+            relay, blocking, self._admission.fits[relay.admission_class].share
         )
         self._finish(relay)
         return False
@@ -246,22 +249,22 @@
         judged = self._judge(relay)
         if judged is None:
             return
-        if not self._intake.has_key_in_force(relay):
+        if not self._intake.is_key_still_valid(relay):
             self._end(relay, KEY_CHANGED)
             return
         left_ms = relay.deadline_ms - self._now_ms()
         instances = self._fleet.of_service(relay.service)
         instance = None
-        refusals = relay.places - relay.offers
-        if left_ms >= MIN_RETRY_LEFT_MS and refusals < MAX_PLACES:
+        refusals = relay.placements - relay.offers
+        if left_ms >= MIN_RETRY_REMAINING_MS and refusals < MAX_REFUSALS:
             instance = self._choose(relay, instances, judged)
         if instance is None and not relay.tried and self._settling(left_ms):
-            self._loop.call_later(SETTLE_PAUSE_S, self._place_again, relay)
+            self._loop.call_later(SETTLE_RETRY_INTERVAL_S, self._place_again, relay)
             return
         if instance is None:
             self._no_place(relay, len(instances))
             return
-        relay.places += 1
+        relay.placements += 1
         relay.tried.add(instance.identity)
         self._send(relay, instance, left_ms)
 
@@ -296,7 +299,7 @@
 
     def _settling(self, left_ms: float) -> bool:
         young = self._now_ms() - self._started_ms < SETTLE_MS
-        return young and left_ms >= MIN_RETRY_LEFT_MS
+        return young and left_ms >= MIN_RETRY_REMAINING_MS
 
     def _send(self, relay: Relay, instance: Instance, left_ms: float) -> None:
         relay.call_id = next(self._call_ids)
@@ -304,7 +307,7 @@
         relay.identity = instance.identity
         relay.instance_id = self._substitutes.actual_id(instance, self._now_ms())
         last = relay.parent is None and self._admission.needs_only(
-            relay.kind, relay.service
+            relay.admission_class, relay.service
         )
         request = request_of(relay, left_ms=left_ms, last=last)
         self.relays[relay.call_id] = relay
@@ -328,27 +331,27 @@
                 relay.tried.discard(instance.identity)
 
     def _deliver(self, relay: Relay, response: RelayResponse) -> None:
-        self._outcomes.answered(relay, response)
+        self._outcomes.record_response(relay, response)
         self._answers.deliver(relay, response)
         self._finish(relay)
 
     def _fail(self, relay: Relay, reason: str, status: int) -> None:
         if status == NOT_RUN_STATUS and relay.has_token:
             self._rates.give_back(relay.caller, self._now_ms())
-        self._outcomes.failed(relay)
+        self._outcomes.record_failure(relay)
         self._answers.fail(relay, reason, status)
         self._finish(relay)
 
     def _own_response(self, response: RelayResponse) -> None:
-        self._loop.call_soon(self.response, response, self._own_load)
+        self._loop.call_soon(self.handle_response, response, self._own_load)
 
     def _answered(self, relay: Relay, response: RelayResponse) -> None:
-        server_failed = response.status >= SERVER_FAILURE
+        server_failed = response.status >= SERVER_FAILURE_STATUS
         if not server_failed:
             # The sidecar beside the server may not know yet that it was a suspect.
             self._suspects.answered(relay)
-        if server_failed and self._repeats.allow_failed(relay):
-            relay.last_answer = response
+        if server_failed and self._repeats.allows_retry_of_failed(relay):
+            relay.last_error_response = response
             self._repeat(relay, f"status-{response.status}")
             return
         self._deliver(relay, response)
@@ -363,16 +366,16 @@
             self._end(relay, response.reason)
             return
         if response.reason == INSTANCE_LEAVING:
-            self._outcomes.refused_as_leaving(load)
+            self._outcomes.record_leaving_refusal(load)
         if not response.offered:
             self._place(relay)
-        elif self._repeats.allow_unrun(relay):
+        elif self._repeats.allows_retry_of_unexecuted(relay):
             self._repeat(relay, response.reason)
         else:
             self._end(relay, response.reason)
 
     def _may_have_run(self, relay: Relay, reason: str) -> None:
-        if self._repeats.allow_failed(relay):
+        if self._repeats.allows_retry_of_failed(relay):
             self._repeat(relay, reason)
         else:
             self._end(relay, reason)
@@ -387,13 +390,13 @@
             reason=reason,
             offers=relay.offers,
         )
-        self._counts.repeated(relay.service)
-        relay.repeated = True
+        self._counts.record_retry(relay.service)
+        relay.is_retry = True
         self._place(relay)
 
     def _no_place(self, relay: Relay, known: int) -> None:
-        if relay.last_answer is not None:
-            self._deliver(relay, relay.last_answer)
+        if relay.last_error_response is not None:
+            self._deliver(relay, relay.last_error_response)
             return
         reason = "no-instance" if not known else "no-room"
         if not self._repeats.has_time(relay):
@@ -402,8 +405,8 @@
 
     def _end(self, relay: Relay, reason: str) -> None:
         """Give the final answer to a request that has none of a server."""
-        if relay.last_answer is not None:
-            self._deliver(relay, relay.last_answer)
+        if relay.last_error_response is not None:
+            self._deliver(relay, relay.last_error_response)
         elif not relay.may_have_run:
             self._fail(relay, reason, NOT_RUN_STATUS)
         else:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counts.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_counters.py
@@ -5,24 +5,24 @@
 from sassafraswinch.latencies import LatencyCounts, count_latency
 
 
-class RelayCounts:
+class RelayCounters:
     """Counts the ends of requests at their entry."""
 
     def __init__(self):
-        self.answers: Counter[tuple[str, int]] = Counter()
-        self.ends: Counter[str] = Counter()
-        self.repeats: Counter[str] = Counter()
+        self.responses: Counter[tuple[str, int]] = Counter()
+        self.unserved: Counter[str] = Counter()
+        self.retries: Counter[str] = Counter()
         self.latencies: dict[str, LatencyCounts] = {}
 
-    def answered(self, route: str, latency_ms: float, status: int) -> None:
+    def record_response(self, route: str, latency_ms: float, status: int) -> None:
         """Count an answer of a backend server."""
-        self.answers[route, status] += 1
+        self.responses[route, status] += 1
         count_latency(self.latencies.setdefault(route, {}), latency_ms)
 
-    def ended(self, reason: str) -> None:
+    def record_unserved(self, reason: str) -> None:
         """Count a request that got no answer of a backend server."""
-        self.ends[reason] += 1
+        self.unserved[reason] += 1
 
-    def repeated(self, service: str) -> None:
+    def record_retry(self, service: str) -> None:
         """Count a request that is sent once more."""
-        self.repeats[service] += 1
+        self.retries[service] += 1
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
@@ -5,15 +5,15 @@
 
 from sassafraswinch.organisations import Organisation, parse_bearer_key
 from sassafraswinch.ranks import rank_of
-from sassafraswinch_sidecar.dialect import HeaderNames
 from sassafraswinch_sidecar.entry_admission import LEVELS
 from sassafraswinch_sidecar.executor import Execution, Executor
 from sassafraswinch_sidecar.fleet import Fleet
-from sassafraswinch_sidecar.http_fields import DROPPED, serialize_end_to_end
+from sassafraswinch_sidecar.header_names import HeaderNames
+from sassafraswinch_sidecar.http_fields import NOT_FORWARDED, serialize_end_to_end
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
 from sassafraswinch_sidecar.instances import InstanceIdentity
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse
-from sassafraswinch_sidecar.routes import Route, RouteTable, ShareChooser
+from sassafraswinch_sidecar.routes import Route, RouteTable, WeightedRoundRobin
 
 AUTHORIZATION = b"authorization"
 
@@ -43,7 +43,7 @@
             before that of its route.
         level: place of its root request within the priority.
         parent: the execution whose backend server made it; None for a root request.
-        repeated: whether it, or a request above it, was sent before.
+        is_retry: whether it, or a request above it, was sent before.
         caller: organisation whose key it carries; None for a call, and where it needs
             no key.
         organisation: name of the organisation that sent its root request, or "".
@@ -58,12 +58,12 @@
         identity: lifetime of the server that the call was sent to.
         offers: times that it was written to a backend server.
         offered_to: lifetimes of the servers that it was written to.
-        places: sidecars that were asked to run it.
+        placements: sidecars that were asked to run it.
         may_have_run: whether an offer ended without a proof.
         repeats_spent: whether it, or a call below it, failed and wasn't repeated since
             too much is repeated.
         retry_after_ms: wait that a refused caller is told; None for the usual one.
-        last_answer: a failure that a backend server answered, while it is repeated.
+        last_error_response: a failure that a backend server answered, while it is repeated.
         ended: whether the caller has its answer, or left.
         slot_ms: slot time that it and the calls below it took, by service.
     """
@@ -77,7 +77,7 @@
     priority: int
     level: int
     parent: Execution | None
-    repeated: bool
+    is_retry: bool
     progress: int
     headers: bytes = b""
     caller: Organisation | None = None
@@ -91,16 +91,16 @@
     identity: InstanceIdentity = ("", 0)
     offers: int = 0
     offered_to: set[InstanceIdentity] = field(default_factory=set)
-    places: int = 0
+    placements: int = 0
     may_have_run: bool = False
     repeats_spent: bool = False
     retry_after_ms: float | None = None
-    last_answer: RelayResponse | None = None
+    last_error_response: RelayResponse | None = None
     ended: bool = False
     slot_ms: dict[str, float] = field(default_factory=dict)
 
     @property
-    def kind(self) -> str:
+    def admission_class(self) -> str:
         """What entries admit root requests by: the route, and its caller's priority."""
         if self.caller is None or self.caller.priority is None:
             return self.route.name
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unroutable:
+class IntakeRefusal:
     """A request that takes no route, or may not.
 
     Attributes:
@@ -158,7 +158,7 @@
         self._caller_line = b"%b: %b\r\n" % (names.caller_service, service.encode())
         self._id_name = names.request_id.lower()
         self._time_left_name = names.time_left_ms.lower()
-        self._own_names = DROPPED | {
+        self._own_names = NOT_FORWARDED | {
             self._time_left_name,
             names.expected_instance.lower(),
             names.caller_service.lower(),
@@ -171,11 +171,11 @@
         self._fleet = fleet
         self._executor = executor
         self._rng = rng
-        self._shares = ShareChooser()
+        self._shares = WeightedRoundRobin()
 
-    def take(
+    def accept_request(
         self, http: HttpRequest, connection: CallerConnection, *, closed: bool
-    ) -> Relay | Unroutable:
+    ) -> Relay | IntakeRefusal:
         """Return the relay of a request, or why there is none.
 
         Args:
@@ -186,17 +186,17 @@
         host, request_id, left_ms, credentials = self._read(http)
         table = self._fleet.table
         if table is None:
-            return Unroutable(request_id, host, NO_ROUTES, None)
+            return IntakeRefusal(request_id, host, NO_ROUTES, None)
         if closed:
-            return Unroutable(request_id, host, LEAVING, table.version)
+            return IntakeRefusal(request_id, host, LEAVING, table.version)
         route = table.find(host, http.target.decode("latin-1"))
         if route is None:
-            return Unroutable(request_id, host, NO_ROUTE, table.version)
+            return IntakeRefusal(request_id, host, NO_ROUTE, table.version)
         parent = self._executor.running.get(request_id.rpartition(".")[0])
         caller = None if parent else _caller(credentials, table)
         if parent is None and caller is None and not _is_open(route, table):
             reason = _identity_fault(credentials, request_id)
-            return Unroutable(request_id, host, reason, table.version)
+            return IntakeRefusal(request_id, host, reason, table.version)
         waits_ms = route.timeout_ms if left_ms is None else left_ms
         deadline_ms = http.arrived_ms + min(waits_ms, route.timeout_ms)
         if parent is not None:
@@ -212,14 +212,14 @@
             priority=parent.request.priority if parent else _rank(caller, route),
             level=parent.request.level if parent else self._rng.randrange(LEVELS),
             parent=parent,
-            repeated=parent is not None and parent.request.repeated,
+            is_retry=parent is not None and parent.request.repeated,
             progress=_progress(parent),
             caller=caller,
             organisation=organisation,
             table_version=table.version,
         )
 
-    def has_key_in_force(self, relay: Relay) -> bool:
+    def is_key_still_valid(self, relay: Relay) -> bool:
         """Return whether a request's key still belongs to its organisation."""
         table = self._fleet.table
         if relay.caller is None or table.version == relay.table_version:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_requests.py
@@ -7,7 +7,7 @@
 """Part of the target latency that a root request waits for a slot: after that it is
 better off elsewhere, or told to come back while there is time."""
 
-INNER_WAIT_SHARE = 0.4
+CHILD_WAIT_SHARE = 0.4
 """Part of its time that a call of a running request waits for a slot. Refusing it
 would waste what its root request has taken so far."""
 
@@ -21,7 +21,7 @@
         last: whether its tree ends with it.
     """
     inner = relay.parent is not None
-    share = INNER_WAIT_SHARE if inner else ROOT_WAIT_SHARE
+    share = CHILD_WAIT_SHARE if inner else ROOT_WAIT_SHARE
     span_ms = left_ms if inner else relay.route.target_latency_ms
     return RelayRequest(
         call_id=relay.call_id,
@@ -38,7 +38,7 @@
         level=relay.level,
         inner=inner,
         idempotent=relay.route.idempotent,
-        repeated=relay.repeated,
+        repeated=relay.is_retry,
         progress=relay.progress,
         last=last,
         organisation=relay.organisation,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_repeats.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_retry_policy.py
@@ -4,17 +4,17 @@
 
 from sassafraswinch.ranks import route_priority_of
 from sassafraswinch_sidecar.relay_intake import Relay
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget
+from sassafraswinch_sidecar.retry_budget import RetryBudget
 
 MAX_OFFERS = 7
 """Times that a request is written to backend servers while they prove that they didn't
 run it: at a service that refuses 0.55 of its requests, 0.985 of them pass in seven."""
 
-MIN_RETRY_LEFT_MS = 40.0
+MIN_RETRY_REMAINING_MS = 40.0
 """Time that must be left for one more try: a way across and a short run."""
 
 
-class RelayRepeats:
+class RelayRetryPolicy:
     """Keeps repeats within what the route, the caller and the fleet allow.
 
     Args:
@@ -22,25 +22,25 @@
         now_ms: monotonic clock.
     """
 
-    def __init__(self, *, budget: RepeatBudget, now_ms: Callable[[], float]):
+    def __init__(self, *, budget: RetryBudget, now_ms: Callable[[], float]):
         self._budget = budget
         self._now_ms = now_ms
         self._services_below: dict[str, set[str]] = {}
 
-    def sent(self, relay: Relay) -> None:
+    def record_sent(self, relay: Relay) -> None:
         """Count a request that goes to a backend server's sidecar.
 
         The further sidecars of one try aren't counted: those before refused it unsent.
         """
-        if relay.repeated or relay.places == 1:
-            self._budget.sent(
+        if relay.is_retry or relay.placements == 1:
+            self._budget.record_sent(
                 relay.service,
-                repeated=relay.repeated,
+                is_retry=relay.is_retry,
                 now_ms=self._now_ms(),
                 priority=route_priority_of(relay.priority),
             )
 
-    def learn(self, relay: Relay) -> None:
+    def record_downstream_services(self, relay: Relay) -> None:
         """Note the services that the calls below a request went to."""
         if len(relay.slot_ms) > 1:
             below = self._services_below.setdefault(relay.route.name, set())
@@ -48,13 +48,13 @@
 
     def has_time(self, relay: Relay) -> bool:
         """Return whether one more try could end in time."""
-        return relay.deadline_ms - self._now_ms() >= MIN_RETRY_LEFT_MS
+        return relay.deadline_ms - self._now_ms() >= MIN_RETRY_REMAINING_MS
 
-    def allow_unrun(self, relay: Relay) -> bool:
+    def allows_retry_of_unexecuted(self, relay: Relay) -> bool:
         """Return whether a request that a server refused unrun may be offered again."""
         return relay.offers < MAX_OFFERS and self._budget_allows(relay)
 
-    def allow_failed(self, relay: Relay) -> bool:
+    def allows_retry_of_failed(self, relay: Relay) -> bool:
         """Return whether a request that failed, or may have run, may run once more."""
         return (
             relay.route.idempotent
@@ -73,10 +73,10 @@
         """
         if not relay.repeats_spent:
             below = self._services_below.get(relay.route.name, ())
-            allowed = self._budget.allows(
+            allowed = self._budget.allows_retry(
                 relay.service,
                 self._now_ms(),
-                below=below,
+                downstream=below,
                 priority=route_priority_of(relay.priority),
             )
             relay.repeats_spent = not allowed
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/request_log.py
@@ -14,7 +14,7 @@
 BURST_S = 2.0
 """Seconds' worth of lines that may come at once."""
 
-TELL_MS = 10_000.0
+OMITTED_REPORT_INTERVAL_MS = 10_000.0
 """Pause between the lines that tell how many got none."""
 
 
@@ -59,10 +59,10 @@
         if self._served.take(self._now_ms()):
             write_event(event, "info", {"request_id": request_id, **fields})
 
-    def tell_left_out(self) -> None:
+    def report_omitted(self) -> None:
         """Say now and then how many lines there were none for."""
         now_ms = self._now_ms()
-        if now_ms - self._told_ms < TELL_MS:
+        if now_ms - self._told_ms < OMITTED_REPORT_INTERVAL_MS:
             return
         self._told_ms = now_ms
         for kind, bucket in (("failures", self._failures), ("served", self._served)):
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/retry_budget.py
@@ -10,19 +10,19 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-SHARE_OF_RATIO = 0.35
+SIDECAR_RATIO_SHARE = 0.35
 """Part of the fleet's ratio that one sidecar spends. A repeated request repeats its
 calls, which count at the services below as well: with a third, the repeats of three
 levels add up to the whole ratio."""
 
-CALM_SHARE_OF_RATIO = 0.9
+FEW_RETRIES_RATIO_SHARE = 0.9
 """The same while the fleet's repeats, as last told by all, are few."""
 
-CALM_SHARE = 0.4
+FEW_RETRIES_BUDGET_SHARE = 0.4
 """Part of the fleet's bound below which its repeats are few. What all sidecars add
 before they hear of each other, a second of a window of ten, stays below the rest."""
 
-DEEPEST_SHARES = (0.8, 0.6, 0.4)
+DEEPEST_RATIO_SHARES = (0.8, 0.6, 0.4)
 """The same at a service that calls no other, by the priority of the root request; the
 last one is for all that are less important, while more important ones are repeated as
 well. Nothing below counts these repeats again.
@@ -31,16 +31,16 @@
 can only end if each may be offered several times, so repeats that are spread over all
 trees save hardly any; spent on the most important ones, they save those."""
 
-PRESSING_SHARE = 0.1
+HIGHER_PRIORITY_RETRY_SHARE = 0.1
 """Part of the repeats from which those of more important requests take room from the
 others: below it hardly anything important fails."""
 
-STRAINED_SHARE = 0.5
+MAX_DOWNSTREAM_USED_SHARE = 0.5
 """Part of the fleet's bound at a service from which no request above it is repeated
 any more. Their calls count there as well and can't be refused; what sidecars add before
 they hear of each other, and calls repeated for their own sake, stays below the rest."""
 
-HEARD_SHARE = 0.9
+MIN_REPORTING_SHARE = 0.9
 """Part of the sidecars that must have told their counts for the sum to say how much the
 fleet repeats. One silent host in hundreds is usual. What the others may repeat in vain
 stays bounded by their own requests, which are missing in the sum as well."""
@@ -79,44 +79,45 @@
         more_important = sum(
             count for each, count in self.by_priority.items() if each < priority
         )
-        return more_important > PRESSING_SHARE * self.repeats
+        return more_important > HIGHER_PRIORITY_RETRY_SHARE * self.repeats
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class AttemptCounts:
     """Requests and repeats that one sidecar sent to a service in the window."""
 
     requests: int
-    repeats: int
+    retries: int
 
 
-NOTHING_COUNTED = Counted(0, 0)
+ZERO_COUNTS = AttemptCounts(0, 0)
 
 
-def sum_counts(told: Iterable[Mapping[str, Counted]]) -> dict[str, Counted]:
+def sum_counts(told: Iterable[Mapping[str, AttemptCounts]]) -> dict[str, AttemptCounts]:
     """Return the sums by service of what several sidecars sent."""
     requests: Counter[str] = Counter()
     repeats: Counter[str] = Counter()
     for service, count in itertools.chain.from_iterable(each.items() for each in told):
         requests[service] += count.requests
-        repeats[service] += count.repeats
+        repeats[service] += count.retries
     return {
-        service: Counted(requests[service], repeats[service]) for service in requests
+        service: AttemptCounts(requests[service], repeats[service])
+        for service in requests
     }
 
 
-Totals = tuple[Mapping[str, Counted], int]
+FleetTotals = tuple[Mapping[str, AttemptCounts], int]
 """Requests and repeats of all sidecars by service, and how many sidecars told them."""
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and repeats by service over a sliding window.
 
     Args:
         ratio: repeats for each request that the whole fleet may make.
         slack: repeats of the whole fleet in a window that need no request.
         window_ms: length of the window.
-        most_sidecars: returns how many sidecars there may be at the most.
+        max_sidecars: returns how many sidecars there may be at the most.
         sidecars: returns how many are known now.
         totals: returns what all sidecars sent, as last told.
     """
@@ -127,26 +128,26 @@
         ratio: float,
         slack: float,
         window_ms: float,
-        most_sidecars: Callable[[], int],
+        max_sidecars: Callable[[], int],
         sidecars: Callable[[], int],
-        totals: Callable[[float], Totals],
+        totals: Callable[[float], FleetTotals],
     ):
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms + BUCKET_MS
-        self._most_sidecars = most_sidecars
+        self._most_sidecars = max_sidecars
         self._sidecars = sidecars
         self._totals = totals
         self._windows: dict[str, _Window] = {}
 
-    def sent(
-        self, service: str, *, repeated: bool, now_ms: float, priority: int = 0
+    def record_sent(
+        self, service: str, *, is_retry: bool, now_ms: float, priority: int = 0
     ) -> None:
         """Count a request that goes to a service.
 
         Args:
             service: name of the service.
-            repeated: whether it, or a request above it, was sent before.
+            is_retry: whether it, or a request above it, was sent before.
             now_ms: monotonic time.
             priority: priority of the root request.
         """
@@ -154,7 +155,7 @@
         if window is None:
             window = self._windows[service] = _Window()
         bucket = window.current(self._window_ms, now_ms)
-        if repeated:
+        if is_retry:
             bucket.repeats[priority] += 1
             window.by_priority[priority] += 1
             window.repeats += 1
@@ -162,22 +163,22 @@
             bucket.requests += 1
             window.requests += 1
 
-    def counted(self, now_ms: float) -> dict[str, Counted]:
+    def window_counts(self, now_ms: float) -> dict[str, AttemptCounts]:
         """Return what this sidecar sent in the window, by service."""
         for window in self._windows.values():
             window.current(self._window_ms, now_ms)
         return {
-            service: Counted(window.requests, window.repeats)
+            service: AttemptCounts(window.requests, window.repeats)
             for service, window in self._windows.items()
             if window.requests or window.repeats
         }
 
-    def allows(
+    def allows_retry(
         self,
         service: str,
         now_ms: float,
         *,
-        below: Collection[str] = (),
+        downstream: Collection[str] = (),
         priority: int = 0,
     ) -> bool:
         """Return whether one more request of this service may be repeated.
@@ -185,7 +186,7 @@
         Args:
             service: name of the service.
             now_ms: monotonic time.
-            below: services that its requests call, directly or not.
+            downstream: services that its requests call, directly or not.
             priority: priority of the root request.
         """
         slack = self._slack / 2 / max(1, self._most_sidecars())
@@ -195,29 +196,33 @@
         window.current(self._window_ms, now_ms)
         counts, tellers = self._totals(now_ms)
         if any(
-            self._used_share(each, counts, now_ms) >= STRAINED_SHARE for each in below
+            self._used_share(each, counts, now_ms) >= MAX_DOWNSTREAM_USED_SHARE
+            for each in downstream
         ):
             return False
-        hears_all = max(1, tellers) >= HEARD_SHARE * self._sidecars()
-        share = SHARE_OF_RATIO
-        deepest = not below and hears_all
+        hears_all = max(1, tellers) >= MIN_REPORTING_SHARE * self._sidecars()
+        share = SIDECAR_RATIO_SHARE
+        deepest = not downstream and hears_all
         if deepest and window.presses_for(priority):
-            share = DEEPEST_SHARES[min(priority, len(DEEPEST_SHARES) - 1)]
-        elif hears_all and self._used_share(service, counts, now_ms) < CALM_SHARE:
-            share = CALM_SHARE_OF_RATIO
+            share = DEEPEST_RATIO_SHARES[min(priority, len(DEEPEST_RATIO_SHARES) - 1)]
+        elif (
+            hears_all
+            and self._used_share(service, counts, now_ms) < FEW_RETRIES_BUDGET_SHARE
+        ):
+            share = FEW_RETRIES_RATIO_SHARE
         elif deepest:
-            share = DEEPEST_SHARES[0]
+            share = DEEPEST_RATIO_SHARES[0]
         ratio = self._ratio * share
         return window.repeats + 1 <= ratio * window.requests + slack
 
     def _used_share(
-        self, service: str, counts: Mapping[str, Counted], now_ms: float
+        self, service: str, counts: Mapping[str, AttemptCounts], now_ms: float
     ) -> float:
         """Return the part of the fleet's bound at a service that is used, as told.
 
         What this sidecar sent is in the sums, but for that of the last moment.
         """
-        told = counts.get(service, NOTHING_COUNTED)
+        told = counts.get(service, ZERO_COUNTS)
         requests, repeats = told.requests, told.repeats
         window = self._windows.get(service)
         if window is not None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/routes.py
@@ -110,7 +110,7 @@
         return frozenset(share.service for share in shares)
 
 
-class ShareChooser:
+class WeightedRoundRobin:
     """Spreads the requests of split routes by weight.
 
     Each request adds every weight to its part's credit and goes to the part with the
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_request.py
@@ -1,6 +1,6 @@
 """Coding of requests as the backend server gets them."""
 
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -10,22 +10,24 @@
 from sassafraswinch.crash_suspects import CrashSuspects
 from sassafraswinch.organisation_rates import OrganisationRates, RateRule, Use
 from sassafraswinch_node.logs import log_event
+from sassafraswinch_sidecar.caller_responses import CallerResponses
 from sassafraswinch_sidecar.configuration_events import (
     log_platform_faults,
     log_settings_changes,
 )
-from sassafraswinch_sidecar.dialect import HeaderNames
 from sassafraswinch_sidecar.entry_admission import NO_CAPACITY, EntryAdmission
 from sassafraswinch_sidecar.executor import Executor
 from sassafraswinch_sidecar.fleet import Decoder, Fleet
 from sassafraswinch_sidecar.fleet_exchange import ExchangeMessage, FleetExchange
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.graceful_shutdown import drain_requests
-from sassafraswinch_sidecar.held_bytes import HeldBytes, most_held_bytes
+from sassafraswinch_sidecar.header_names import HeaderNames
+from sassafraswinch_sidecar.held_bytes import HeldBytes, max_held_bytes
 from sassafraswinch_sidecar.host_reports import HostReports
 from sassafraswinch_sidecar.http_client import HttpClient
 from sassafraswinch_sidecar.http_server import HttpListener
 from sassafraswinch_sidecar.isolation_detector import IsolationDetector
+from sassafraswinch_sidecar.message_codec import Message, parse_position
 from sassafraswinch_sidecar.organisations_page import OrganisationsPage
 from sassafraswinch_sidecar.pages import MetricsPage, ReadyPage
 from sassafraswinch_sidecar.pause_detector import PauseDetector
@@ -42,8 +44,7 @@
 from sassafraswinch_sidecar.reachable_loads import ReachableLoads
 from sassafraswinch_sidecar.recent_maximum import RecentMaximum
 from sassafraswinch_sidecar.relay import RelayOwner
-from sassafraswinch_sidecar.relay_answers import RelayAnswers
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 from sassafraswinch_sidecar.relay_intake import RelayIntake
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     Heartbeat,
@@ -53,9 +54,8 @@
     RelayResponse,
     SuspectNews,
 )
-from sassafraswinch_sidecar.relay_wire import Message, parse_position
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget
 from sassafraswinch_sidecar.request_log import RequestLog
+from sassafraswinch_sidecar.retry_budget import RetryBudget
 from sassafraswinch_sidecar.routes import RequestLimits
 from sassafraswinch_sidecar.sidecar_settings import SidecarSettings
 from sassafraswinch_sidecar.suspect_exchange import SuspectExchange
@@ -110,7 +110,7 @@
         )
         self._view = FleetView(own_ip=settings.ip)
         self._log = RequestLog(now_ms=self._now_ms)
-        self._held = HeldBytes(most_bytes=most_held_bytes(settings.memory_mb))
+        self._held = HeldBytes(max_bytes=max_held_bytes(settings.memory_mb))
         self._crash_suspects = CrashSuspects()
         self._suspect_exchange = SuspectExchange(
             suspects=self._crash_suspects,
@@ -154,15 +154,15 @@
             now_ms=self._now_ms,
         )
         self._admission = EntryAdmission(worths=settings.worth_by_priority)
-        self._counts = RelayCounts()
+        self._counts = RelayCounters()
         window_ms = settings.repeat_window_s * 1000
         self._known_hosts: set[str] = set()
         self._most_sidecars = RecentMaximum(window_ms=2 * window_ms)
-        self._budget = RepeatBudget(
+        self._budget = RetryBudget(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
             window_ms=window_ms,
-            most_sidecars=lambda: self._most_sidecars.value(self._now_ms()),
+            max_sidecars=lambda: self._most_sidecars.value(self._now_ms()),
             sidecars=lambda: len(self._known_hosts),
             totals=self._view.totals,
         )
@@ -220,8 +220,8 @@
                 executor=self._executor,
                 rng=rng,
             ),
-            answers=RelayAnswers(
-                names=names, counts=self._counts, log=self._log, rng=rng
+            responses=CallerResponses(
+                names=names, counters=self._counts, log=self._log, rng=rng
             ),
             fleet=self._fleet,
             links=self._links,
@@ -239,7 +239,7 @@
             budget=self._budget,
             suspects=self._suspects,
             held=self._held,
-            counts=self._counts,
+            counters=self._counts,
             log=self._log,
         )
         self._outbound = HttpListener(
@@ -313,11 +313,11 @@
 
     def link_lost(self, ip: str) -> None:
         """Decide anew on the calls of a lost link (LinkListener)."""
-        self._owner.link_lost(ip)
+        self._owner.handle_link_lost(ip)
 
     def requests_unsent(self, requests: Collection[RelayRequest]) -> None:
         """Place requests anew that were never written (LinkListener)."""
-        self._owner.unsent(requests)
+        self._owner.place_unsent(requests)
 
     def is_pending(self, call_id: int) -> bool:
         """Return whether a request that waits still has to go (LinkListener)."""
@@ -326,7 +326,7 @@
     def dialled_message(self, ip: str, message: Message) -> None:
         """Take a message from a peer that this sidecar dialled (LinkListener)."""
         if isinstance(message, RelayResponse):
-            self._owner.response(message, self._view.load(ip))
+            self._owner.handle_response(message, self._view.load(ip))
         elif isinstance(message, ExchangeMessage):
             self._exchange.dialled_message(ip, message)
         elif isinstance(message, SuspectNews):
@@ -357,7 +357,7 @@
 
     def accepted_link_lost(self, link: PeerLink) -> None:
         """Cancel what the peer can't be told the end of (LinkListener)."""
-        self._executor.owner_lost(link)
+        self._executor.cancel_owner(link)
 
     def _announce(self) -> None:
         """Tell the zone what this sidecar knows of the platform by now."""
@@ -414,7 +414,7 @@
             self._executor.expire(now_ms)
             self._data.tick(now_ms)
             self._held.unsent_bytes = self._links.unsent_bytes()
-            self._log.tell_left_out()
+            self._log.report_omitted()
             if self._admission.due(now_ms):
                 self._share_duty(now_ms)
                 self._admit_anew(now_ms)
@@ -425,8 +425,8 @@
         if not stood_ms:
             return
         log_event("stood_still", level="warning", stood_ms=stood_ms)
-        self._owner.stood_still(stood_ms)
-        self._executor.stood_still(stood_ms)
+        self._owner.apply_pause(stood_ms)
+        self._executor.apply_pause(stood_ms)
         self._view.add_paused_time(stood_ms)
         self._crash_suspects.stood_still(stood_ms)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_metrics.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar_metrics.py
@@ -11,7 +11,7 @@
 from prometheus_client.registry import Collector
 
 from sassafraswinch.latencies import histogram_of, quantiles_ms as latency_quantiles_ms
-from sassafraswinch_sidecar.relay_counts import RelayCounts
+from sassafraswinch_sidecar.relay_counters import RelayCounters
 
 PREFIX = "sassafraswinch_sidecar"
 PERCENTS = (50.0, 90.0, 99.0, 100.0)
@@ -26,7 +26,7 @@
     """
 
     def __init__(
-        self, *, counts: RelayCounts, gauges: Callable[[], Mapping[str, float]]
+        self, *, counts: RelayCounters, gauges: Callable[[], Mapping[str, float]]
     ):
         self._counts = counts
         self._gauges = gauges
@@ -47,17 +47,17 @@
         answers = CounterMetricFamily(
             f"{PREFIX}_answers", "Answers passed on.", labels=("route", "status")
         )
-        for (route, status), count in counts.answers.items():
+        for (route, status), count in counts.responses.items():
             answers.add_metric([route, str(status)], count)
         ends = CounterMetricFamily(
             f"{PREFIX}_not_served", "Requests without an answer.", labels=("reason",)
         )
-        for reason, count in counts.ends.items():
+        for reason, count in counts.unserved.items():
             ends.add_metric([reason], count)
         repeats = CounterMetricFamily(
             f"{PREFIX}_repeats", "Requests sent once more.", labels=("service",)
         )
-        for service, count in counts.repeats.items():
+        for service, count in counts.retries.items():
             repeats.add_metric([service], count)
         yield from (answers, ends, repeats, self._latencies())
         for name, value in self._gauges().items():
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
@@ -22,6 +22,7 @@
     serialize_demand,
     serialize_usage,
 )
+from sassafraswinch_sidecar.message_codec import position_fields
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     FleetDigest,
     HostLoads,
@@ -29,8 +30,7 @@
     ZoneLoads,
     ZoneSummary,
 )
-from sassafraswinch_sidecar.relay_wire import position_fields
-from sassafraswinch_sidecar.repeat_budget import sum_counts
+from sassafraswinch_sidecar.retry_budget import sum_counts
 from sassafraswinch_sidecar.revisions import Position
 
 AGGREGATORS_PER_ZONE = 2
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -14,7 +14,7 @@
     Organisations,
     RateLimit,
 )
-from sassafraswinch_sidecar.dialect import HeaderNames
+from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.routes import RequestLimits, Route, RouteTable, Share
 from sassafraswinch_sidecar.sidecar import Sidecar
--- a/packages/sassafraswinch-sidecar/tests/test_held_bytes.py
+++ b/packages/sassafraswinch-sidecar/tests/test_held_bytes.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from sassafraswinch_sidecar.held_bytes import HeldBytes, most_held_bytes
+from sassafraswinch_sidecar.held_bytes import HeldBytes, max_held_bytes
 
 
 def test_bytes_for_peers_count_beside_the_bodies():
-    held = HeldBytes(most_bytes=100)
+    held = HeldBytes(max_bytes=100)
     held.hold(60)
     assert held.fits(40)
     assert not held.fits(41)
@@ -19,4 +19,4 @@
 @pytest.mark.parametrize("memory_mb", [200, 300])
 def test_three_copies_of_what_is_held_leave_room_for_the_program(memory_mb):
     program_mb = 50
-    assert 3 * most_held_bytes(memory_mb) / 1e6 + program_mb < memory_mb
+    assert 3 * max_held_bytes(memory_mb) / 1e6 + program_mb < memory_mb
--- a/packages/sassafraswinch-sidecar/tests/test_http_server.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_server.py
@@ -39,7 +39,7 @@
         header_timeout_ms=300.0,
         idle_timeout_ms=800.0,
     )
-    held = HeldBytes(most_bytes=MOST_HELD_BYTES)
+    held = HeldBytes(max_bytes=MOST_HELD_BYTES)
     listener = HttpListener(handler=Handler(), limits=lambda: limits, held=held)
     await listener.open("127.0.0.1", 0)
     listener.port = listener._server.sockets[0].getsockname()[1]
--- a/packages/sassafraswinch-sidecar/tests/test_relay_wire.py
+++ b/packages/sassafraswinch-sidecar/tests/test_message_codec.py
@@ -5,6 +5,16 @@
 
 from sassafraswinch_node.frames import LENGTH_BYTES
 from sassafraswinch_node.wire import WireError
+from sassafraswinch_sidecar.message_codec import (
+    parse_delta,
+    parse_message,
+    parse_position,
+    parse_replica_request,
+    position_fields,
+    serialize_delta,
+    serialize_message,
+    serialize_replica_request,
+)
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     HeartbeatReply,
     HostReport,
@@ -14,16 +24,6 @@
     ServerLoad,
     SummaryRequest,
 )
-from sassafraswinch_sidecar.relay_wire import (
-    parse_delta,
-    parse_message,
-    parse_position,
-    parse_question,
-    position_fields,
-    serialize_delta,
-    serialize_message,
-    serialize_question,
-)
 from sassafraswinch_sidecar.replica import Delta, Entry
 from sassafraswinch_sidecar.revisions import Position, Revision
 
@@ -78,8 +78,8 @@
     request = SummaryRequest(**position_fields(position))
     frame = serialize_message(request)
     assert parse_position(parse_message(frame[LENGTH_BYTES:])) == position
-    frame = serialize_message(serialize_question(position))
-    assert parse_question(parse_message(frame[LENGTH_BYTES:])) == position
+    frame = serialize_message(serialize_replica_request(position))
+    assert parse_replica_request(parse_message(frame[LENGTH_BYTES:])) == position
 
 
 @settings(derandomize=True, deadline=None)
--- a/packages/sassafraswinch-sidecar/tests/test_request_log.py
+++ b/packages/sassafraswinch-sidecar/tests/test_request_log.py
@@ -27,7 +27,7 @@
     for number in range(1_000):
         log.failed("not_served", f"f-{number}")
     now_ms[0] = 10_001.0
-    log.tell_left_out()
+    log.report_omitted()
     assert "event=lines_left_out of=failures count=900" in log_stream.getvalue()
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_repeats_in_chains.py
+++ b/packages/sassafraswinch-sidecar/tests/test_retries_in_chains.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafraswinch_sidecar.relay_repeats import MAX_OFFERS
+from sassafraswinch_sidecar.relay_retry_policy import MAX_OFFERS
 from sidecar_standins.backend import answer
 from sidecar_standins.fleet import ROUTES, route, running_fleet, until
 
@@ -65,7 +65,7 @@
     for calls that may not even be repeated themselves.
     """
     for node in fleet.nodes_of("schvaleni"):
-        node.sidecar._budget.allows = lambda *args, **options: False
+        node.sidecar._budget.allows_retry = lambda *args, **options: False
     assert await runs_of_callers(fleet) == 1
 
 
@@ -74,7 +74,7 @@
     request above it is worth another try.
     """
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
     assert await runs_of_callers(fleet) == 2
 
 
@@ -97,7 +97,7 @@
     that makes eight calls in turn would ever end.
     """
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
     (archiv,) = fleet.nodes_of("archiv")
     archiv.backend.behaviour = pass_each(4)
     for number in range(5):
@@ -114,7 +114,7 @@
     await fleet.store.put(ROUTES, {"version": 3, "routes": [one]})
     await until(lambda: all(n.sidecar._fleet.table.version == 3 for n in fleet.nodes))
     for node in fleet.nodes:
-        node.sidecar._budget.allows = lambda *args, **options: True
+        node.sidecar._budget.allows_retry = lambda *args, **options: True
         node.backend.behaviour = shed
     got = await fleet.call(fleet.nodes[0], target="/approve/1")
     assert got.status == 503
--- a/packages/sassafraswinch-sidecar/tests/test_repeat_budget.py
+++ b/packages/sassafraswinch-sidecar/tests/test_retry_budget.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from sassafraswinch_sidecar.repeat_budget import Counted, RepeatBudget
+from sassafraswinch_sidecar.retry_budget import AttemptCounts, RetryBudget
 
 RATIO, SLACK, WINDOW_MS = 0.2, 50.0, 10_000.0
 
@@ -21,11 +21,11 @@
 
 
 def new_budget(sidecars, fleet=None):
-    return RepeatBudget(
+    return RetryBudget(
         ratio=RATIO,
         slack=SLACK,
         window_ms=WINDOW_MS,
-        most_sidecars=lambda: sidecars,
+        max_sidecars=lambda: sidecars,
         sidecars=lambda: sidecars,
         totals=fleet or Fleet(),
     )
@@ -56,11 +56,13 @@
             told_ms = now_ms
             exchange(budgets, now_ms)
         budget, priority = rng.choice(budgets), rng.randrange(3)
-        budget.sent("archiv", repeated=False, now_ms=now_ms)
+        budget.record_sent("archiv", is_retry=False, now_ms=now_ms)
         requests.append(now_ms)
-        allowed = budget.allows("archiv", now_ms, priority=priority)
+        allowed = budget.allows_retry("archiv", now_ms, priority=priority)
         if rng.random() < failing and allowed:
-            budget.sent("archiv", repeated=True, now_ms=now_ms, priority=priority)
+            budget.record_sent(
+                "archiv", is_retry=True, now_ms=now_ms, priority=priority
+            )
             repeats.append(now_ms)
     for end_ms in range(10_000, 26_000, 1_000):
         begin_ms = end_ms - WINDOW_MS
@@ -73,10 +75,10 @@
     """Tell all sidecars the sums of what each has sent, as gatherers do."""
     counts = {}
     for budget in budgets:
-        for service, told in budget.counted(now_ms).items():
-            known = counts.get(service, Counted(0, 0))
-            counts[service] = Counted(
-                known.requests + told.requests, known.repeats + told.repeats
+        for service, told in budget.window_counts(now_ms).items():
+            known = counts.get(service, AttemptCounts(0, 0))
+            counts[service] = AttemptCounts(
+                known.requests + told.requests, known.retries + told.repeats
             )
     for budget in budgets:
         budget._totals.totals = counts, len(budgets)
@@ -89,7 +91,7 @@
     budgets = [new_budget(10) for _ in range(10)]
     for budget in budgets:
         for number in range(100):
-            budget.sent("archiv", repeated=False, now_ms=number * 10.0)
+            budget.record_sent("archiv", is_retry=False, now_ms=number * 10.0)
     exchange(budgets, 1_000.0)
     one = budgets[0]
     allowed = 0
@@ -102,11 +104,11 @@
 def test_sidecar_that_does_not_hear_all_others_keeps_to_its_safe_part():
     budget = new_budget(10)
     for number in range(100):
-        budget.sent("archiv", repeated=False, now_ms=number * 10.0)
-    budget._totals.totals = {"archiv": Counted(200, 0)}, 2
+        budget.record_sent("archiv", is_retry=False, now_ms=number * 10.0)
+    budget._totals.totals = {"archiv": AttemptCounts(200, 0)}, 2
     for _ in range(9):
-        budget.sent("archiv", repeated=True, now_ms=1_000.0)
-    assert not budget.allows("archiv", 1_000.0)
+        budget.record_sent("archiv", is_retry=True, now_ms=1_000.0)
+    assert not budget.allows_retry("archiv", 1_000.0)
 
 
 def test_repeats_of_three_levels_of_calls_add_up_to_the_ratio():
@@ -120,11 +122,11 @@
         now_ms = number * 4.0
         repeated = False
         for service in levels:
-            budget.sent(service, repeated=repeated, now_ms=now_ms)
+            budget.record_sent(service, is_retry=repeated, now_ms=now_ms)
             arrivals[service] += repeated
-            if not repeated and budget.allows(service, now_ms):
+            if not repeated and budget.allows_retry(service, now_ms):
                 repeated = True
-                budget.sent(service, repeated=True, now_ms=now_ms)
+                budget.record_sent(service, is_retry=True, now_ms=now_ms)
                 arrivals[service] += 1
     assert max(arrivals.values()) <= RATIO * 2_000 + SLACK
 
@@ -151,12 +153,12 @@
             budget = rng.choice(groups[service])
             run(budget, depth, now_ms, repeated=repeated)
             failed = 4_000 < now_ms < 16_000 and rng.random() < 0.3
-            if failed and budget.allows(service, now_ms, below=below):
+            if failed and budget.allows_retry(service, now_ms, downstream=below):
                 run(budget, depth, now_ms, repeated=True)
 
     def run(budget, depth, now_ms, *, repeated):
         service = CHAIN[depth][0]
-        budget.sent(service, repeated=repeated, now_ms=now_ms)
+        budget.record_sent(service, is_retry=repeated, now_ms=now_ms)
         if service == "prehled":
             arrivals[repeated].append(now_ms)
         call(depth + 1, now_ms, repeated=repeated)
@@ -184,26 +186,26 @@
     fleet = Fleet()
     budget = new_budget(200, fleet)
     for number in range(100):
-        budget.sent("archiv", repeated=False, now_ms=number * 10.0)
-    fleet.totals = {"archiv": Counted(20_000, 0)}, 199
+        budget.record_sent("archiv", is_retry=False, now_ms=number * 10.0)
+    fleet.totals = {"archiv": AttemptCounts(20_000, 0)}, 199
     for _ in range(15):
-        assert budget.allows("archiv", 1_000.0)
-        budget.sent("archiv", repeated=True, now_ms=1_000.0)
-    fleet.totals = {"archiv": Counted(20_000, 0)}, 150
-    assert not budget.allows("archiv", 1_000.0)
+        assert budget.allows_retry("archiv", 1_000.0)
+        budget.record_sent("archiv", is_retry=True, now_ms=1_000.0)
+    fleet.totals = {"archiv": AttemptCounts(20_000, 0)}, 150
+    assert not budget.allows_retry("archiv", 1_000.0)
 
 
 def test_unknown_service_may_use_its_part_of_the_slack():
-    assert new_budget(1).allows("archiv", 0.0)
-    assert not new_budget(100).allows("archiv", 0.0)
+    assert new_budget(1).allows_retry("archiv", 0.0)
+    assert not new_budget(100).allows_retry("archiv", 0.0)
 
 
 def test_old_repeats_are_forgotten():
     budget = new_budget(10)
     for _ in range(2):
-        budget.sent("archiv", repeated=True, now_ms=0.0)
-    assert not budget.allows("archiv", 5_000.0)
-    assert budget.allows("archiv", 11_500.0)
+        budget.record_sent("archiv", is_retry=True, now_ms=0.0)
+    assert not budget.allows_retry("archiv", 5_000.0)
+    assert budget.allows_retry("archiv", 11_500.0)
 
 
 def fail_all(budget, priorities, *, below=()):
@@ -215,10 +217,12 @@
     repeats = Counter()
     for number in range(100):
         now_ms = number * 10.0
-        budget.sent("prehled", repeated=False, now_ms=now_ms)
+        budget.record_sent("prehled", is_retry=False, now_ms=now_ms)
         priority = priorities[number % len(priorities)]
-        if budget.allows("prehled", now_ms, below=below, priority=priority):
-            budget.sent("prehled", repeated=True, now_ms=now_ms, priority=priority)
+        if budget.allows_retry("prehled", now_ms, downstream=below, priority=priority):
+            budget.record_sent(
+                "prehled", is_retry=True, now_ms=now_ms, priority=priority
+            )
             repeats[priority] += 1
     return repeats
 
--- a/packages/sassafraswinch-sidecar/tests/test_routes.py
+++ b/packages/sassafraswinch-sidecar/tests/test_routes.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from sassafraswinch_sidecar.routes import Route, RouteTable, Share, ShareChooser
+from sassafraswinch_sidecar.routes import Route, RouteTable, Share, WeightedRoundRobin
 
 
 def route(name="r", host="a.example", prefix="/", shares=(("archiv", 1),), **fields):
@@ -66,7 +66,7 @@
     chooser keeps every part near its share at any moment.
     """
     split = route(shares=tuple((f"s{n}", w) for n, w in enumerate(weights)))
-    chooser = ShareChooser()
+    chooser = WeightedRoundRobin()
     counts = Counter(chooser.choose(split) for _ in range(requests))
     for number, weight in enumerate(weights):
         wanted = requests * weight / sum(weights)
@@ -74,7 +74,7 @@
 
 
 def test_changed_split_starts_anew():
-    chooser = ShareChooser()
+    chooser = WeightedRoundRobin()
     chooser.choose(route(shares=(("a", 1), ("b", 1))))
     chosen = {chooser.choose(route(shares=(("c", 1), ("d", 1)))) for _ in range(2)}
     assert chosen == {"c", "d"}
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -5,7 +5,7 @@
 
 from sassafraswinch.crash_suspects import CrashSuspects, Standing, SuspectWord
 from sassafraswinch_node.frames import LENGTH_BYTES
-from sassafraswinch_sidecar.relay_wire import parse_message, serialize_message
+from sassafraswinch_sidecar.message_codec import parse_message, serialize_message
 from sassafraswinch_sidecar.suspect_exchange import (
     LONGEST_AGE_MS,
     SuspectExchange,
--- a/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
@@ -69,7 +69,7 @@
     assert (claim.kind, claim.rate_per_s) == ("orders", 30.0)
     assert math.isclose(claim.needs["archiv"], 0.2)
     counts, tellers = view.totals(200.0)
-    assert (counts["archiv"].requests, counts["archiv"].repeats, tellers) == (60, 6, 6)
+    assert (counts["archiv"].requests, counts["archiv"].retries, tellers) == (60, 6, 6)
     assert view.recent_load(IPS["brno-b"][0], 200.0).in_flight == 10
     # What was told 100 ms ago in another zone is that much older here.
     assert view.recent_load(IPS["brno-b"][0], 100.0 + MAX_VIEW_AGE_MS) is None
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -110,12 +110,12 @@
         host.up = False
         name = f"i-{next(self._names)}"
         for execution in list(host.executions):
-            began = execution.place.started_at_ms is not None
+            began = execution.queue_entry.started_at_ms is not None
             if began:
                 digests = digest_request(execution.request)
                 host.suspect_requests.ended(digests, name)
             else:
-                host.queue.withdraw(execution.place)
+                host.queue.withdraw(execution.queue_entry)
             verdict = Verdict.MAY_HAVE_RUN if began else Verdict.NOT_RUN
             self._simulation.end(host, execution, verdict, "server-ended")
         self._simulation.clock.after(DOWN_MS, lambda: setattr(host, "up", True))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -16,16 +16,16 @@
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.placement import capacities_of
-from sassafraswinch_sidecar.relay import MAX_PLACES
+from sassafraswinch_sidecar.relay import MAX_REFUSALS
 from sassafraswinch_sidecar.relay_intake import Relay
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     RelayRequest,
     RelayResponse,
     Verdict,
 )
-from sassafraswinch_sidecar.relay_repeats import MIN_RETRY_LEFT_MS
-from sassafraswinch_sidecar.relay_requests import INNER_WAIT_SHARE, ROOT_WAIT_SHARE
-from sassafraswinch_sidecar.repeat_budget import sum_counts
+from sassafraswinch_sidecar.relay_requests import CHILD_WAIT_SHARE, ROOT_WAIT_SHARE
+from sassafraswinch_sidecar.relay_retry_policy import MIN_RETRY_REMAINING_MS
+from sassafraswinch_sidecar.retry_budget import sum_counts
 from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
 from sassafraswinch_sidecar.server_queue import QueuedRequest
 from sassafraswinch_sidecar.slot_times import (
@@ -186,7 +186,7 @@
             priority=parent.request.priority if parent else kind.priority,
             level=parent.request.level if parent else self.rng.randrange(LEVELS),
             parent=parent,
-            repeated=parent is not None and parent.request.repeated,
+            is_retry=parent is not None and parent.request.repeated,
             progress=parent.request.progress + parent.calls_done + 1 if parent else 0,
         )
         if parent is None:
@@ -204,7 +204,10 @@
             return
         left_ms = relay.deadline_ms - now_ms
         instance = None
-        if left_ms >= MIN_RETRY_LEFT_MS and relay.places - relay.offers < MAX_PLACES:
+        if (
+            left_ms >= MIN_RETRY_REMAINING_MS
+            and relay.placements - relay.offers < MAX_REFUSALS
+        ):
             instances = self.instances_of(relay.service)
             if judged.standing is Standing.FREE:
                 instance = choose_server(host.placement, relay, instances, now_ms)
@@ -215,12 +218,12 @@
         if instance is None:
             self._fail(host, relay)
             return
-        relay.places += 1
+        relay.placements += 1
         relay.tried.add(instance.identity)
         inner = relay.parent is not None
         span_ms = left_ms if inner else relay.route.target_latency_ms
-        wait_ms = span_ms * (INNER_WAIT_SHARE if inner else ROOT_WAIT_SHARE)
-        host.repeats.sent(relay)
+        wait_ms = span_ms * (CHILD_WAIT_SHARE if inner else ROOT_WAIT_SHARE)
+        host.repeats.record_sent(relay)
         host.loads[instance.ip].sent_since += 1
         content = content_of(relay.request_id)
         request = RelayRequest(
@@ -234,7 +237,7 @@
             priority=relay.priority,
             level=relay.level,
             inner=inner,
-            repeated=relay.repeated,
+            repeated=relay.is_retry,
             progress=relay.progress,
             last=not inner
             and host.admission.needs_only(relay.route.name, relay.service),
@@ -251,7 +254,7 @@
     def _submit(self, host: Host, execution: Execution) -> None:
         now_ms = self.now_ms()
         request = execution.request
-        execution.place = QueuedRequest(
+        execution.queue_entry = QueuedRequest(
             execution,
             request.inner,
             request.priority,
@@ -263,7 +266,7 @@
         if refusal or not host.up:
             self.end(host, execution, Verdict.NOT_RUN, refusal or "server-down")
             return
-        if not host.queue.offer(execution.place, now_ms):
+        if not host.queue.offer(execution.queue_entry, now_ms):
             self.end(host, execution, Verdict.NOT_RUN, "overloaded")
             return
         host.executions.add(execution)
@@ -331,7 +334,7 @@
         if execution.ended:
             return
         host.executions.discard(execution)
-        place, now_ms = execution.place, self.now_ms()
+        place, now_ms = execution.queue_entry, self.now_ms()
         if place.started_at_ms is not None:
             service = host.instance.service
             held_ms = host.queue.finished(place, now_ms)
@@ -360,38 +363,38 @@
             relay.offers += 1
             relay.offered_to.add(instance.identity)
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
-        host.repeats.learn(relay)
-        host.outcomes.execution_ended(relay, response, load)
+        host.repeats.record_downstream_services(relay)
+        host.outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
             failed = response.status >= 500
-            if failed and host.repeats.allow_failed(relay):
+            if failed and host.repeats.allows_retry_of_failed(relay):
                 self._repeat(host, relay)
                 return
             if not failed:
                 host.suspect_requests.answered(content_of(relay.request_id))
-            host.outcomes.answered(relay, response)
+            host.outcomes.record_response(relay, response)
             self._done(relay, response.status)
         elif response.verdict == Verdict.MAY_HAVE_RUN:
-            if host.repeats.allow_failed(relay):
+            if host.repeats.allows_retry_of_failed(relay):
                 self._repeat(host, relay)
             else:
-                host.outcomes.failed(relay)
+                host.outcomes.record_failure(relay)
                 self._done(relay, 502)
         elif response.reason in (HELD_BACK, COPY_RUNS):
             self._fail(host, relay)
         elif not response.offered:
             self._place(host, relay)
-        elif host.repeats.allow_unrun(relay):
+        elif host.repeats.allows_retry_of_unexecuted(relay):
             self._repeat(host, relay)
         else:
             self._fail(host, relay)
 
     def _repeat(self, host: Host, relay: Relay) -> None:
-        relay.repeated = True
+        relay.is_retry = True
         self._place(host, relay)
 
     def _fail(self, host: Host, relay: Relay) -> None:
-        host.outcomes.failed(relay)
+        host.outcomes.record_failure(relay)
         self._done(relay, 503)
 
     def _done(self, relay: Relay, status: int) -> None:
@@ -413,7 +416,7 @@
     now_ms = simulation.now_ms()
     hosts = simulation.hosts.values()
     demand = merge_claims(host.admission.demand() for host in hosts)
-    counts = sum_counts(host.budget.counted(now_ms) for host in hosts)
+    counts = sum_counts(host.budget.window_counts(now_ms) for host in hosts)
     tell_suspects(f"zone-{zone}", hosts, now_ms)
     for host in hosts:
         if host.instance.availability_zone != f"zone-{zone}":
