--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sassafraswinch_sidecar.backend_watch import BackendWatch
 from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_client import (
@@ -24,8 +23,13 @@
     Verdict,
 )
 from sassafraswinch_sidecar.request_log import RequestLog
-from sassafraswinch_sidecar.server_ends import ServerEnds
-from sassafraswinch_sidecar.server_queue import SLOT_SHARE, QueuedRequest, ServerQueue
+from sassafraswinch_sidecar.server_exits import ServerExits
+from sassafraswinch_sidecar.server_monitor import ServerMonitor
+from sassafraswinch_sidecar.server_queue import (
+    USABLE_SLOT_SHARE,
+    QueuedRequest,
+    ServerQueue,
+)
 from sassafraswinch_sidecar.server_request import serialize_request
 from sassafraswinch_sidecar.slot_times import add_slot_times, serialize_slot_times
 from sassafraswinch_sidecar.suspect_gate import SuspectGate
@@ -97,7 +101,7 @@
         suspects: SuspectRequests,
         log: RequestLog,
     ):
-        self.queue = ServerQueue(limit=int(UNKNOWN_SLOTS * SLOT_SHARE))
+        self.queue = ServerQueue(limit=int(UNKNOWN_SLOTS * USABLE_SLOT_SHARE))
         self.running: dict[str, Execution] = {}
         self.leaving = False
         self._service = service
@@ -114,23 +118,23 @@
             suspects=suspects,
             running=lambda: (each.request for each in self.running.values()),
         )
-        self._ends = ServerEnds(
+        self._ends = ServerExits(
             suspects=suspects,
             is_leaving=self._leaves,
             log=log,
             now_ms=lambda: self._loop.time() * 1000,
         )
         self._broken: list[Execution] = []
-        self._watch = BackendWatch(
+        self._watch = ServerMonitor(
             client=client,
             service=service,
-            went_down=self._refuse_waiting,
-            looked=self._looked,
+            on_down=self._refuse_waiting,
+            on_exit_checked=self._looked,
         )
 
     def set_slots(self, slots: int) -> None:
         """Take the number of requests that the server runs at once."""
-        self.queue.limit = max(1, int(slots * SLOT_SHARE))
+        self.queue.limit = max(1, int(slots * USABLE_SLOT_SHARE))
 
     def load(self) -> ServerLoad:
         """Return what peers are told of the server."""
@@ -138,7 +142,7 @@
         return ServerLoad(
             in_flight=queue.running,
             queued=queue.queued,
-            limit=queue.limit if self._watch.up else 0,
+            limit=queue.limit if self._watch.is_up else 0,
         )
 
     def submit(self, request: RelayRequest, reply: Reply, owner: object) -> None:
@@ -170,7 +174,7 @@
             request.progress,
             request.last,
         )
-        if not self.queue.offer(execution.queue_entry, now_ms):
+        if not self.queue.enqueue(execution.queue_entry, now_ms):
             self._end_unrun(execution, "overloaded")
             return
         self._executions[owner, request.call_id] = execution
@@ -225,21 +229,21 @@
             return "other-service"
         if self._is_leaving(request.instance_id):
             return INSTANCE_LEAVING
-        if self._watch.is_another(request.instance_id):
+        if self._watch.is_other_instance(request.instance_id):
             return OTHER_INSTANCE
-        if not self._watch.up:
+        if not self._watch.is_up:
             return "server-down"
         if request.remaining_ms <= 0:
             return "deadline"
         if request.body and not self._held.fits(len(request.body)):
             return "no-memory"
-        return self._gate.refusal(request)
+        return self._gate.refusal_reason(request)
 
     def _start(self, now_ms: float) -> None:
-        for queued in self.queue.startable(now_ms):
+        for queued in self.queue.pop_startable(now_ms):
             execution = queued.item
             # Servers may have ended under it while it waited.
-            refusal = self._gate.refusal(execution.request)
+            refusal = self._gate.refusal_reason(execution.request)
             if refusal:
                 self._end_unrun(execution, refusal)
             else:
@@ -259,7 +263,7 @@
             )
 
         if self.queue.running == 1:
-            self._watch.alive()
+            self._watch.record_activity()
         execution.exchange = Exchange(
             payload, request.method.encode(), is_own, self._exchange_done, execution
         )
@@ -269,17 +273,17 @@
     def _exchange_done(self, exchange: Exchange, end: HttpResponse | Fault) -> None:
         execution = exchange.context
         if isinstance(end, HttpResponse):
-            self._watch.alive()
-            self._ends.answered()
+            self._watch.record_activity()
+            self._ends.clear_abandoned_requests()
             self._answered(execution, end)
         elif end is Fault.UNREACHABLE:
-            self._watch.unreachable()
-            if self._ends.has_given_up:
-                self._watch.look()
+            self._watch.record_unreachable()
+            if self._ends.has_abandoned_requests:
+                self._watch.check_exit()
             self._end(execution, Verdict.NOT_RUN, "server-down")
         else:
             # The server may have ended: who answers next may be another instance.
-            self._watch.is_instance(None)
+            self._watch.record_instance(None)
             execution.offered = True
             if end is Fault.RESET:
                 self._connection_broke(execution)
@@ -288,18 +292,18 @@
 
     def _connection_broke(self, execution: Execution) -> None:
         """End a request once it is known why its connection broke."""
-        if self._watch.ended:
+        if self._watch.has_exited:
             self._end_with_server(execution)
             return
         self._broken.append(execution)
-        self._watch.look()
+        self._watch.check_exit()
 
     def _looked(self, server_ended: bool) -> None:
         broken, self._broken = self._broken, []
         open_ones = [execution for execution in broken if not execution.ended]
         if server_ended:
             instance_id = open_ones[0].request.instance_id if open_ones else ""
-            self._ends.begin(instance_id)
+            self._ends.record_exit(instance_id)
         for execution in open_ones:
             if server_ended:
                 self._end_with_server(execution)
@@ -307,7 +311,7 @@
                 self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_RESET)
 
     def _end_with_server(self, execution: Execution) -> None:
-        execution.server_end = self._ends.add(execution.request)
+        execution.server_end = self._ends.record_running_request(execution.request)
         self._end(execution, Verdict.MAY_HAVE_RUN, SERVER_ENDED)
 
     def _leaves(self, instance_id: str) -> bool:
@@ -319,21 +323,21 @@
         lowered = {name: value for name, _, value in response.fields}
         if response.status == MISDIRECTED_STATUS:
             told = lowered.get(names.actual_instance.lower())
-            self._watch.is_instance(told.decode("latin-1") if told else None)
+            self._watch.record_instance(told.decode("latin-1") if told else None)
             execution.actual_instance_id = self._watch.trusted_instance_id()
             self._end(execution, Verdict.NOT_RUN, OTHER_INSTANCE)
             return
         if names.not_executed.lower() in lowered:
             self._end(execution, Verdict.NOT_RUN, "server-shed")
             return
-        self._watch.is_instance(execution.request.instance_id)
+        self._watch.record_instance(execution.request.instance_id)
         encoded = b"content-encoding" in lowered
         signed = names.signature.lower() in lowered
         if encoded or (response.status < 300 and not signed):
             self._end(execution, Verdict.MAY_HAVE_RUN, "server-garbled")
             return
         if response.status < SERVER_FAILURE_STATUS:
-            self._ends.ran_well(execution.request)
+            self._ends.record_answered_request(execution.request)
             self._suspects.answered(execution.request)
         lines = serialize_end_to_end(response.fields, NOT_FORWARDED)
         self._end(
@@ -349,7 +353,7 @@
         """Take the time that passed, unknown to the clock, off all time limits."""
         for execution in self._executions.values():
             execution.deadline_ms -= stood_ms
-            execution.queue_entry.give_up_at_ms -= stood_ms
+            execution.queue_entry.queue_deadline_ms -= stood_ms
 
     def expire(self, now_ms: float) -> None:
         """End the requests whose server has let their time pass."""
@@ -366,16 +370,16 @@
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._ends.gave_up(execution.request)
+        self._ends.record_abandoned_request(execution.request)
         execution.offered = True
         self._end(execution, Verdict.MAY_HAVE_RUN, "deadline")
-        self._watch.overdue(self.queue.hold_ms)
+        self._watch.record_overdue(self.queue.mean_hold_ms)
 
     def _break_off(self, execution: Execution) -> None:
         if execution.ended:
             return
         self._client.cancel(execution.exchange)
-        self._ends.gave_up(execution.request)
+        self._ends.record_abandoned_request(execution.request)
         self._release(execution)
         self._forget(execution)
         self._start(self._loop.time() * 1000)
@@ -429,7 +433,7 @@
         place = execution.queue_entry
         if place is None or place.started_at_ms is None or execution.ended:
             return
-        held_ms = self.queue.finished(place, self._loop.time() * 1000)
+        held_ms = self.queue.release_slot(place, self._loop.time() * 1000)
         add_slot_times(execution.slot_ms, {self._service: held_ms})
 
     def _forget(self, execution: Execution) -> None:
@@ -444,7 +448,7 @@
     def _tick(self) -> None:
         self._ticking = None
         now_ms = self._loop.time() * 1000
-        for queued in self.queue.expired(now_ms):
+        for queued in self.queue.pop_expired(now_ms):
             self._end_unrun(queued.item, "queue-timeout")
         if self.queue.queued:
             self._ticking = self._loop.call_later(TICK_S, self._tick)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -129,7 +129,7 @@
         gatherers = self._view.aggregators(self._now_ms())
         for link in self._links.accepted:
             if link.peer_ip in gatherers:
-                self._suspects.tell(link)
+                self._suspects.send_changes(link)
                 link.send(self._report_for(link.peer_ip))
 
     def forward_suspects(self) -> None:
@@ -163,7 +163,7 @@
 
     def accepted_message(self, link: PeerLink, message: Message) -> None:
         """Answer a gatherer of this zone or of another one."""
-        self._suspects.tell(link)
+        self._suspects.send_changes(link)
         if isinstance(message, FleetDigest):
             self._told(link, message)
         else:
@@ -247,4 +247,4 @@
         peers = (self._links.peers.get(ip) for ip in ips)
         for peer in peers:
             if peer is not None and peer.link is not None:
-                self._suspects.tell(peer.link)
+                self._suspects.send_changes(peer.link)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -81,7 +81,7 @@
         for ip in self._named - named:
             load = self._loads[ip]
             missing_ms = now_ms - MAX_VIEW_AGE_MS + MAX_UNLISTED_AGE_MS
-            load.told_ms = min(load.told_ms, missing_ms)
+            load.reported_ms = min(load.reported_ms, missing_ms)
         self._named = named
         self._demand = parse_demand(digest.demand)
         hosts = sum(len(zone.hosts.ips) for zone in digest.zones)
@@ -115,7 +115,7 @@
     def recent_load(self, ip: str, now_ms: float) -> PeerLoad | None:
         """Return what was lately told of the server at an address."""
         load = self._loads.get(ip)
-        if load is None or now_ms - load.told_ms >= MAX_VIEW_AGE_MS:
+        if load is None or now_ms - load.reported_ms >= MAX_VIEW_AGE_MS:
             return None
         return load
 
@@ -124,14 +124,14 @@
         known = self._loads.get(ip)
         if known is None:
             known = self._loads[ip] = PeerLoad()
-        known.report(load, now_ms)
+        known.apply_report(load, now_ms)
         return known
 
     def add_paused_time(self, paused_ms: float) -> None:
         """Add time that passed unknown to the clock to all ages."""
         self._told_ms -= paused_ms
         for load in self._loads.values():
-            load.told_ms -= paused_ms
+            load.reported_ms -= paused_ms
         self._gatherers = {ip: at - paused_ms for ip, at in self._gatherers.items()}
 
     def _take_loads(self, zone: ZoneLoads, at_ms: float) -> None:
@@ -139,16 +139,16 @@
             load = self._loads.get(ip)
             if load is None:
                 load = self._loads[ip] = PeerLoad()
-            if load.told_ms >= at_ms:
+            if load.reported_ms >= at_ms:
                 continue
             load.in_flight = in_flight
             load.queued = queued
             load.limit = limit
-            load.sent_since = 0
+            load.sent_since_report = 0
             load.leaving = bool(flags & LEAVING)
             load.following = bool(flags & FOLLOWING)
             load.isolated = bool(flags & ISOLATED)
-            load.told_ms = at_ms
+            load.reported_ms = at_ms
 
 
 def _host_states(zone: ZoneLoads) -> Iterator[tuple[str, int, int, int, int]]:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -5,8 +5,8 @@
 
 from sassafraswinch.fitting_shares import Claim
 from sassafraswinch.organisation_rates import FleetUse, OrganisationRates, Use
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import Executor
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.message_codec import position_fields
 from sassafraswinch_sidecar.platform_data import PlatformData
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
@@ -48,7 +48,7 @@
         *,
         data: PlatformData,
         executor: Executor,
-        admission: EntryAdmission,
+        admission: IngressAdmission,
         budget: RetryBudget,
         rates: OrganisationRates,
         is_stopping: Callable[[], bool],
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/http_client.py
@@ -381,7 +381,7 @@
 
     def _lost_unanswered(self, connection: ServerConnection) -> None:
         now_ms = self._loop.time() * 1000
-        self._idle_limit.lost(connection.idle_before_use_ms, now_ms)
+        self._idle_limit.record_loss(connection.idle_before_use_ms, now_ms)
 
     def _release(self, connection: ServerConnection) -> None:
         if connection.usable:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/entry_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
@@ -102,7 +102,7 @@
         return {s: slot_s for s, slot_s in self.slot_s.items() if slot_s > MIN_SLOTS}
 
 
-class EntryAdmission:
+class IngressAdmission:
     """Learns what routes need, and refuses what can't be carried to the end.
 
     Args:
@@ -110,24 +110,24 @@
             are less important; empty for a strict order of priorities.
 
     Attributes:
-        fits: the routes that aren't admitted in full, as of the last decision.
-        wanted: slots that all entries' arrivals need, by service, as of then.
+        limited_routes: the routes that aren't admitted in full, as of the last decision.
+        required_slots: slots that all entries' arrivals need, by service, as of then.
     """
 
     def __init__(self, *, worths: Sequence[float] = ()):
         self._worths = worths
-        self.fits: Mapping[str, Fit] = {}
-        self.wanted: Mapping[str, float] = {}
+        self.limited_routes: Mapping[str, Fit] = {}
+        self.required_slots: Mapping[str, float] = {}
         self._routes: dict[str, _RouteDemand] = {}
         self._trims: dict[str, float] = {}
         self._without: dict[str, int] = {}
         self._decided_at_ms: float | None = None
 
-    def trim_of(self, service: str) -> float:
+    def correction_of(self, service: str) -> float:
         """Return the correction to a service's slots that is in force."""
         return self._trims.get(service, 1.0)
 
-    def offered(self, route: str, priority: int) -> None:
+    def record_arrival(self, route: str, priority: int) -> None:
         """Count a root request that arrived."""
         demand = self._routes.get(route)
         if demand is None:
@@ -135,7 +135,9 @@
         demand.priority = priority
         demand.offered += 1
 
-    def learn(self, route: str, slot_ms: Mapping[str, float], now_ms: float) -> None:
+    def record_completed_cost(
+        self, route: str, slot_ms: Mapping[str, float], now_ms: float
+    ) -> None:
         """Take in the slot time that one answered request took, by service."""
         demand = self._routes.get(route)
         if demand is None:
@@ -153,7 +155,7 @@
             else:
                 known[service] = before_s + gain * (taken_s - before_s)
 
-    def learn_at_least(self, route: str, slot_ms: Mapping[str, float]) -> None:
+    def record_partial_cost(self, route: str, slot_ms: Mapping[str, float]) -> None:
         """Take in the slot time of a request that failed on its way.
 
         It says the least that a whole one takes. Under an overload that begins before
@@ -170,14 +172,14 @@
                 gain = LEARN_GAIN if demand.answers else FIRST_GAIN
                 known[service] = before_s + gain * (taken_ms / 1000 - before_s)
 
-    def blocking(self, route: str, level: int) -> str | None:
+    def find_blocking_service(self, route: str, level: int) -> str | None:
         """Return a service that can't carry the request, None if it may go on."""
-        fit = self.fits.get(route)
+        fit = self.limited_routes.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
         return fit.lacks
 
-    def needs_only(self, route: str, service: str) -> bool:
+    def uses_only(self, route: str, service: str) -> bool:
         """Return whether a route's whole answers took slots of one service alone."""
         demand = self._routes.get(route)
         if demand is None or not demand.answers:
@@ -196,34 +198,34 @@
             for name, route in self._routes.items()
         ]
 
-    def due(self, now_ms: float) -> bool:
+    def is_due(self, now_ms: float) -> bool:
         """Return whether an interval has ended."""
         if self._decided_at_ms is None:
             self._decided_at_ms = now_ms
         return now_ms - self._decided_at_ms >= INTERVAL_MS
 
-    def decide(
+    def decide_shares(
         self,
         capacities: Mapping[str, Capacity],
         now_ms: float,
-        told: Collection[Claim] = (),
+        fleet_demand: Collection[Claim] = (),
     ) -> None:
         """End an interval: set the share of each route that is admitted.
 
         Args:
             capacities: slots of each service that can be reached.
             now_ms: monotonic time.
-            told: what all entries' arrivals need, this one's included; without it
+            fleet_demand: what all entries' arrivals need, this one's included; without it
                 those of this entry count alone.
         """
         self._measure(now_ms)
-        claims = told or self.demand()
-        self.wanted = _wanted(claims)
+        claims = fleet_demand or self.demand()
+        self.required_slots = _wanted(claims)
         rooms = {
             service: self._room(service, capacities.get(service, NO_CAPACITY))
-            for service in self.wanted
+            for service in self.required_slots
         }
-        self.fits = fitting_shares(
+        self.limited_routes = fitting_shares(
             claims,
             {s: room for s, room in rooms.items() if room is not None},
             self._worth_of if self._worths else None,
@@ -258,7 +260,7 @@
     def _trim(self, service: str, capacity: Capacity) -> float:
         trim = self._trims.get(service, 1.0)
         use = capacity.used / capacity.slots
-        is_full = any(fit.lacks == service for fit in self.fits.values())
+        is_full = any(fit.lacks == service for fit in self.limited_routes.values())
         if is_full or use > AIM_SHARE:
             step = TRIM_GAIN * (AIM_SHARE - use)
         else:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/outcome_recorder.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/outcome_recorder.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import SERVER_FAILURE_STATUS
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.placement import (
-    LEAVING_WORD_MS,
-    PaceMeter,
+    LEAVING_REFUSAL_MS,
     PeerLoad,
+    RelativeLatencyMeter,
     RunningMeans,
 )
 from sassafraswinch_sidecar.relay_intake import Relay
@@ -22,10 +22,10 @@
         now_ms: monotonic clock.
     """
 
-    def __init__(self, *, admission: EntryAdmission, now_ms: Callable[[], float]):
+    def __init__(self, *, admission: IngressAdmission, now_ms: Callable[[], float]):
         self._admission = admission
         self._now_ms = now_ms
-        self._paces = PaceMeter()
+        self._paces = RelativeLatencyMeter()
         self._answer_bytes = RunningMeans()
 
     def answer_bytes(self, route: str) -> float:
@@ -50,28 +50,30 @@
             or response.status >= SERVER_FAILURE_STATUS
         )
         if response.reason != "deadline":
-            load.ended(failed=failed, now_ms=now_ms)
+            load.record_result(failed=failed, now_ms=now_ms)
         for taken in response.slot_times:
             if not failed and taken.service_name == relay.service:
                 kind = (relay.route.name, relay.service)
-                load.took(self._paces.measure(kind, taken.slot_ms), now_ms)
+                load.record_latency(self._paces.measure(kind, taken.slot_ms), now_ms)
 
     def record_leaving_refusal(self, load: PeerLoad | None) -> None:
         """Note that a sidecar refuses requests since its server leaves."""
         if load is not None:
-            load.refuses_until_ms = self._now_ms() + LEAVING_WORD_MS
+            load.refuses_until_ms = self._now_ms() + LEAVING_REFUSAL_MS
 
     def record_response(self, relay: Relay, response: RelayResponse) -> None:
         """Learn from a request's final answer what its route needs."""
         served = response.status < 300
         if served:
-            self._answer_bytes.count(relay.route.name, len(response.body))
+            self._answer_bytes.add_value(relay.route.name, len(response.body))
         if relay.parent is None and served:
-            self._admission.learn(relay.admission_class, relay.slot_ms, self._now_ms())
+            self._admission.record_completed_cost(
+                relay.admission_class, relay.slot_ms, self._now_ms()
+            )
         elif relay.parent is None:
-            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
+            self._admission.record_partial_cost(relay.admission_class, relay.slot_ms)
 
     def record_failure(self, relay: Relay) -> None:
         """Learn from a request that ends without an answer what it took at least."""
         if relay.parent is None and relay.slot_ms:
-            self._admission.learn_at_least(relay.admission_class, relay.slot_ms)
+            self._admission.record_partial_cost(relay.admission_class, relay.slot_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Hashable, Iterable
 from dataclasses import dataclass
 
-from sassafraswinch_sidecar.entry_admission import NO_CAPACITY, Capacity
+from sassafraswinch_sidecar.ingress_admission import NO_CAPACITY, Capacity
 from sassafraswinch_sidecar.instances import Instance, InstanceIdentity
 from sassafraswinch_sidecar.relay_protocol.ttypes import ServerLoad
 
@@ -61,7 +61,7 @@
 """Time in which what was learnt of an instance halves, so that it is tried again."""
 
 
-LEAVING_WORD_MS = 1_000.0
+LEAVING_REFUSAL_MS = 1_000.0
 """Time in which a host isn't asked again after it refused a request since its server
 leaves. It hears of that first; the platform tells the others within a second, and
 also if the server stays after all."""
@@ -76,34 +76,34 @@
         queued: requests that wait for it.
         limit: requests that are let onto it at once; None before the first report,
             0 while it is down.
-        sent_since: requests sent to it since the report.
+        sent_since_report: requests sent to it since the report.
         leaving: whether the peer takes no new requests.
         refuses_until_ms: until when requests would be refused, by its last word.
-        told_ms: when it was told, by the clock of this sidecar.
+        reported_ms: when it was told, by the clock of this sidecar.
         following: whether the peer follows the platform.
         isolated: whether the peer's host can't reach the platform, which therefore
             doesn't list its server.
-        failing: share of recent requests that failed there.
-        pace: time that recent requests took, as share of the mean of all instances.
+        failure_rate: share of recent requests that failed there.
+        relative_latency: time that recent requests took, as share of the mean of all instances.
         identity: lifetime of the server that the last two were learnt of.
     """
 
     in_flight: int = 0
     queued: int = 0
     limit: int | None = None
-    sent_since: int = 0
+    sent_since_report: int = 0
     leaving: bool = False
     refuses_until_ms: float = 0.0
-    told_ms: float = -math.inf
+    reported_ms: float = -math.inf
     following: bool = False
     isolated: bool = False
-    failing: float = 0.0
-    failing_at_ms: float = 0.0
-    pace: float = 1.0
-    pace_at_ms: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at_ms: float = 0.0
+    relative_latency: float = 1.0
+    relative_latency_at_ms: float = 0.0
     identity: InstanceIdentity | None = None
 
-    def is_of(self, identity: InstanceIdentity) -> None:
+    def set_identity(self, identity: InstanceIdentity) -> None:
         """Note which lifetime of the server requests go to from now on.
 
         Failure: a server that failed half of its requests is started anew, perhaps
@@ -112,42 +112,44 @@
         if identity == self.identity:
             return
         if self.identity is not None:
-            self.failing = 0.0
-            self.pace = 1.0
+            self.failure_rate = 0.0
+            self.relative_latency = 1.0
         self.identity = identity
 
-    def report(self, told: ServerLoad, now_ms: float) -> None:
+    def apply_report(self, told: ServerLoad, now_ms: float) -> None:
         """Take in what the peer says of its backend server."""
-        self.told_ms = now_ms
+        self.reported_ms = now_ms
         self.in_flight = told.in_flight
         self.queued = told.queued
         self.limit = told.limit
-        self.sent_since = 0
+        self.sent_since_report = 0
 
-    def ended(self, *, failed: bool, now_ms: float) -> None:
+    def record_result(self, *, failed: bool, now_ms: float) -> None:
         """Count the end of a request."""
-        known = self.failing_share(now_ms)
-        self.failing = known + FAILURE_GAIN * (float(failed) - known)
-        self.failing_at_ms = now_ms
+        known = self.recent_failure_rate(now_ms)
+        self.failure_rate = known + FAILURE_GAIN * (float(failed) - known)
+        self.failure_rate_at_ms = now_ms
 
-    def failing_share(self, now_ms: float) -> float:
+    def recent_failure_rate(self, now_ms: float) -> float:
         """Return the share of recent requests that failed, fading with time."""
-        if not self.failing:
+        if not self.failure_rate:
             return 0.0
-        return self.failing * _faded(now_ms - self.failing_at_ms)
+        return self.failure_rate * _faded(now_ms - self.failure_rate_at_ms)
 
-    def took(self, pace: float, now_ms: float) -> None:
+    def record_latency(self, pace: float, now_ms: float) -> None:
         """Count the time of a request, as share of the mean for its route."""
         low, high = PACE_BOUNDS
-        known = self.pace_now(now_ms)
-        self.pace = known + PACE_GAIN * (min(max(pace, low), high) - known)
-        self.pace_at_ms = now_ms
+        known = self.recent_relative_latency(now_ms)
+        self.relative_latency = known + PACE_GAIN * (min(max(pace, low), high) - known)
+        self.relative_latency_at_ms = now_ms
 
-    def pace_now(self, now_ms: float) -> float:
+    def recent_relative_latency(self, now_ms: float) -> float:
         """Return the pace, fading to that of the others with time."""
-        if self.pace == 1.0:
+        if self.relative_latency == 1.0:
             return 1.0
-        return 1.0 + (self.pace - 1.0) * _faded(now_ms - self.pace_at_ms)
+        return 1.0 + (self.relative_latency - 1.0) * _faded(
+            now_ms - self.relative_latency_at_ms
+        )
 
 
 class RunningMeans:
@@ -162,7 +164,7 @@
         self._means: dict[Hashable, float] = {}
         self._counts: Counter[Hashable] = Counter()
 
-    def count(self, kind: Hashable, value: float) -> None:
+    def add_value(self, kind: Hashable, value: float) -> None:
         """Take in one value."""
         self._counts[kind] += 1
         # The later of the first values weigh more: those after a start are slow.
@@ -175,7 +177,7 @@
         return self._means.get(kind, 0.0)
 
 
-class PaceMeter:
+class RelativeLatencyMeter:
     """Mean times by kind of request, against which each request is measured."""
 
     def __init__(self):
@@ -219,7 +221,7 @@
         self._cold_left_ms = cold_left_ms
         self._rng = rng
 
-    def choose(
+    def choose_instance(
         self,
         instances: Iterable[Instance],
         tried: Collection[InstanceIdentity],
@@ -268,12 +270,12 @@
         if now_ms < load.refuses_until_ms:
             return None
         if load.identity != instance.identity:
-            load.is_of(instance.identity)
+            load.set_identity(instance.identity)
         limit = load.limit or max(instance.slots, 1)
-        cost = (load.in_flight + load.queued + load.sent_since) / limit
-        if load.failing:
-            cost += FAILING_COST * load.failing_share(now_ms)
-        cost += PACE_COST * (load.pace_now(now_ms) - 1.0)
+        cost = (load.in_flight + load.queued + load.sent_since_report) / limit
+        if load.failure_rate:
+            cost += FAILING_COST * load.recent_failure_rate(now_ms)
+        cost += PACE_COST * (load.recent_relative_latency(now_ms) - 1.0)
         cost += JITTER * self._rng.random()
         if instance.cold_ms and self._cold_left_ms(instance, now_ms):
             cost += COLD_COST
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reachable_loads.py
@@ -38,14 +38,14 @@
         self._view = view
         self._now_ms = now_ms
 
-    def of(self, ip: str) -> PeerLoad | None:
+    def load_of(self, ip: str) -> PeerLoad | None:
         """Return what is known of the server at an address; None if out of reach.
 
         A link that has just shown signs of life proves more than what gatherers tell,
         who may be lost or cut off themselves.
         """
         if ip == self._own_ip:
-            self.own.report(self._executor.load(), self._now_ms())
+            self.own.apply_report(self._executor.load(), self._now_ms())
             self.own.leaving = self._executor.leaving
             return self.own
         now_ms = self._now_ms()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/recent_maximum.py
@@ -14,7 +14,7 @@
         self._window_ms = window_ms
         self._falling: deque[tuple[float, int]] = deque()
 
-    def note(self, value: int, now_ms: float) -> None:
+    def record_value(self, value: int, now_ms: float) -> None:
         """Take in the value that holds from now on."""
         falling = self._falling
         since_ms = now_ms
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -13,7 +13,6 @@
     TIMEOUT_STATUS,
     CallerResponses,
 )
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import (
     INSTANCE_LEAVING,
     SERVER_FAILURE_STATUS,
@@ -23,6 +22,7 @@
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.held_bytes import HeldBytes
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.peer_links import PeerLinks
@@ -39,11 +39,14 @@
     MIN_RETRY_REMAINING_MS,
     RelayRetryPolicy,
 )
+from sassafraswinch_sidecar.reported_instance_ids import ReportedInstanceIds
 from sassafraswinch_sidecar.request_log import RequestLog
 from sassafraswinch_sidecar.retry_budget import RetryBudget
-from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
+from sassafraswinch_sidecar.server_choice import (
+    choose_server,
+    choose_server_for_suspect,
+)
 from sassafraswinch_sidecar.slot_times import add_slot_times, parse_slot_times
-from sassafraswinch_sidecar.substitutes import Substitutes
 from sassafraswinch_sidecar.suspect_requests import (
     COPY_RUNS,
     HELD_BACK,
@@ -87,7 +90,7 @@
         executor: Executor,
         placement: Placement,
         rates: OrganisationRates,
-        admission: EntryAdmission,
+        admission: IngressAdmission,
         budget: RetryBudget,
         suspects: SuspectRequests,
         held: HeldBytes,
@@ -116,7 +119,7 @@
         self._call_ids = itertools.count(1)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
-        self._substitutes = Substitutes()
+        self._substitutes = ReportedInstanceIds()
         self._by_http: dict[HttpRequest, Relay] = {}
 
     @property
@@ -173,7 +176,7 @@
     def handle_response(self, response: RelayResponse, load: PeerLoad | None) -> None:
         """Take the end of a call from the executing sidecar."""
         if load is not None:
-            load.report(response.load, self._now_ms())
+            load.apply_report(response.load, self._now_ms())
         relay = self.relays.pop(response.call_id, None)
         if relay is None or relay.ended:
             return
@@ -213,17 +216,19 @@
     def _admit(self, relay: Relay) -> bool:
         if not self._is_within_rate(relay):
             return False
-        self._admission.offered(relay.admission_class, relay.priority)
+        self._admission.record_arrival(relay.admission_class, relay.priority)
         if not self._held.fits():
             # Its answer would be one more that is held for a slow reader.
             self._fail(relay, "no-memory", NOT_RUN_STATUS)
             return False
-        blocking = self._admission.blocking(relay.admission_class, relay.level)
+        blocking = self._admission.find_blocking_service(
+            relay.admission_class, relay.level
+        )
         if blocking is None:
             self._spend(relay)
             return True
         self._answers.refuse_overloaded(
-            relay, blocking, self._admission.fits[relay.admission_class].share
+            relay, blocking, self._admission.limited_routes[relay.admission_class].share
         )
         self._finish(relay)
         return False
@@ -273,7 +278,9 @@
     ) -> Instance | None:
         now_ms = self._now_ms()
         if judged.standing is not Standing.FREE:
-            return choose_for_suspect(self._placement, relay, instances, now_ms, judged)
+            return choose_server_for_suspect(
+                self._placement, relay, instances, now_ms, judged
+            )
         answer_bytes = self._outcomes.answer_bytes(relay.route.name)
         return choose_server(self._placement, relay, instances, now_ms, answer_bytes)
 
@@ -306,14 +313,14 @@
         relay.ip = instance.ip
         relay.identity = instance.identity
         relay.instance_id = self._substitutes.actual_id(instance, self._now_ms())
-        last = relay.parent is None and self._admission.needs_only(
+        last = relay.parent is None and self._admission.uses_only(
             relay.admission_class, relay.service
         )
         request = request_of(relay, left_ms=left_ms, last=last)
         self.relays[relay.call_id] = relay
         self._repeats.sent(relay)
         if instance.ip == self._own_ip:
-            self._own_load.sent_since += 1
+            self._own_load.sent_since_report += 1
             self._executor.submit(request, self._own_response, self)
             return
         if not self._links.send_request(instance.ip, request):
@@ -322,12 +329,12 @@
             return
         load = self._view.load(instance.ip)
         if load is not None:
-            load.sent_since += 1
+            load.sent_since_report += 1
 
     def _note_instance(self, relay: Relay, actual_id: str) -> None:
         for instance in self._fleet.of_service(relay.service):
             if instance.ip == relay.ip and instance.id != actual_id:
-                self._substitutes.note(instance, actual_id, self._now_ms())
+                self._substitutes.record_id(instance, actual_id, self._now_ms())
                 relay.tried.discard(instance.identity)
 
     def _deliver(self, relay: Relay, response: RelayResponse) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay_intake.py
@@ -5,12 +5,12 @@
 
 from sassafraswinch.organisations import Organisation, parse_bearer_key
 from sassafraswinch.ranks import rank_of
-from sassafraswinch_sidecar.entry_admission import LEVELS
 from sassafraswinch_sidecar.executor import Execution, Executor
 from sassafraswinch_sidecar.fleet import Fleet
 from sassafraswinch_sidecar.header_names import HeaderNames
 from sassafraswinch_sidecar.http_fields import NOT_FORWARDED, serialize_end_to_end
 from sassafraswinch_sidecar.http_server import CallerConnection, HttpRequest
+from sassafraswinch_sidecar.ingress_admission import LEVELS
 from sassafraswinch_sidecar.instances import InstanceIdentity
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayResponse
 from sassafraswinch_sidecar.routes import Route, RouteTable, WeightedRoundRobin
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/substitutes.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/reported_instance_ids.py
@@ -7,7 +7,7 @@
 platform names at its address: entries of ended servers expire within it."""
 
 
-class Substitutes:
+class ReportedInstanceIds:
     """Asks restarted servers by their new ids.
 
     Failure: after a loss of power all servers have new ids, and the platform tells the
@@ -17,7 +17,7 @@
     def __init__(self):
         self._actual_ids: dict[InstanceIdentity, tuple[str, float]] = {}
 
-    def note(self, instance: Instance, actual_id: str, now_ms: float) -> None:
+    def record_id(self, instance: Instance, actual_id: str, now_ms: float) -> None:
         """Take in the id of the server at an instance's address."""
         self._actual_ids[instance.identity] = (actual_id, now_ms)
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
@@ -29,14 +29,14 @@
         answer_bytes: mean length of the answers of such requests.
     """
     if len(relay.offered_to) < relay.route.max_attempts:
-        chosen = placement.choose(instances, relay.tried, now_ms, answer_bytes)
+        chosen = placement.choose_instance(instances, relay.tried, now_ms, answer_bytes)
         if chosen is not None or not relay.offered_to:
             return chosen
     offered_to = [each for each in instances if each.identity in relay.offered_to]
-    return placement.choose(offered_to, (), now_ms, answer_bytes)
+    return placement.choose_instance(offered_to, (), now_ms, answer_bytes)
 
 
-def choose_for_suspect(
+def choose_server_for_suspect(
     placement: Placement,
     relay: Relay,
     instances: Sequence[Instance],
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_ends.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
@@ -24,7 +24,7 @@
 callers send comes again within them."""
 
 
-class ServerEnds:
+class ServerExits:
     """Makes suspects of the requests that ran when the server's process ended.
 
     Only the sidecar beside a server can see that its process ended, so only it names an
@@ -61,19 +61,19 @@
         self._given_up: deque[tuple[str, Digests]] = deque(maxlen=MOST_GIVEN_UP)
 
     @property
-    def has_given_up(self) -> bool:
+    def has_abandoned_requests(self) -> bool:
         """Whether requests were given up since the server's last answer."""
         return bool(self._given_up)
 
-    def gave_up(self, request: RelayRequest) -> None:
+    def record_abandoned_request(self, request: RelayRequest) -> None:
         """Note a request that is no longer waited for, and may still run."""
         self._given_up.append((request.instance_id, digest_request(request)))
 
-    def answered(self) -> None:
+    def clear_abandoned_requests(self) -> None:
         """Note that the server answers, so it outlived what was given up."""
         self._given_up.clear()
 
-    def ran_well(self, request: RelayRequest) -> None:
+    def record_answered_request(self, request: RelayRequest) -> None:
         """Note that the server has run a request to a good end."""
         proven_ms = self._proven_ms
         checksum = _checksum(request)
@@ -82,7 +82,7 @@
         if len(proven_ms) > MOST_PROVEN:
             del proven_ms[next(iter(proven_ms))]
 
-    def begin(self, instance_id: str) -> None:
+    def record_exit(self, instance_id: str) -> None:
         """Note that the server's process has ended.
 
         Args:
@@ -96,7 +96,7 @@
         for instance_id, digests in given_up:
             self._note(instance_id, digests)
 
-    def add(self, request: RelayRequest) -> str | None:
+    def record_running_request(self, request: RelayRequest) -> str | None:
         """Note a request that ran then; return the end's name, for its owner.
 
         None where the end says nothing of the request.
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/backend_watch.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_monitor.py
@@ -27,13 +27,13 @@
 gone to another service, whose requests it must not run."""
 
 
-INSTANCE_WORD_MS = 1_000.0
+REPORTED_INSTANCE_LIFE_MS = 1_000.0
 """Time in which the server's last word on its id lets requests for other instances be
 refused unsent. Another instance may start at the address while nothing is under way;
 one refusal of the server a second finds it out."""
 
 
-class BackendWatch:
+class ServerMonitor:
     """Finds out from requests whether the server lives, and which instance it is.
 
     No health check is sent: it would take a slot, and may lie. While the server is
@@ -42,12 +42,12 @@
     Args:
         client: connections to the server.
         service: its service, for the log.
-        went_down: called when the server is found to be down.
-        looked: called after a look, with whether the server's process has ended.
+        on_down: called when the server is found to be down.
+        on_exit_checked: called after a look, with whether the server's process has ended.
 
     Attributes:
-        up: whether requests may be sent to the server.
-        ended: whether its process has ended, and no other runs in its place yet.
+        is_up: whether requests may be sent to the server.
+        has_exited: whether its process has ended, and no other runs in its place yet.
     """
 
     def __init__(
@@ -55,29 +55,29 @@
         *,
         client: HttpClient,
         service: str,
-        went_down: Callable[[], None],
-        looked: Callable[[bool], None],
+        on_down: Callable[[], None],
+        on_exit_checked: Callable[[bool], None],
     ):
-        self.up = True
-        self.ended = False
-        self._looked = looked
+        self.is_up = True
+        self.has_exited = False
+        self._looked = on_exit_checked
         self._looking: asyncio.Task | None = None
         self._client = client
         self._service = service
-        self._went_down = went_down
+        self._went_down = on_down
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
         self._answered_ms = 0.0
         self._instance_id: str | None = None
-        self._told_ms = 0.0
+        self._reported_ms = 0.0
         self._seen_ids: set[str] = set()
         self._probing: asyncio.Task | None = None
 
-    def is_another(self, instance_id: str) -> bool:
+    def is_other_instance(self, instance_id: str) -> bool:
         """Return whether the server has just said that it is another instance."""
         if self._instance_id is None or self._instance_id == instance_id:
             return False
-        return self._now_ms() - self._told_ms < INSTANCE_WORD_MS
+        return self._now_ms() - self._reported_ms < REPORTED_INSTANCE_LIFE_MS
 
     def trusted_instance_id(self) -> str | None:
         """Return the server's instance id if requests may go to it by that alone.
@@ -88,23 +88,23 @@
         young = self._now_ms() - self._started_ms < FRESH_START_MS
         return self._instance_id if young and len(self._seen_ids) == 1 else None
 
-    def alive(self) -> None:
+    def record_activity(self) -> None:
         """Note an answer of any kind, or a request after a time without any."""
         self._answered_ms = self._now_ms()
 
-    def is_instance(self, instance_id: str | None) -> None:
+    def record_instance(self, instance_id: str | None) -> None:
         """Note which instance the server says it is; None where it may have ended."""
         self._instance_id = instance_id
-        self._told_ms = self._now_ms()
+        self._reported_ms = self._now_ms()
         if instance_id is not None and len(self._seen_ids) < 2:
             self._seen_ids.add(instance_id)
 
-    def unreachable(self) -> None:
+    def record_unreachable(self) -> None:
         """Note that no connection could be made."""
         self._instance_id = None
         self._down()
 
-    def look(self) -> None:
+    def check_exit(self) -> None:
         """Find out whether the server's process has ended, after a broken connection.
 
         Failure: a connection breaks as a server drops it, or loses an answer, and as
@@ -114,7 +114,7 @@
         if self._looking is None:
             self._looking = self._loop.create_task(self._look())
 
-    def overdue(self, mean_hold_ms: float) -> None:
+    def record_overdue(self, mean_hold_ms: float) -> None:
         """Note a request without an answer in its time.
 
         Args:
@@ -134,15 +134,15 @@
         refused = await self._client.probe(LOOK_S) is ProbeResult.REFUSED
         self._looking = None
         if refused:
-            self.ended = True
+            self.has_exited = True
             self._instance_id = None
             self._down()
         self._looked(refused)
 
     def _down(self) -> None:
-        if not self.up:
+        if not self.is_up:
             return
-        self.up = False
+        self.is_up = False
         log_event("backend_down", level="warning", service=self._service)
         self._went_down()
         self._client.close()
@@ -151,8 +151,8 @@
     async def _probe(self) -> None:
         while await self._client.probe() is not ProbeResult.CONNECTED:
             await asyncio.sleep(PROBE_S)
-        self.up = True
-        self.ended = False
+        self.is_up = True
+        self.has_exited = False
         self._instance_id = None
         self._answered_ms = self._now_ms()
         log_event("backend_up", service=self._service)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_queue.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SLOT_SHARE = 0.95
+USABLE_SLOT_SHARE = 0.95
 """Part of the slots that is used: a new connection and a health check hold a slot
 for a moment, and some servers slow down when they are nearly full."""
 
@@ -39,31 +39,31 @@
 
     Attributes:
         item: what the caller of the queue knows it by.
-        inner: whether a running request made it; of one priority such requests go
+        is_child_call: whether a running request made it; of one priority such requests go
             first, since refusing one wastes all that was done for its root request.
-        last: whether its tree ends with it.
+        is_leaf_call: whether its tree ends with it.
         priority: priority of the root request; 0 is the most important.
-        give_up_at_ms: when it leaves the queue if it hasn't started.
+        queue_deadline_ms: when it leaves the queue if it hasn't started.
         progress: calls that the requests above it have finished. The further ones go
             first: refused, they waste more, and what a full server runs is then spent
             on requests that end whole.
     """
 
     item: Any
-    inner: bool
+    is_child_call: bool
     priority: int
-    give_up_at_ms: float
+    queue_deadline_ms: float
     progress: int = 0
-    last: bool = False
+    is_leaf_call: bool = False
     started_at_ms: float | None = None
-    left: bool = False
+    is_withdrawn: bool = False
 
     @property
     def rank(self) -> Rank:
         """What decides, before the order of arrival, who starts first: the lowest."""
-        if self.last:
+        if self.is_leaf_call:
             return self.priority, False, -math.inf
-        return self.priority, not self.inner, -self.progress
+        return self.priority, not self.is_child_call, -self.progress
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
 
     limit: int
     running: int = 0
-    hold_ms: float = COLD_HOLD_MS
+    mean_hold_ms: float = COLD_HOLD_MS
     _waiting: list[tuple[Rank, int, QueuedRequest]] = field(default_factory=list)
     _sequence: Any = field(default_factory=itertools.count)
     _queued: int = 0
@@ -82,38 +82,38 @@
         """Requests that wait."""
         return self._queued
 
-    def delay_ms(self, rank: Rank) -> float:
+    def expected_wait_ms(self, rank: Rank) -> float:
         """Return the wait that a new request of this rank would meet."""
         if self.running < self.limit and not self._queued:
             return 0.0
         ahead = sum(
             1
             for waiting_rank, _, request in self._waiting
-            if not request.left and waiting_rank <= rank
+            if not request.is_withdrawn and waiting_rank <= rank
         )
-        return (ahead + 1) * self.hold_ms / max(self.limit, 1)
+        return (ahead + 1) * self.mean_hold_ms / max(self.limit, 1)
 
-    def offer(self, request: QueuedRequest, now_ms: float) -> bool:
-        """Take a request, which then starts with ``startable`` or is refused.
+    def enqueue(self, request: QueuedRequest, now_ms: float) -> bool:
+        """Take a request, which then starts with ``pop_startable`` or is refused.
 
         Returns:
             False if it would wait longer than it may: it is refused at once, so
             that it can go elsewhere or come back.
         """
         rank = request.rank
-        delay_ms = self.delay_ms(rank)
-        if delay_ms and now_ms + delay_ms > request.give_up_at_ms:
+        delay_ms = self.expected_wait_ms(rank)
+        if delay_ms and now_ms + delay_ms > request.queue_deadline_ms:
             return False
         order = (rank, next(self._sequence), request)
         heapq.heappush(self._waiting, order)
         self._queued += 1
         return True
 
-    def startable(self, now_ms: float) -> Iterable[QueuedRequest]:
+    def pop_startable(self, now_ms: float) -> Iterable[QueuedRequest]:
         """Yield the requests that start now."""
         while self._waiting and self.running < self.limit:
             request = heapq.heappop(self._waiting)[-1]
-            if request.left:
+            if request.is_withdrawn:
                 continue
             self._queued -= 1
             self.running += 1
@@ -122,27 +122,27 @@
 
     def withdraw(self, request: QueuedRequest) -> bool:
         """Take a waiting request out; False if it has started or left already."""
-        if request.left or request.started_at_ms is not None:
+        if request.is_withdrawn or request.started_at_ms is not None:
             return False
-        request.left = True
+        request.is_withdrawn = True
         self._queued -= 1
         if len(self._waiting) > 2 * self._queued + MAX_LEFT:
             self._compact()
         return True
 
-    def finished(self, request: QueuedRequest, now_ms: float) -> float:
+    def release_slot(self, request: QueuedRequest, now_ms: float) -> float:
         """Take back the slot of a started request; return how long it was held."""
         self.running -= 1
         held_ms = now_ms - request.started_at_ms
-        self.hold_ms += HOLD_GAIN * (held_ms - self.hold_ms)
+        self.mean_hold_ms += HOLD_GAIN * (held_ms - self.mean_hold_ms)
         return held_ms
 
-    def expired(self, now_ms: float) -> list[QueuedRequest]:
+    def pop_expired(self, now_ms: float) -> list[QueuedRequest]:
         """Take out the requests that have waited as long as they may."""
         late = [
             request
             for *_, request in self._waiting
-            if not request.left and now_ms >= request.give_up_at_ms
+            if not request.is_withdrawn and now_ms >= request.queue_deadline_ms
         ]
         for request in late:
             self.withdraw(request)
@@ -155,12 +155,12 @@
         reach the top; thousands that have left pile up there, and every look at the
         queue walks over them.
         """
-        self._waiting = [order for order in self._waiting if not order[-1].left]
+        self._waiting = [order for order in self._waiting if not order[-1].is_withdrawn]
         heapq.heapify(self._waiting)
 
     def drain(self) -> list[QueuedRequest]:
         """Take out all that wait."""
-        waiting = [request for *_, request in self._waiting if not request.left]
+        waiting = [request for *_, request in self._waiting if not request.is_withdrawn]
         for request in waiting:
             self.withdraw(request)
         self._waiting.clear()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -15,7 +15,6 @@
     log_platform_faults,
     log_settings_changes,
 )
-from sassafraswinch_sidecar.entry_admission import NO_CAPACITY, EntryAdmission
 from sassafraswinch_sidecar.executor import Executor
 from sassafraswinch_sidecar.fleet import Decoder, Fleet
 from sassafraswinch_sidecar.fleet_exchange import ExchangeMessage, FleetExchange
@@ -26,6 +25,7 @@
 from sassafraswinch_sidecar.host_reports import HostReports
 from sassafraswinch_sidecar.http_client import HttpClient
 from sassafraswinch_sidecar.http_server import HttpListener
+from sassafraswinch_sidecar.ingress_admission import NO_CAPACITY, IngressAdmission
 from sassafraswinch_sidecar.isolation_detector import IsolationDetector
 from sassafraswinch_sidecar.message_codec import Message, parse_position
 from sassafraswinch_sidecar.organisations_page import OrganisationsPage
@@ -115,13 +115,13 @@
         self._suspect_exchange = SuspectExchange(
             suspects=self._crash_suspects,
             now_ms=self._now_ms,
-            learnt_here=lambda: self._exchange.publish_change(),
-            told_here=lambda: self._exchange.forward_suspects(),
+            on_local_change=lambda: self._exchange.publish_change(),
+            on_received_change=lambda: self._exchange.forward_suspects(),
         )
         self._suspects = SuspectRequests(
             suspects=self._crash_suspects,
             now_ms=self._now_ms,
-            changed=self._suspect_exchange.note,
+            on_change=self._suspect_exchange.schedule_announcement,
         )
         backend = settings.address("backend")
         self._executor = Executor(
@@ -153,7 +153,7 @@
             view=self._view,
             now_ms=self._now_ms,
         )
-        self._admission = EntryAdmission(worths=settings.worth_by_priority)
+        self._admission = IngressAdmission(worths=settings.worth_by_priority)
         self._counts = RelayCounters()
         window_ms = settings.repeat_window_s * 1000
         self._known_hosts: set[str] = set()
@@ -208,7 +208,7 @@
             availability_zone=settings.availability_zone,
             fleet=self._fleet,
             view=self._view,
-            load_of=self._loads.of,
+            load_of=self._loads.load_of,
         )
         self._owner = RelayOwner(
             own_ip=settings.ip,
@@ -230,7 +230,7 @@
             placement=Placement(
                 own_ip=settings.ip,
                 availability_zone=settings.availability_zone,
-                load_of=self._loads.of,
+                load_of=self._loads.load_of,
                 cold_left_ms=self._fleet.cold_left_ms,
                 rng=rng,
             ),
@@ -260,7 +260,7 @@
                     now_ms=self._now_ms,
                 ),
                 now_ms=self._now_ms,
-                cleared=self._suspect_exchange.note,
+                on_cleared=self._suspect_exchange.schedule_announcement,
             ),
             limits=lambda: DEFAULT_LIMITS,
             held=self._held,
@@ -309,7 +309,7 @@
 
     def link_opened(self, link: PeerLink) -> None:
         """Tell a new peer which requests ended servers (LinkListener)."""
-        self._suspect_exchange.greet(link)
+        self._suspect_exchange.send_restricted(link)
 
     def link_lost(self, ip: str) -> None:
         """Decide anew on the calls of a lost link (LinkListener)."""
@@ -330,7 +330,7 @@
         elif isinstance(message, ExchangeMessage):
             self._exchange.dialled_message(ip, message)
         elif isinstance(message, SuspectNews):
-            self._suspect_exchange.take(message)
+            self._suspect_exchange.merge_message(message)
         elif isinstance(message, HeartbeatReply):
             load = self._view.record_load(ip, message.load, self._now_ms())
             load.leaving = message.leaving
@@ -349,7 +349,7 @@
         elif isinstance(message, ExchangeMessage):
             self._exchange.accepted_message(link, message)
         elif isinstance(message, SuspectNews):
-            self._suspect_exchange.take(message)
+            self._suspect_exchange.merge_message(message)
         elif isinstance(message, Heartbeat):
             link.send(self._reports.heartbeat_reply(message.sequence))
         else:
@@ -397,7 +397,7 @@
         listed = itertools.chain.from_iterable(self._fleet.zones().values())
         first = not self._known_hosts
         self._known_hosts = {*listed, self._settings.ip}
-        self._most_sidecars.note(len(self._known_hosts), now_ms)
+        self._most_sidecars.record_value(len(self._known_hosts), now_ms)
         for instance in self._fleet.instances_at(self._settings.ip):
             if not instance.leaving:
                 self._executor.set_slots(instance.slots)
@@ -415,10 +415,10 @@
             self._data.tick(now_ms)
             self._held.unsent_bytes = self._links.unsent_bytes()
             self._log.report_omitted()
-            if self._admission.due(now_ms):
+            if self._admission.is_due(now_ms):
                 self._share_duty(now_ms)
                 self._admit_anew(now_ms)
-            self._suspect_exchange.tick()
+            self._suspect_exchange.discard_expired()
 
     def _notice_standstill(self) -> None:
         stood_ms = self._standstill.check_pause()
@@ -431,9 +431,9 @@
         self._crash_suspects.stood_still(stood_ms)
 
     def _admit_anew(self, now_ms: float) -> None:
-        capacities = capacities_of(self._fleet.serving(), self._loads.of)
-        self._admission.decide(capacities, now_ms, self._view.demand(now_ms))
-        for route, fit in self._admission.fits.items():
+        capacities = capacities_of(self._fleet.serving(), self._loads.load_of)
+        self._admission.decide_shares(capacities, now_ms, self._view.demand(now_ms))
+        for route, fit in self._admission.limited_routes.items():
             service = fit.lacks
             capacity = capacities.get(service, NO_CAPACITY)
             log_event(
@@ -443,8 +443,8 @@
                 service=service,
                 slots=capacity.slots,
                 used=capacity.used,
-                trim=self._admission.trim_of(service),
-                wanted=self._admission.wanted[service],
+                trim=self._admission.correction_of(service),
+                wanted=self._admission.required_slots[service],
             )
 
     async def _drain(self) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -15,7 +15,7 @@
 from sassafraswinch_sidecar.peer_link import PeerLink
 from sassafraswinch_sidecar.relay_protocol.ttypes import Suspect, SuspectNews
 
-LONGEST_AGE_MS = 2**31 - 1
+MAX_WIRE_AGE_MS = 2**31 - 1
 """Greatest age on the wire; anything near it was forgotten long before."""
 
 FORGET_MS = 10_000.0
@@ -32,8 +32,8 @@
     Args:
         suspects: what is known.
         now_ms: monotonic clock.
-        learnt_here: called when this sidecar learnt something that nobody knows yet.
-        told_here: called when a peer told something new.
+        on_local_change: called when this sidecar learnt something that nobody knows yet.
+        on_received_change: called when a peer told something new.
     """
 
     def __init__(
@@ -41,23 +41,23 @@
         *,
         suspects: CrashSuspects,
         now_ms: Callable[[], float],
-        learnt_here: Callable[[], None],
-        told_here: Callable[[], None],
+        on_local_change: Callable[[], None],
+        on_received_change: Callable[[], None],
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._learnt_here = learnt_here
-        self._told_here = told_here
+        self._learnt_here = on_local_change
+        self._told_here = on_received_change
         self._held: frozenset[bytes] = frozenset()
         self._noted: asyncio.Handle | None = None
         self._forgot_ms = -math.inf
 
-    def note(self) -> None:
+    def schedule_announcement(self) -> None:
         """Hand on soon what was learnt: dozens of requests are lost with a server."""
         if self._noted is None:
             self._noted = asyncio.get_running_loop().call_soon(self._hand_on)
 
-    def tick(self) -> None:
+    def discard_expired(self) -> None:
         """Forget now and then what is too old."""
         now_ms = self._now_ms()
         if now_ms - self._forgot_ms >= FORGET_MS:
@@ -71,7 +71,7 @@
             "requests_held_back": len(self._suspects.held_back(self._now_ms())),
         }
 
-    def greet(self, link: PeerLink) -> None:
+    def send_restricted(self, link: PeerLink) -> None:
         """Tell a new peer at once which requests must not run freely.
 
         Failure: a sidecar starts and has callers before the next round reaches it; it
@@ -79,9 +79,9 @@
         """
         words = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
         if words and link.takes_suspects:
-            link.send(serialize_news(words))
+            link.send(serialize_suspect_reports(words))
 
-    def tell(self, link: PeerLink) -> None:
+    def send_changes(self, link: PeerLink) -> None:
         """Tell a peer what is new since it was told last."""
         if not link.takes_suspects:
             return
@@ -89,12 +89,12 @@
         if link.suspects_sent_up_to == last_change:
             return
         words = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
-        if not words or link.send(serialize_news(words)):
+        if not words or link.send(serialize_suspect_reports(words)):
             link.suspects_sent_up_to = last_change
 
-    def take(self, news: SuspectNews) -> None:
+    def merge_message(self, news: SuspectNews) -> None:
         """Take in what a peer tells."""
-        if self._suspects.take(parse_news(news), self._now_ms()):
+        if self._suspects.take(parse_suspect_reports(news), self._now_ms()):
             self._log_held()
             self._told_here()
 
@@ -113,12 +113,12 @@
         self._held = frozenset(held)
 
 
-def serialize_news(words: list[SuspectWord]) -> SuspectNews:
+def serialize_suspect_reports(words: list[SuspectWord]) -> SuspectNews:
     """Write what is told of suspects."""
     return SuspectNews([_serialize_word(word) for word in words])
 
 
-def parse_news(news: SuspectNews) -> list[SuspectWord]:
+def parse_suspect_reports(news: SuspectNews) -> list[SuspectWord]:
     """Read what is told of suspects."""
     return [
         SuspectWord(
@@ -141,7 +141,7 @@
 
 
 def _wire_age(age_ms: float) -> int:
-    return min(max(int(age_ms), 0), LONGEST_AGE_MS)
+    return min(max(int(age_ms), 0), MAX_WIRE_AGE_MS)
 
 
 def _log_held_back(judged: Judgement) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
@@ -33,7 +33,7 @@
         self._suspects = suspects
         self._running = running
 
-    def refusal(self, request: RelayRequest) -> str:
+    def refusal_reason(self, request: RelayRequest) -> str:
         """Return why a request may not start; empty if it may."""
         standing = self._suspects.judge(request).standing
         if standing is Standing.FREE:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -22,7 +22,7 @@
     Args:
         suspects: what is known.
         now_ms: monotonic clock.
-        changed: called when this sidecar learns something that others don't know.
+        on_change: called when this sidecar learns something that others don't know.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         *,
         suspects: CrashSuspects,
         now_ms: Callable[[], float],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ):
         self._suspects = suspects
         self._now_ms = now_ms
-        self._changed = changed
+        self._changed = on_change
 
     def judge(self, request: SentRequest) -> Judgement:
         """Return what a request may do."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -27,7 +27,7 @@
         suspects: what is known.
         others: page of the other paths.
         now_ms: monotonic clock.
-        cleared: called when a request was cleared, to tell the other hosts.
+        on_cleared: called when a request was cleared, to tell the other hosts.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         suspects: CrashSuspects,
         others: RequestHandler,
         now_ms: Callable[[], float],
-        cleared: Callable[[], None],
+        on_cleared: Callable[[], None],
     ):
         self._suspects = suspects
         self._others = others
         self._now_ms = now_ms
-        self._cleared = cleared
+        self._cleared = on_cleared
 
     def handle(self, request: HttpRequest, connection: CallerConnection) -> None:
         """Answer one question (RequestHandler)."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
@@ -13,7 +13,6 @@
 
 from sassafraswinch.fitting_shares import Claim
 from sassafraswinch.organisation_rates import FleetUse, Use, sum_uses
-from sassafraswinch_sidecar.entry_admission import merge_claims
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
@@ -22,6 +21,7 @@
     serialize_demand,
     serialize_usage,
 )
+from sassafraswinch_sidecar.ingress_admission import merge_claims
 from sassafraswinch_sidecar.message_codec import position_fields
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     FleetDigest,
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -289,5 +289,5 @@
 
 def sees_all(node: Node, fleet: TestFleet) -> bool:
     """Return whether a node may send to all others and has routes in force."""
-    seen = [node.sidecar._loads.of(each.ip) is not None for each in fleet.nodes]
+    seen = [node.sidecar._loads.load_of(each.ip) is not None for each in fleet.nodes]
     return node.sidecar.is_ready and all(seen)
--- a/packages/sassafraswinch-sidecar/tests/test_http_client.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_client.py
@@ -14,7 +14,7 @@
     HttpResponse,
     ProbeResult,
 )
-from sassafraswinch_sidecar.idle_limit import FRESH_MS
+from sassafraswinch_sidecar.idle_limit import DEFAULT_SERVER_IDLE_LIMIT_MS
 from sidecar_standins.backend import Backend, answer
 from sidecar_standins.fleet import request_bytes, until
 
@@ -82,7 +82,7 @@
     sent on one is lost, and nobody knows whether it ran.
     """
     await ask(client)
-    client._idle[0].idle_since_ms -= FRESH_MS + 1
+    client._idle[0].idle_since_ms -= DEFAULT_SERVER_IDLE_LIMIT_MS + 1
     await ask(client, "r-2", fresh=True)
     assert len(backend.connections) == 2
 
--- a/packages/sassafraswinch-sidecar/tests/test_entry_admission.py
+++ b/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
@@ -6,11 +6,11 @@
 import pytest
 
 from sassafraswinch.fitting_shares import Claim
-from sassafraswinch_sidecar.entry_admission import (
+from sassafraswinch_sidecar.ingress_admission import (
     INTERVAL_MS,
     LEVELS,
     Capacity,
-    EntryAdmission,
+    IngressAdmission,
     merge_claims,
 )
 
@@ -32,7 +32,7 @@
         the admitted ones take at each service.
     """
     rng = random.Random(7)
-    nodes = [EntryAdmission() for _ in range(entries)]
+    nodes = [IngressAdmission() for _ in range(entries)]
     offered, admitted, used = Counter(), Counter(), Counter()
     steps = int(seconds * 1000 / INTERVAL_MS)
     for step in range(steps):
@@ -114,7 +114,7 @@
 
 def test_refusals_end_soon_after_the_surge():
     """Recovery: a second after the load is back to normal all is admitted again."""
-    node = EntryAdmission()
+    node = IngressAdmission()
     now_ms = 0.0
     for rate in [400] * 20 + [50] * 12:
         for _ in range(rate):
@@ -137,7 +137,7 @@
     but whoever lowers the estimate for as long refuses half of the requests for
     seconds after the queue has gone, beside empty slots.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     slots = 400.0
     room_shares = []
     for number, used in enumerate([380.0] * 4 + [720.0] * 10 + [280.0] * 2, 1):
@@ -157,7 +157,7 @@
     """All gatherers of the zone are gone for a moment. What they told last has grown
     old, and the entry's own requests fit.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     node.offered(STATUS, 1)
     node.learn(STATUS, SLOT_MS[STATUS], 0.0)
     node.due(0.0)
@@ -173,7 +173,7 @@
     would run, their calls find no server, and non-repeatable ones fail for good; told
     at once that nothing ran, callers come back after the cut.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     for number in range(1, 5):
         node.offered(STATUS, 1)
         node.offered(HISTORY, 2)
@@ -192,11 +192,11 @@
     half way, and no whole answer tells what a request takes; what the failed ones took
     must be enough to hold the next ones back.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     for number in range(1, 5):
         for _ in range(100):
             node.offered(HISTORY, 2)
-            node.learn_at_least(HISTORY, {"prehled": 200.0})
+            node.record_partial_cost(HISTORY, {"prehled": 200.0})
         node.due(0.0)
         node.decide({"prehled": Capacity(40.0, 60.0)}, number * INTERVAL_MS)
     assert node.blocking(HISTORY, 900) == "prehled"
@@ -204,11 +204,11 @@
 
 
 def test_failed_requests_do_not_lower_what_whole_ones_told():
-    node = EntryAdmission()
+    node = IngressAdmission()
     node.offered(HISTORY, 2)
     node.learn(HISTORY, {"prehled": 220.0}, 0.0)
     for _ in range(100):
-        node.learn_at_least(HISTORY, {"prehled": 20.0})
+        node.record_partial_cost(HISTORY, {"prehled": 20.0})
     assert node._routes[HISTORY].slot_s["prehled"] == 0.22
 
 
@@ -234,16 +234,16 @@
 
 
 def test_routes_that_need_one_service_alone_are_known_from_whole_answers():
-    node = EntryAdmission()
-    assert not node.needs_only(STATUS, "prehled")
+    node = IngressAdmission()
+    assert not node.uses_only(STATUS, "prehled")
     node.offered(STATUS, 1)
-    node.learn_at_least(STATUS, SLOT_MS[STATUS])
-    assert not node.needs_only(STATUS, "prehled")
+    node.record_partial_cost(STATUS, SLOT_MS[STATUS])
+    assert not node.uses_only(STATUS, "prehled")
     node.learn(STATUS, SLOT_MS[STATUS], 0.0)
-    assert node.needs_only(STATUS, "prehled")
+    assert node.uses_only(STATUS, "prehled")
     node.offered(HISTORY, 2)
     node.learn(HISTORY, SLOT_MS[HISTORY], 0.0)
-    assert not node.needs_only(HISTORY, "prehled")
+    assert not node.uses_only(HISTORY, "prehled")
 
 
 def test_room_is_filled_again_within_a_second_after_a_service_was_slow():
@@ -251,7 +251,7 @@
     need there is still overrated by that. Their entries go on refusing them beside
     empty slots; the correction must rise as fast as the error was large.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     slots = 400.0
     admitted = []
     for number in range(1, 13):
@@ -271,7 +271,7 @@
     """A service was four times slower, and few requests are still let in. The first
     answers after that must tell that it is fast again.
     """
-    node = EntryAdmission()
+    node = IngressAdmission()
     node.offered(HISTORY, 2)
     for number in range(200):
         node.learn(HISTORY, {"prehled": 880.0}, number * 10.0)
--- a/packages/sassafraswinch-sidecar/tests/test_placement.py
+++ b/packages/sassafraswinch-sidecar/tests/test_placement.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from sassafraswinch_sidecar.placement import (
-    PaceMeter,
     PeerLoad,
     Placement,
+    RelativeLatencyMeter,
     RunningMeans,
 )
 from sidecar_standins.instances import new_instance
@@ -27,7 +27,7 @@
     placement = new_placement(loads, **options)
     chosen = Counter()
     for _ in range(count):
-        found = placement.choose(instances, (), 0.0)
+        found = placement.choose_instance(instances, (), 0.0)
         chosen[found.id if found else None] += 1
     return chosen
 
@@ -64,19 +64,19 @@
     loads = loads_of([near, far])
     placement = new_placement(loads)
     loads[near.ip].in_flight = 24
-    assert placement.choose([near, far], (), 0.0, 5_000.0) is near
-    assert placement.choose([near, far], (), 0.0, 0.0) is far
+    assert placement.choose_instance([near, far], (), 0.0, 5_000.0) is near
+    assert placement.choose_instance([near, far], (), 0.0, 0.0) is far
     loads[near.ip].in_flight = 58
-    assert placement.choose([near, far], (), 0.0, 50_000.0) is far
+    assert placement.choose_instance([near, far], (), 0.0, 50_000.0) is far
 
 
 def test_mean_length_of_answers_follows_them():
     sizes = RunningMeans()
     assert sizes.mean("r") == 0.0
-    sizes.count("r", 1_000)
+    sizes.add_value("r", 1_000)
     assert sizes.mean("r") == 1_000.0
     for _ in range(400):
-        sizes.count("r", 5_000)
+        sizes.add_value("r", 5_000)
     assert 4_900 < sizes.mean("r") <= 5_000
 
 
@@ -89,8 +89,8 @@
     placement = new_placement(loads)
     counts = Counter()
     for _ in range(90):
-        chosen = placement.choose(found, (), 0.0)
-        loads[chosen.ip].sent_since += 1
+        chosen = placement.choose_instance(found, (), 0.0)
+        loads[chosen.ip].sent_since_report += 1
         counts[chosen.id] += 1
     assert max(counts.values()) <= 40
 
@@ -100,7 +100,7 @@
     found = [new_instance(1), new_instance(2)]
     loads = loads_of(found)
     for number in range(30):
-        loads["10.0.0.1"].ended(failed=number % 2 == 0, now_ms=0.0)
+        loads["10.0.0.1"].record_result(failed=number % 2 == 0, now_ms=0.0)
     loads["10.0.0.2"].in_flight = 30
     assert choices(loads, found) == {"i-2": 200}
 
@@ -108,22 +108,22 @@
 def test_failing_server_is_tried_again_after_a_while():
     load = PeerLoad(limit=60)
     for _ in range(30):
-        load.ended(failed=True, now_ms=0.0)
-    assert load.failing_share(0.0) > 0.8
-    assert load.failing_share(15_000.0) < 0.05
+        load.record_result(failed=True, now_ms=0.0)
+    assert load.recent_failure_rate(0.0) > 0.8
+    assert load.recent_failure_rate(15_000.0) < 0.05
 
 
 def test_server_five_times_slower_gets_less():
     """A server turns slow and has as many requests in flight as the others."""
     found = [new_instance(1), new_instance(2)]
     loads = loads_of(found, in_flight=20)
-    meter = PaceMeter()
+    meter = RelativeLatencyMeter()
     for _ in range(40):
-        loads["10.0.0.1"].took(meter.measure("r", 440.0), 0.0)
+        loads["10.0.0.1"].record_latency(meter.measure("r", 440.0), 0.0)
         for _ in range(3):
-            loads["10.0.0.2"].took(meter.measure("r", 88.0), 0.0)
+            loads["10.0.0.2"].record_latency(meter.measure("r", 88.0), 0.0)
     assert choices(loads, found)["i-2"] == 200
-    assert loads["10.0.0.1"].pace_now(20_000.0) < 1.1
+    assert loads["10.0.0.1"].recent_relative_latency(20_000.0) < 1.1
 
 
 def test_slow_first_requests_do_not_make_all_later_ones_look_fast():
@@ -131,12 +131,12 @@
     the next dozens: the one instance that was tried so far would look twice as fast as
     those that weren't, and get all requests until it is full.
     """
-    meter = PaceMeter()
+    meter = RelativeLatencyMeter()
     load = PeerLoad(limit=60)
-    load.took(meter.measure("r", 400.0), 0.0)
+    load.record_latency(meter.measure("r", 400.0), 0.0)
     for _ in range(30):
-        load.took(meter.measure("r", 40.0), 0.0)
-    assert load.pace_now(0.0) > 0.8
+        load.record_latency(meter.measure("r", 40.0), 0.0)
+    assert load.recent_relative_latency(0.0) > 0.8
 
 
 def test_fast_instances_tried_first_do_not_outrank_untried_ones():
@@ -145,12 +145,12 @@
     for seed in range(200):
         loads = loads_of(found)
         placement = new_placement(loads, seed=seed)
-        meter = PaceMeter()
+        meter = RelativeLatencyMeter()
         chosen = set()
         for _ in range(30):
-            instance = placement.choose(found, (), 0.0)
+            instance = placement.choose_instance(found, (), 0.0)
             chosen.add(instance.id)
-            loads[instance.ip].took(meter.measure("r", 0.4), 0.0)
+            loads[instance.ip].record_latency(meter.measure("r", 0.4), 0.0)
         assert chosen == {"i-1", "i-2", "i-3"}
 
 
@@ -170,13 +170,13 @@
     loads = loads_of([first, other])
     placement = new_placement(loads)
     loads[other.ip].in_flight = 20
-    placement.choose([first, other], (), 0.0)
+    placement.choose_instance([first, other], (), 0.0)
     for _ in range(50):
-        loads[first.ip].ended(failed=True, now_ms=0.0)
-        loads[first.ip].took(4.0, 0.0)
-    assert placement.choose([first, other], (), 0.0) is other
+        loads[first.ip].record_result(failed=True, now_ms=0.0)
+        loads[first.ip].record_latency(4.0, 0.0)
+    assert placement.choose_instance([first, other], (), 0.0) is other
     again = replace(first, incarnation=2)
-    assert placement.choose([again, other], (first.identity,), 0.0) is again
+    assert placement.choose_instance([again, other], (first.identity,), 0.0) is again
 
 
 def test_large_service_is_compared_in_the_own_zone_and_beyond():
--- a/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
+++ b/packages/sassafraswinch-sidecar/tests/test_recent_maximum.py
@@ -14,7 +14,7 @@
     now_ms, history = 0.0, []
     for step_ms, value in steps:
         now_ms += step_ms
-        maximum.note(value, now_ms)
+        maximum.record_value(value, now_ms)
         history.append((now_ms, value))
         ends_ms = [at_ms for at_ms, _ in history[1:]] + [now_ms + 1]
         held = [
@@ -30,7 +30,7 @@
     each sidecar's part of the slack would shrink until nothing is repeated.
     """
     maximum = RecentMaximum(window_ms=WINDOW_MS)
-    maximum.note(200, 0.0)
-    maximum.note(196, 5.0)
+    maximum.record_value(200, 0.0)
+    maximum.record_value(196, 5.0)
     assert maximum.value(24.0) == 200
     assert maximum.value(25.0) == 196
--- a/packages/sassafraswinch-sidecar/tests/test_server_queue.py
+++ b/packages/sassafraswinch-sidecar/tests/test_server_queue.py
@@ -12,15 +12,15 @@
 
 
 def started(queue, now_ms=0.0):
-    return [found.item for found in queue.startable(now_ms)]
+    return [found.item for found in queue.pop_startable(now_ms)]
 
 
 def start_all(queue, *waiting):
     """Offer requests to a full queue, and return the order in which they start."""
-    queue.offer(request("running"), 0.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     for found in waiting:
-        queue.offer(found, 0.0)
+        queue.enqueue(found, 0.0)
     order = []
     for _ in waiting:
         queue.running -= 1
@@ -47,22 +47,24 @@
     long. Status checks go there too, matter more, and wait for a tenth of the time:
     behind the calls each of them is refused at each of its servers.
     """
-    queue = ServerQueue(limit=4, hold_ms=50.0)
+    queue = ServerQueue(limit=4, mean_hold_ms=50.0)
     refused = []
     for step in range(400):
         now_ms = step * 10.0
         # A quarter more than four slots of 50 ms can run.
         give_up_at_ms = now_ms + 280.0
         call = request("call", inner=True, priority=2, give_up_at_ms=give_up_at_ms)
-        queue.offer(call, now_ms)
+        queue.enqueue(call, now_ms)
         if step % 10 == 0:
             check = request("check", priority=1, give_up_at_ms=now_ms + 36.0)
-            if not queue.offer(check, now_ms):
+            if not queue.enqueue(check, now_ms):
                 refused.append(check)
-        refused += [found for found in queue.expired(now_ms) if found.item == "check"]
+        refused += [
+            found for found in queue.pop_expired(now_ms) if found.item == "check"
+        ]
         if step % 5 == 0 and queue.running:
             queue.running = 0
-        list(queue.startable(now_ms))
+        list(queue.pop_startable(now_ms))
     assert not refused
 
 
@@ -94,22 +96,22 @@
 
 
 def test_request_that_would_wait_too_long_is_refused_at_once():
-    queue = ServerQueue(limit=1, hold_ms=100.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=100.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
-    assert not queue.offer(request("hasty", give_up_at_ms=50.0), 0.0)
-    assert queue.offer(request("patient", give_up_at_ms=150.0), 0.0)
+    assert not queue.enqueue(request("hasty", give_up_at_ms=50.0), 0.0)
+    assert queue.enqueue(request("patient", give_up_at_ms=150.0), 0.0)
     assert queue.queued == 1
 
 
 def test_waiting_request_leaves_at_its_time_and_only_once():
-    queue = ServerQueue(limit=1, hold_ms=1.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=1.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     waiting = request("waiting", give_up_at_ms=50.0)
-    queue.offer(waiting, 0.0)
-    assert queue.expired(49.0) == []
-    assert [found.item for found in queue.expired(50.0)] == ["waiting"]
+    queue.enqueue(waiting, 0.0)
+    assert queue.pop_expired(49.0) == []
+    assert [found.item for found in queue.pop_expired(50.0)] == ["waiting"]
     assert not queue.withdraw(waiting)
     queue.running -= 1
     assert started(queue) == []
@@ -118,12 +120,12 @@
 def test_lower_limit_stops_starts_until_enough_has_ended():
     queue = ServerQueue(limit=2)
     for name in ("a", "b", "c"):
-        queue.offer(request(name), 0.0)
-    running = list(queue.startable(0.0))
+        queue.enqueue(request(name), 0.0)
+    running = list(queue.pop_startable(0.0))
     queue.limit = 1
-    queue.finished(running[0], 10.0)
+    queue.release_slot(running[0], 10.0)
     assert started(queue) == []
-    queue.finished(running[1], 10.0)
+    queue.release_slot(running[1], 10.0)
     assert started(queue) == ["c"]
 
 
@@ -131,16 +133,16 @@
     """An overload of minutes: calls of running requests take every slot, and new
     requests give up waiting by the thousand without ever reaching the top.
     """
-    queue = ServerQueue(limit=1, hold_ms=1.0)
-    queue.offer(request("running"), 0.0)
+    queue = ServerQueue(limit=1, mean_hold_ms=1.0)
+    queue.enqueue(request("running"), 0.0)
     started(queue)
     for number in range(1_000):
         now_ms = number * 10.0
-        queue.offer(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
-        queue.offer(request("call", inner=True, give_up_at_ms=1e9), now_ms)
+        queue.enqueue(request(number, priority=2, give_up_at_ms=now_ms + 50), now_ms)
+        queue.enqueue(request("call", inner=True, give_up_at_ms=1e9), now_ms)
         queue.running -= 1
         assert started(queue, now_ms) == ["call"]
-        queue.expired(now_ms)
+        queue.pop_expired(now_ms)
         assert len(queue._waiting) < 60
 
 
@@ -162,16 +164,16 @@
             new = request(
                 number, inner=inner, priority=priority, give_up_at_ms=now_ms + 200
             )
-            if queue.offer(new, now_ms):
+            if queue.enqueue(new, now_ms):
                 waiting.append(new)
         elif step == "finish" and running:
-            queue.finished(running.pop(), now_ms)
+            queue.release_slot(running.pop(), now_ms)
         elif step == "withdraw" and waiting:
             queue.withdraw(waiting.pop())
         elif step == "expire":
-            late = queue.expired(now_ms)
+            late = queue.pop_expired(now_ms)
             waiting = [found for found in waiting if found not in late]
-        new_running = list(queue.startable(now_ms))
+        new_running = list(queue.pop_startable(now_ms))
         running += new_running
         waiting = [found for found in waiting if found not in new_running]
         assert queue.running == len(running) <= limit
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar.py
@@ -371,7 +371,7 @@
     first, second = fleet.nodes_of("archiv")
     entry = fleet.nodes[2].sidecar
     first.sidecar._executor._is_leaving = lambda instance_id: True
-    first_load, second_load = (entry._loads.of(n.ip) for n in (first, second))
+    first_load, second_load = (entry._loads.load_of(n.ip) for n in (first, second))
     second_load.refuses_until_ms = float("inf")
     assert (await fleet.call(fleet.nodes[2])).status == 503
     assert first_load.refuses_until_ms > entry._now_ms()
--- a/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
+++ b/packages/sassafraswinch-sidecar/tests/test_sidecar_instances.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from sassafraswinch_sidecar.backend_watch import INSTANCE_WORD_MS
 from sassafraswinch_sidecar.placement import capacities_of
+from sassafraswinch_sidecar.server_monitor import REPORTED_INSTANCE_LIFE_MS
 from sidecar_standins.backend import serve_as
 from sidecar_standins.fleet import INSTANCE, running_fleet, until
 
@@ -89,7 +89,7 @@
     await node.put_instance(fleet.store, name="i-second")
     found = fleet.nodes[0].sidecar._fleet
     await until(lambda: [i.id for i in found.of_service("schvaleni")] == ["i-second"])
-    node.sidecar._executor._watch._told_ms -= INSTANCE_WORD_MS
+    node.sidecar._executor._watch._reported_ms -= REPORTED_INSTANCE_LIFE_MS
     got = await fleet.call(fleet.nodes[0], target="/approve/1", request_id="r-2")
     assert got.status == 200
     asked = node.backend.seen[-1].headers[b"x-expected-instance"]
@@ -105,7 +105,9 @@
     await until(lambda: node.sidecar._data.revision == fleet.store.revision)
     assert [i.id for i in found.of_service("schvaleni")] == ["i-second"]
     # Counted twice, the same slots would let in twice what the server can run.
-    slots = capacities_of(found.serving(), node.sidecar._loads.of)["schvaleni"].slots
+    slots = capacities_of(found.serving(), node.sidecar._loads.load_of)[
+        "schvaleni"
+    ].slots
     assert slots == node.sidecar._executor.load().limit
 
 
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -7,14 +7,14 @@
 from sassafraswinch_node.frames import LENGTH_BYTES
 from sassafraswinch_sidecar.message_codec import parse_message, serialize_message
 from sassafraswinch_sidecar.suspect_exchange import (
-    LONGEST_AGE_MS,
+    MAX_WIRE_AGE_MS,
     SuspectExchange,
-    parse_news,
-    serialize_news,
+    parse_suspect_reports,
+    serialize_suspect_reports,
 )
 
 BAD = (b"b" * 16,)
-AGES = st.integers(0, LONGEST_AGE_MS)
+AGES = st.integers(0, MAX_WIRE_AGE_MS)
 
 
 class Link:
@@ -47,8 +47,8 @@
     return SuspectExchange(
         suspects=suspects,
         now_ms=lambda: 1_000.0,
-        learnt_here=lambda: None,
-        told_here=lambda: changes.append(1),
+        on_local_change=lambda: None,
+        on_received_change=lambda: changes.append(1),
     )
 
 
@@ -65,27 +65,27 @@
     )
 )
 def test_words_come_back_equal(words):
-    payload = serialize_message(serialize_news(words))[LENGTH_BYTES:]
-    assert parse_news(parse_message(payload)) == words
+    payload = serialize_message(serialize_suspect_reports(words))[LENGTH_BYTES:]
+    assert parse_suspect_reports(parse_message(payload)) == words
 
 
 def test_link_is_told_only_what_is_new(exchange, suspects):
     link = Link()
     suspects.ended(BAD, "i-1", 900.0)
-    exchange.tell(link)
-    exchange.tell(link)
+    exchange.send_changes(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 1
     suspects.ended(BAD, "i-2", 950.0)
-    exchange.tell(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 2
 
 
 def test_what_was_not_sent_is_told_again(exchange, suspects):
     link = Link(is_open=False)
     suspects.ended(BAD, "i-1", 900.0)
-    exchange.tell(link)
+    exchange.send_changes(link)
     link.is_open = True
-    exchange.tell(link)
+    exchange.send_changes(link)
     assert len(link.sent) == 1
 
 
@@ -96,26 +96,26 @@
     link = Link(takes_suspects=False)
     for number in range(3):
         suspects.ended(BAD, f"i-{number}", 900.0)
-    exchange.greet(link)
-    exchange.tell(link)
+    exchange.send_restricted(link)
+    exchange.send_changes(link)
     assert not link.sent
 
 
 def test_greeting_tells_of_requests_that_must_not_run_freely(exchange, suspects):
     link = Link()
     suspects.ended((b"o" * 16,), "i-1", 900.0)
-    exchange.greet(link)
+    exchange.send_restricted(link)
     assert not link.sent
     for number in range(3):
         suspects.ended(BAD, f"i-{number}", 900.0)
-    exchange.greet(link)
+    exchange.send_restricted(link)
     (news,) = link.sent
     assert [told.digest for told in news.suspects] == list(BAD)
 
 
 def test_news_is_handed_on_once(exchange, suspects, changes):
     words = [SuspectWord(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
-    exchange.take(serialize_news(words))
-    exchange.take(serialize_news(words))
+    exchange.merge_message(serialize_suspect_reports(words))
+    exchange.merge_message(serialize_suspect_reports(words))
     assert len(changes) == 1
     assert suspects.judge(BAD, 1_000.0).standing is Standing.HELD
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -93,7 +93,7 @@
 
     def refusal(self, host: Host, request: RelayRequest) -> str:
         """Return why the last gate keeps a request from a host's server."""
-        refusal = host.gate.refusal(request)
+        refusal = host.gate.refusal_reason(request)
         if refusal == HELD_BACK:
             self._note_held(request.request_id)
         return refusal
--- a/packages/sassafraswinch/tests/test_crash_suspects.py
+++ b/packages/sassafraswinch/tests/test_crash_suspects.py
@@ -169,7 +169,7 @@
         self.on_the_way: list[tuple[float, list[SuspectWord]]] = []
 
     @rule(host=HOSTS)
-    def server_ends(self, host):
+    def server_exits(self, host):
         self.now_ms += 1.0
         name = f"i-{next(self.numbers)}"
         self.ends[name] = self.now_ms
