--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/caller_responses.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/caller_responses.py
@@ -121,7 +121,7 @@
             organisation=relay.organisation,
             rate_per_s=limit.rate_per_s,
             burst=limit.burst,
-            part=decision.part,
+            part=decision.limit_share,
             asked_per_s=decision.asked_per_s,
             spent=decision.spent,
             share=decision.share,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/executor.py
@@ -338,7 +338,7 @@
             return
         if response.status < SERVER_FAILURE_STATUS:
             self._ends.record_answered_request(execution.request)
-            self._suspects.answered(execution.request)
+            self._suspects.record_answer(execution.request)
         lines = serialize_end_to_end(response.fields, NOT_FORWARDED)
         self._end(
             execution,
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_exchange.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from sassafraswinch.organisation_rates import Use
+from sassafraswinch.organisation_rates import Usage
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.fleet import Fleet
 from sassafraswinch_sidecar.fleet_view import FleetView
@@ -79,7 +79,7 @@
         reports: HostReports,
         data: PlatformData,
         suspects: SuspectExchange,
-        is_near_limit: Callable[[str, Use], bool],
+        is_near_limit: Callable[[str, Usage], bool],
         now_ms: Callable[[], float],
     ):
         self._own_ip = own_ip
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/fleet_view.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Iterator
 
-from sassafraswinch.fitting_shares import Claim
-from sassafraswinch.organisation_rates import FleetUse
+from sassafraswinch.capacity_shares import Claim
+from sassafraswinch.organisation_rates import FleetUsage
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
@@ -50,7 +50,7 @@
         self._gatherers: dict[str, float] = {}
         self._demand: list[Claim] = []
         self._totals: FleetTotals = ({}, 0)
-        self._uses = FleetUse()
+        self._uses = FleetUsage()
         self._told_ms = -math.inf
 
     def record_aggregator(self, ip: str, now_ms: float) -> None:
@@ -100,9 +100,9 @@
         """Return how much all sidecars sent, this one included, as last told."""
         return self._totals if now_ms - self._told_ms < MAX_VIEW_AGE_MS else ({}, 0)
 
-    def usage(self, now_ms: float) -> FleetUse:
+    def usage(self, now_ms: float) -> FleetUsage:
         """Return what was asked and let in of organisations, as last told."""
-        return self._uses if now_ms - self._told_ms < MAX_VIEW_AGE_MS else FleetUse()
+        return self._uses if now_ms - self._told_ms < MAX_VIEW_AGE_MS else FleetUsage()
 
     def age_ms(self, now_ms: float) -> float:
         """Return the time since a whole digest was taken."""
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/host_reports.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypedDict
 
-from sassafraswinch.fitting_shares import Claim
-from sassafraswinch.organisation_rates import FleetUse, OrganisationRates, Use
+from sassafraswinch.capacity_shares import Claim
+from sassafraswinch.organisation_rates import FleetUsage, OrganisationRates, Usage
 from sassafraswinch_sidecar.executor import Executor
 from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.message_codec import position_fields
@@ -115,10 +115,10 @@
             claim.kind,
             claim.priority,
             claim.rate_per_s,
-            {service: round(slot_s * 1e6) for service, slot_s in claim.needs.items()},
+            {service: round(slot_s * 1e6) for service, slot_s in claim.costs.items()},
         )
         for claim in demand
-        if claim.needs
+        if claim.costs
     ]
 
 
@@ -129,7 +129,7 @@
             kind=each.route_name,
             priority=each.priority,
             rate_per_s=each.rate_per_s,
-            needs={service: us / 1e6 for service, us in each.slot_us.items()},
+            costs={service: us / 1e6 for service, us in each.slot_us.items()},
         )
         for each in told
     ]
@@ -148,7 +148,7 @@
     return {each.service_name: AttemptCounts(each.sent, each.repeated) for each in told}
 
 
-def serialize_usage(told: FleetUse) -> OrganisationUses:
+def serialize_usage(told: FleetUsage) -> OrganisationUses:
     """Write what was asked and let in of organisations."""
     return OrganisationUses(
         names=list(told.uses),
@@ -159,12 +159,12 @@
     )
 
 
-def parse_usage(told: OrganisationUses | None) -> FleetUse:
+def parse_usage(told: OrganisationUses | None) -> FleetUsage:
     """Read what was asked and let in of organisations; peers may not tell it."""
     if told is None:
-        return FleetUse()
+        return FleetUsage()
     columns = zip(told.names, told.asked_per_ks, told.spent, strict=True)
     uses = {
-        name: Use(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in columns
+        name: Usage(asked_per_ks / 1000, spent) for name, asked_per_ks, spent in columns
     }
-    return FleetUse(uses, told.hosts, told.unknown_ms)
+    return FleetUsage(uses, told.hosts, told.unknown_ms)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/ingress_admission.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from sassafraswinch.fitting_shares import Claim, Fit, fitting_shares
+from sassafraswinch.capacity_shares import Allocation, Claim, capacity_shares
 from sassafraswinch.ranks import route_priority_of
 
 LEVELS = 1_000
@@ -116,7 +116,7 @@
 
     def __init__(self, *, worths: Sequence[float] = ()):
         self._worths = worths
-        self.limited_routes: Mapping[str, Fit] = {}
+        self.limited_routes: Mapping[str, Allocation] = {}
         self.required_slots: Mapping[str, float] = {}
         self._routes: dict[str, _RouteDemand] = {}
         self._trims: dict[str, float] = {}
@@ -177,7 +177,7 @@
         fit = self.limited_routes.get(route)
         if fit is None or level < fit.share * LEVELS:
             return None
-        return fit.lacks
+        return fit.limiting_resource
 
     def uses_only(self, route: str, service: str) -> bool:
         """Return whether a route's whole answers took slots of one service alone."""
@@ -193,7 +193,7 @@
                 kind=name,
                 priority=route.priority,
                 rate_per_s=route.rate_per_s or 0.0,
-                needs=route.needs(),
+                costs=route.needs(),
             )
             for name, route in self._routes.items()
         ]
@@ -225,7 +225,7 @@
             service: self._room(service, capacities.get(service, NO_CAPACITY))
             for service in self.required_slots
         }
-        self.limited_routes = fitting_shares(
+        self.limited_routes = capacity_shares(
             claims,
             {s: room for s, room in rooms.items() if room is not None},
             self._worth_of if self._worths else None,
@@ -260,7 +260,9 @@
     def _trim(self, service: str, capacity: Capacity) -> float:
         trim = self._trims.get(service, 1.0)
         use = capacity.used / capacity.slots
-        is_full = any(fit.lacks == service for fit in self.limited_routes.values())
+        is_full = any(
+            fit.limiting_resource == service for fit in self.limited_routes.values()
+        )
         if is_full or use > AIM_SHARE:
             step = TRIM_GAIN * (AIM_SHARE - use)
         else:
@@ -292,13 +294,13 @@
     if len(claims) == 1:
         return claims[0]
     rate_per_s = sum(claim.rate_per_s for claim in claims)
-    services = dict.fromkeys(service for claim in claims for service in claim.needs)
+    services = dict.fromkeys(service for claim in claims for service in claim.costs)
     return Claim(
         kind=claims[0].kind,
         priority=min(claim.priority for claim in claims),
         rate_per_s=rate_per_s,
-        needs={
-            service: sum(claim.wanted(service) for claim in claims)
+        costs={
+            service: sum(claim.demand_for(service) for claim in claims)
             / max(rate_per_s, MIN_RATE_PER_S)
             for service in services
         },
@@ -308,6 +310,6 @@
 def _wanted(claims: Iterable[Claim]) -> dict[str, float]:
     wanted: dict[str, float] = defaultdict(float)
     for claim in claims:
-        for service in claim.needs:
-            wanted[service] += claim.wanted(service)
+        for service in claim.costs:
+            wanted[service] += claim.demand_for(service)
     return wanted
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/organisations_page.py
@@ -67,10 +67,10 @@
         limit = organisation.limit
         if limit is None:
             return f"{named} rate_per_s=none version={version}"
-        seen, spent_here = self._rates.look(organisation, self._now_ms())
+        seen, spent_here = self._rates.preview_decision(organisation, self._now_ms())
         return (
             f"{named} rate_per_s={limit.rate_per_s:g} burst={limit.burst:g} "
-            f"part={seen.part:.3f} share={seen.share:.3f} "
+            f"part={seen.limit_share:.3f} share={seen.share:.3f} "
             f"asked_per_s={seen.asked_per_s:.1f} spent={seen.spent:.0f} "
             f"spent_here={spent_here} version={version}"
         )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/relay.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Iterable
 
-from sassafraswinch.crash_suspects import Judgement, Standing
+from sassafraswinch.crash_suspects import Restriction, SuspectDecision
 from sassafraswinch.organisation_rates import OrganisationRates
 from sassafraswinch.request_digest import digest_request, digest_text
 from sassafraswinch_sidecar.caller_responses import (
@@ -186,7 +186,7 @@
             relay.offered_to.add(relay.identity)
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
         if response.server_end:
-            self._suspects.ended(digest_request(relay), response.server_end)
+            self._suspects.record_crash(digest_request(relay), response.server_end)
         self._repeats.learn(relay)
         self._outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
@@ -237,7 +237,7 @@
         """Return whether a request is within its organisation's rate."""
         if relay.caller is None:
             return True
-        decision = self._rates.ask(relay.caller, self._now_ms())
+        decision = self._rates.decide_admission(relay.caller, self._now_ms())
         if decision is None or decision.admitted:
             return True
         relay.retry_after_ms = self._rates.wait_ms(decision)
@@ -274,26 +274,26 @@
         self._send(relay, instance, left_ms)
 
     def _choose(
-        self, relay: Relay, instances: list[Instance], judged: Judgement
+        self, relay: Relay, instances: list[Instance], judged: SuspectDecision
     ) -> Instance | None:
         now_ms = self._now_ms()
-        if judged.standing is not Standing.FREE:
+        if judged.restriction is not Restriction.FREE:
             return choose_server_for_suspect(
                 self._placement, relay, instances, now_ms, judged
             )
         answer_bytes = self._outcomes.answer_bytes(relay.route.name)
         return choose_server(self._placement, relay, instances, now_ms, answer_bytes)
 
-    def _judge(self, relay: Relay) -> Judgement | None:
+    def _judge(self, relay: Relay) -> SuspectDecision | None:
         """Return what a request may do; None where it is held back, and given up."""
-        judged = self._suspects.judge(relay)
-        if judged.standing is not Standing.HELD:
+        judged = self._suspects.decide(relay)
+        if judged.restriction is not Restriction.HELD:
             return judged
         self._log.failed(
             "held_back",
             relay.request_id,
             digest=digest_text(judged.digest),
-            ends=len(judged.ends),
+            ends=len(judged.crashes),
             wait_ms=judged.wait_ms,
         )
         relay.retry_after_ms = judged.wait_ms
@@ -344,7 +344,7 @@
 
     def _fail(self, relay: Relay, reason: str, status: int) -> None:
         if status == NOT_RUN_STATUS and relay.has_token:
-            self._rates.give_back(relay.caller, self._now_ms())
+            self._rates.refund(relay.caller, self._now_ms())
         self._outcomes.record_failure(relay)
         self._answers.fail(relay, reason, status)
         self._finish(relay)
@@ -356,7 +356,7 @@
         server_failed = response.status >= SERVER_FAILURE_STATUS
         if not server_failed:
             # The sidecar beside the server may not know yet that it was a suspect.
-            self._suspects.answered(relay)
+            self._suspects.record_answer(relay)
         if server_failed and self._repeats.allows_retry_of_failed(relay):
             relay.last_error_response = response
             self._repeat(relay, f"status-{response.status}")
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_choice.py
@@ -3,7 +3,7 @@
 import zlib
 from collections.abc import Sequence
 
-from sassafraswinch.crash_suspects import Judgement, Standing
+from sassafraswinch.crash_suspects import Restriction, SuspectDecision
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.placement import Placement
 from sassafraswinch_sidecar.relay_intake import Relay
@@ -41,7 +41,7 @@
     relay: Relay,
     instances: Sequence[Instance],
     now_ms: float,
-    judged: Judgement,
+    judged: SuspectDecision,
 ) -> Instance | None:
     """Return the instance for a request under which servers ended.
 
@@ -52,7 +52,7 @@
     not try the next server.
     """
     ranked = sorted(instances, key=lambda each: _rank(judged.digest, each.ip))
-    if judged.standing is Standing.TRIAL:
+    if judged.restriction is Restriction.TRIAL:
         ranked = ranked[:1]
     choices = (
         choose_server(placement, relay, [instance], now_ms) for instance in ranked
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/server_exits.py
@@ -120,7 +120,7 @@
             end=self._name,
             digest=digest_text(digests[0]),
         )
-        self._suspects.ended(digests, self._name)
+        self._suspects.record_crash(digests, self._name)
         return self._name
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Collection
 
 from sassafraswinch.crash_suspects import CrashSuspects
-from sassafraswinch.organisation_rates import OrganisationRates, RateRule, Use
+from sassafraswinch.organisation_rates import OrganisationRates, RateRule, Usage
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.caller_responses import CallerResponses
 from sassafraswinch_sidecar.configuration_events import (
@@ -172,8 +172,8 @@
         self._rates = OrganisationRates(
             rule=self._rate_rule,
             now_ms=self._now_ms(),
-            most_hosts=lambda: self._most_sidecars.value(self._now_ms()),
-            told=self._view.usage,
+            max_hosts=lambda: self._most_sidecars.value(self._now_ms()),
+            fleet_usage=self._view.usage,
             random=rng.random,
         )
         self._reports = HostReports(
@@ -377,7 +377,7 @@
         load = self._view.recent_load(ip, self._now_ms())
         return load is not None and load.isolated
 
-    def _is_near_limit(self, name: str, use: Use) -> bool:
+    def _is_near_limit(self, name: str, use: Usage) -> bool:
         """Return whether hosts must be told of an organisation's use."""
         table = self._fleet.table
         if table is None or table.organisations is None:
@@ -428,13 +428,13 @@
         self._owner.apply_pause(stood_ms)
         self._executor.apply_pause(stood_ms)
         self._view.add_paused_time(stood_ms)
-        self._crash_suspects.stood_still(stood_ms)
+        self._crash_suspects.add_paused_time(stood_ms)
 
     def _admit_anew(self, now_ms: float) -> None:
         capacities = capacities_of(self._fleet.serving(), self._loads.load_of)
         self._admission.decide_shares(capacities, now_ms, self._view.demand(now_ms))
         for route, fit in self._admission.limited_routes.items():
-            service = fit.lacks
+            service = fit.limiting_resource
             capacity = capacities.get(service, NO_CAPACITY)
             log_event(
                 "admission",
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_exchange.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 
 from sassafraswinch.crash_suspects import (
-    ENDS_TO_RUN_ALONE,
+    CRASHES_TO_RUN_ALONE,
     CrashSuspects,
-    Judgement,
-    SuspectWord,
+    SuspectDecision,
+    SuspectReport,
 )
 from sassafraswinch.request_digest import digest_text
 from sassafraswinch_node.logs import log_event
@@ -62,7 +62,7 @@
         now_ms = self._now_ms()
         if now_ms - self._forgot_ms >= FORGET_MS:
             self._forgot_ms = now_ms
-            self._suspects.forget(now_ms)
+            self._suspects.evict_expired(now_ms)
 
     def gauges(self) -> Mapping[str, float]:
         """Return the figures of the moment by name."""
@@ -77,7 +77,7 @@
         Failure: a sidecar starts and has callers before the next round reaches it; it
         would hand a request that is held back everywhere else to its own server.
         """
-        words = self._suspects.words(self._now_ms(), least_ends=ENDS_TO_RUN_ALONE)
+        words = self._suspects.reports(self._now_ms(), min_crashes=CRASHES_TO_RUN_ALONE)
         if words and link.takes_suspects:
             link.send(serialize_suspect_reports(words))
 
@@ -88,13 +88,13 @@
         last_change = self._suspects.last_change
         if link.suspects_sent_up_to == last_change:
             return
-        words = self._suspects.words(self._now_ms(), after=link.suspects_sent_up_to)
+        words = self._suspects.reports(self._now_ms(), after=link.suspects_sent_up_to)
         if not words or link.send(serialize_suspect_reports(words)):
             link.suspects_sent_up_to = last_change
 
     def merge_message(self, news: SuspectNews) -> None:
         """Take in what a peer tells."""
-        if self._suspects.take(parse_suspect_reports(news), self._now_ms()):
+        if self._suspects.merge_reports(parse_suspect_reports(news), self._now_ms()):
             self._log_held()
             self._told_here()
 
@@ -113,29 +113,29 @@
         self._held = frozenset(held)
 
 
-def serialize_suspect_reports(words: list[SuspectWord]) -> SuspectNews:
+def serialize_suspect_reports(words: list[SuspectReport]) -> SuspectNews:
     """Write what is told of suspects."""
     return SuspectNews([_serialize_word(word) for word in words])
 
 
-def parse_suspect_reports(news: SuspectNews) -> list[SuspectWord]:
+def parse_suspect_reports(news: SuspectNews) -> list[SuspectReport]:
     """Read what is told of suspects."""
     return [
-        SuspectWord(
+        SuspectReport(
             digest=told.digest,
-            end_ages_ms=dict(zip(told.ends, told.ages_ms, strict=False)),
+            crash_ages_ms=dict(zip(told.ends, told.ages_ms, strict=False)),
             answered_age_ms=told.answered_age_ms,
         )
         for told in news.suspects
     ]
 
 
-def _serialize_word(word: SuspectWord) -> Suspect:
+def _serialize_word(word: SuspectReport) -> Suspect:
     answered_ms = word.answered_age_ms
     return Suspect(
         digest=word.digest,
-        ends=list(word.end_ages_ms),
-        ages_ms=[_wire_age(age_ms) for age_ms in word.end_ages_ms.values()],
+        ends=list(word.crash_ages_ms),
+        ages_ms=[_wire_age(age_ms) for age_ms in word.crash_ages_ms.values()],
         answered_age_ms=None if answered_ms is None else _wire_age(answered_ms),
     )
 
@@ -144,13 +144,13 @@
     return min(max(int(age_ms), 0), MAX_WIRE_AGE_MS)
 
 
-def _log_held_back(judged: Judgement) -> None:
+def _log_held_back(judged: SuspectDecision) -> None:
     log_event(
         "request_held_back",
         level="warning",
         digest=digest_text(judged.digest),
-        ends=len(judged.ends),
-        servers=",".join(judged.ends),
-        standing=judged.standing.name.lower(),
+        ends=len(judged.crashes),
+        servers=",".join(judged.crashes),
+        standing=judged.restriction.name.lower(),
         trial_in_ms=judged.wait_ms,
     )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_gate.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from sassafraswinch.crash_suspects import Standing
+from sassafraswinch.crash_suspects import Restriction
 from sassafraswinch.request_digest import digest_request
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest
 from sassafraswinch_sidecar.suspect_requests import (
@@ -35,10 +35,10 @@
 
     def refusal_reason(self, request: RelayRequest) -> str:
         """Return why a request may not start; empty if it may."""
-        standing = self._suspects.judge(request).standing
-        if standing is Standing.FREE:
+        standing = self._suspects.decide(request).restriction
+        if standing is Restriction.FREE:
             return ""
-        if standing is Standing.HELD:
+        if standing is Restriction.HELD:
             return HELD_BACK
         others = (each for each in self._running() if each is not request)
         restricted = [each for each in others if self._is_restricted(each)]
@@ -47,4 +47,4 @@
         return SUSPECT_RUNS if restricted else ""
 
     def _is_restricted(self, request: RelayRequest) -> bool:
-        return self._suspects.judge(request).standing is not Standing.FREE
+        return self._suspects.decide(request).restriction is not Restriction.FREE
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspect_requests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from sassafraswinch.crash_suspects import UNSUSPECTED, CrashSuspects, Judgement
+from sassafraswinch.crash_suspects import UNRESTRICTED, CrashSuspects, SuspectDecision
 from sassafraswinch.request_digest import Digests, SentRequest, digest_request
 
 HELD_BACK = "held-back"
@@ -36,20 +36,20 @@
         self._now_ms = now_ms
         self._changed = on_change
 
-    def judge(self, request: SentRequest) -> Judgement:
+    def decide(self, request: SentRequest) -> SuspectDecision:
         """Return what a request may do."""
-        if not self._suspects.may_know(request.target):
-            return UNSUSPECTED
-        return self._suspects.judge(digest_request(request), self._now_ms())
+        if not self._suspects.may_contain(request.target):
+            return UNRESTRICTED
+        return self._suspects.decide(digest_request(request), self._now_ms())
 
-    def ended(self, digests: Digests, end: str) -> None:
+    def record_crash(self, digests: Digests, end: str) -> None:
         """Note that a server ended while it ran a request."""
-        if self._suspects.ended(digests, end, self._now_ms()):
+        if self._suspects.record_crash(digests, end, self._now_ms()):
             self._changed()
 
-    def answered(self, request: SentRequest) -> None:
+    def record_answer(self, request: SentRequest) -> None:
         """Note that a server ran a request to a good end."""
-        if not self._suspects.may_know(request.target):
+        if not self._suspects.may_contain(request.target):
             return
-        if self._suspects.answered(digest_request(request), self._now_ms()):
+        if self._suspects.record_answer(digest_request(request), self._now_ms()):
             self._changed()
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/suspects_page.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from sassafraswinch.crash_suspects import CrashSuspects, Judgement
+from sassafraswinch.crash_suspects import CrashSuspects, SuspectDecision
 from sassafraswinch.request_digest import digest_text
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_sidecar.http_server import (
@@ -77,16 +77,16 @@
             for each in self._suspects.restricted(now_ms)
             if digest_text(each.digest) == text
         )
-        if not named or not self._suspects.answered(named, now_ms):
+        if not named or not self._suspects.record_answer(named, now_ms):
             return False
         log_event("suspect_cleared", level="warning", digest=text)
         self._cleared()
         return True
 
 
-def _line(judged: Judgement) -> str:
+def _line(judged: SuspectDecision) -> str:
     return (
-        f"digest={digest_text(judged.digest)} standing={judged.standing.name.lower()} "
-        f"ends={len(judged.ends)} servers={','.join(judged.ends)} "
+        f"digest={digest_text(judged.digest)} standing={judged.restriction.name.lower()} "
+        f"ends={len(judged.crashes)} servers={','.join(judged.crashes)} "
         f"trial_in_ms={judged.wait_ms:.0f}"
     )
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_aggregator.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from sassafraswinch.fitting_shares import Claim
-from sassafraswinch.organisation_rates import FleetUse, Use, sum_uses
+from sassafraswinch.capacity_shares import Claim
+from sassafraswinch.organisation_rates import FleetUsage, Usage, total_usage
 from sassafraswinch_sidecar.host_reports import (
     parse_counts,
     parse_demand,
@@ -93,7 +93,7 @@
         self,
         *,
         availability_zone: str,
-        is_near_limit: Callable[[str, Use], bool],
+        is_near_limit: Callable[[str, Usage], bool],
     ):
         self._zone = availability_zone
         self._is_near_limit = is_near_limit
@@ -146,7 +146,7 @@
             demand=serialize_demand(merge_claims(demands)),
             counts=serialize_counts(sum_counts(counts)),
             uses=serialize_usage(
-                sum_uses(parse_usage(report.uses) for report in reports.values())
+                total_usage(parse_usage(report.uses) for report in reports.values())
             ),
         )
 
@@ -180,15 +180,15 @@
             uses=serialize_usage(self._near_limits(summaries)),
         )
 
-    def _near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUse:
+    def _near_limits(self, summaries: Iterable[ZoneSummary]) -> FleetUsage:
         """Return the uses that hosts must hear of; the others have no effect."""
-        total = sum_uses(parse_usage(each.uses) for each in summaries)
+        total = total_usage(parse_usage(each.uses) for each in summaries)
         near = {
             name: use
             for name, use in total.uses.items()
             if self._is_near_limit(name, use)
         }
-        return FleetUse(near, total.hosts, total.unknown_ms)
+        return FleetUsage(near, total.hosts, total.unknown_ms)
 
 
 def empty_digest(position: Position) -> FleetDigest:
--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -74,7 +74,7 @@
         )
         for each in listed
     ]
-    return Organisations(entries=entries)
+    return Organisations(organisation_keys=entries)
 
 
 @dataclass
--- a/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
+++ b/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sassafraswinch import crash_suspects
-from sassafraswinch.crash_suspects import Standing
+from sassafraswinch.crash_suspects import Restriction
 from sassafraswinch.request_digest import RequestContent, digest_request
 from sassafraswinch_sidecar.sidecar_settings import Address
 from sidecar_standins.backend import answer
@@ -146,11 +146,11 @@
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         digests = digests_of_get(BAD)
         for node, end in ((0, "i-1/a"), (0, "i-2/b"), (2, "i-3/c")):
-            fleet.nodes[node].sidecar._suspects.ended(digests, end)
+            fleet.nodes[node].sidecar._suspects.record_crash(digests, end)
         suspects = [node.sidecar._crash_suspects for node in fleet.nodes]
         await until(
             lambda: all(
-                each.judge(digests, now_ms()).standing is Standing.HELD
+                each.decide(digests, now_ms()).restriction is Restriction.HELD
                 for each in suspects
             )
         )
@@ -210,13 +210,13 @@
 
     for node in fleet.nodes_of("archiv"):
         node.backend.behaviour = end_first(node)
-        node.sidecar._suspects.answered = lambda request: None
+        node.sidecar._suspects.record_answer = lambda request: None
     got = await fleet.call(fleet.nodes[2])
     assert got.status == 200
     assert ended
     owner = fleet.nodes[2].sidecar
     assert len(owner._crash_suspects)
-    (word,) = owner._crash_suspects.words(now_ms())
+    (word,) = owner._crash_suspects.reports(now_ms())
     assert word.answered_age_ms is not None
 
 
@@ -286,7 +286,7 @@
         for target in (b"/orders/1", b"/orders/2"):
             for end in ("i-1/a", "i-2/b"):
                 digests = digests_of_get(target.decode())
-                fleet.nodes[0].sidecar._suspects.ended(digests, end)
+                fleet.nodes[0].sidecar._suspects.record_crash(digests, end)
         (archiv,) = fleet.nodes_of("archiv")
         held = []
         archiv.backend.behaviour = lambda connection, seen: held.append(
@@ -335,7 +335,7 @@
     """A request was held back for long enough. Its copies arrive at all hosts at once;
     one of them may run, and ends one server more.
     """
-    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 2_000.0)
+    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_DELAY_MS", 2_000.0)
     async with running_fleet(*["archiv"] * 3, "schvaleni", "vydej") as fleet:
         servers = CrashingServers(fleet, "archiv")
         await end_three_servers(fleet, servers)
@@ -354,7 +354,7 @@
     """The servers' fault is mended. The first trial shows it, and the request goes its
     usual way from then on, at every host.
     """
-    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 1_500.0)
+    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_DELAY_MS", 1_500.0)
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
         await end_three_servers(fleet, servers)
--- a/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
+++ b/packages/sassafraswinch-sidecar/tests/test_ingress_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafraswinch.fitting_shares import Claim
+from sassafraswinch.capacity_shares import Claim
 from sassafraswinch_sidecar.ingress_admission import (
     INTERVAL_MS,
     LEVELS,
@@ -67,7 +67,7 @@
     """Return the demand for so many slots of the deepest service."""
     needs = {"prehled": 0.1}
     return Claim(
-        kind=route, priority=PRIORITIES[route], rate_per_s=slots / 0.1, needs=needs
+        kind=route, priority=PRIORITIES[route], rate_per_s=slots / 0.1, costs=needs
     )
 
 
@@ -226,11 +226,11 @@
 
 
 def test_need_of_a_route_is_that_of_the_entries_where_most_of_it_arrives():
-    few = Claim(kind=STATUS, priority=1, rate_per_s=1.0, needs={"prehled": 0.5})
-    many = Claim(kind=STATUS, priority=1, rate_per_s=9.0, needs={"prehled": 0.1})
+    few = Claim(kind=STATUS, priority=1, rate_per_s=1.0, costs={"prehled": 0.5})
+    many = Claim(kind=STATUS, priority=1, rate_per_s=9.0, costs={"prehled": 0.1})
     (merged,) = merge_claims([[few], [many]])
     assert merged.rate_per_s == 10.0
-    assert merged.needs == {"prehled": pytest.approx(0.14)}
+    assert merged.costs == {"prehled": pytest.approx(0.14)}
 
 
 def test_routes_that_need_one_service_alone_are_known_from_whole_answers():
@@ -278,4 +278,4 @@
     for number in range(6):
         node.learn(HISTORY, {"prehled": 220.0}, 2_500.0 + number * 500.0)
     (claim,) = node.demand()
-    assert claim.needs["prehled"] < 0.3
+    assert claim.costs["prehled"] < 0.3
--- a/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
+++ b/packages/sassafraswinch-sidecar/tests/test_suspect_exchange.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from sassafraswinch.crash_suspects import CrashSuspects, Standing, SuspectWord
+from sassafraswinch.crash_suspects import CrashSuspects, Restriction, SuspectReport
 from sassafraswinch_node.frames import LENGTH_BYTES
 from sassafraswinch_sidecar.message_codec import parse_message, serialize_message
 from sassafraswinch_sidecar.suspect_exchange import (
@@ -56,9 +56,9 @@
 @given(
     st.lists(
         st.builds(
-            SuspectWord,
+            SuspectReport,
             digest=st.binary(min_size=16, max_size=16),
-            end_ages_ms=st.dictionaries(st.text(max_size=20), AGES, max_size=4),
+            crash_ages_ms=st.dictionaries(st.text(max_size=20), AGES, max_size=4),
             answered_age_ms=st.none() | AGES,
         ),
         max_size=4,
@@ -71,18 +71,18 @@
 
 def test_link_is_told_only_what_is_new(exchange, suspects):
     link = Link()
-    suspects.ended(BAD, "i-1", 900.0)
+    suspects.record_crash(BAD, "i-1", 900.0)
     exchange.send_changes(link)
     exchange.send_changes(link)
     assert len(link.sent) == 1
-    suspects.ended(BAD, "i-2", 950.0)
+    suspects.record_crash(BAD, "i-2", 950.0)
     exchange.send_changes(link)
     assert len(link.sent) == 2
 
 
 def test_what_was_not_sent_is_told_again(exchange, suspects):
     link = Link(is_open=False)
-    suspects.ended(BAD, "i-1", 900.0)
+    suspects.record_crash(BAD, "i-1", 900.0)
     exchange.send_changes(link)
     link.is_open = True
     exchange.send_changes(link)
@@ -95,7 +95,7 @@
     """
     link = Link(takes_suspects=False)
     for number in range(3):
-        suspects.ended(BAD, f"i-{number}", 900.0)
+        suspects.record_crash(BAD, f"i-{number}", 900.0)
     exchange.send_restricted(link)
     exchange.send_changes(link)
     assert not link.sent
@@ -103,19 +103,19 @@
 
 def test_greeting_tells_of_requests_that_must_not_run_freely(exchange, suspects):
     link = Link()
-    suspects.ended((b"o" * 16,), "i-1", 900.0)
+    suspects.record_crash((b"o" * 16,), "i-1", 900.0)
     exchange.send_restricted(link)
     assert not link.sent
     for number in range(3):
-        suspects.ended(BAD, f"i-{number}", 900.0)
+        suspects.record_crash(BAD, f"i-{number}", 900.0)
     exchange.send_restricted(link)
     (news,) = link.sent
     assert [told.digest for told in news.suspects] == list(BAD)
 
 
 def test_news_is_handed_on_once(exchange, suspects, changes):
-    words = [SuspectWord(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
+    words = [SuspectReport(BAD[0], {"a": 1.0, "b": 2.0, "c": 3.0})]
     exchange.merge_message(serialize_suspect_reports(words))
     exchange.merge_message(serialize_suspect_reports(words))
     assert len(changes) == 1
-    assert suspects.judge(BAD, 1_000.0).standing is Standing.HELD
+    assert suspects.decide(BAD, 1_000.0).restriction is Restriction.HELD
--- a/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
+++ b/packages/sassafraswinch-sidecar/tests/test_zone_aggregator.py
@@ -5,7 +5,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sassafraswinch.organisation_rates import FleetUse, Use
+from sassafraswinch.organisation_rates import FleetUsage, Usage
 from sassafraswinch_sidecar.fleet_view import (
     AGGREGATOR_TIMEOUT_MS,
     MAX_UNLISTED_AGE_MS,
@@ -67,7 +67,7 @@
     view.apply_digest(near.digest(near.summary(), POSITION, 200.0), 200.0)
     (claim,) = view.demand(200.0)
     assert (claim.kind, claim.rate_per_s) == ("orders", 30.0)
-    assert math.isclose(claim.needs["archiv"], 0.2)
+    assert math.isclose(claim.costs["archiv"], 0.2)
     counts, tellers = view.totals(200.0)
     assert (counts["archiv"].requests, counts["archiv"].retries, tellers) == (60, 6, 6)
     assert view.recent_load(IPS["brno-b"][0], 200.0).in_flight == 10
@@ -78,21 +78,21 @@
 
 def test_hosts_are_told_of_organisations_near_their_limit():
     near, far = (zone_aggregator(zone) for zone in ZONES)
-    told = FleetUse({"large": Use(4.0, 7), "small": Use(0.5, 1)}, 1, 250.0)
+    told = FleetUsage({"large": Usage(4.0, 7), "small": Usage(0.5, 1)}, 1, 250.0)
     for zone, gatherer in zip(ZONES, (near, far), strict=True):
         for ip in IPS[zone]:
             gatherer.heard(ip, new_report(uses=serialize_usage(told)), 0.0)
     near.record_summary(far.summary(), 100.0)
     view = FleetView(own_ip=IPS["brno-a"][2])
     view.apply_digest(near.digest(near.summary(), POSITION, 200.0), 200.0)
-    assert view.usage(200.0) == FleetUse({"large": Use(24.0, 42)}, 6, 1_500.0)
-    assert view.usage(200.0 + MAX_VIEW_AGE_MS) == FleetUse()
+    assert view.usage(200.0) == FleetUsage({"large": Usage(24.0, 42)}, 6, 1_500.0)
+    assert view.usage(200.0 + MAX_VIEW_AGE_MS) == FleetUsage()
 
 
 def test_hosts_that_tell_nothing_of_organisations_are_none_of_their_sum():
     gatherer = zone_aggregator("brno-a")
     gatherer.heard("10.0.0.1", new_report(), 0.0)
-    assert parse_usage(gatherer.summary().uses) == FleetUse()
+    assert parse_usage(gatherer.summary().uses) == FleetUsage()
 
 
 def test_word_of_a_host_itself_is_newer_than_any_digest():
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Protocol
 
-from sassafraswinch.crash_suspects import Judgement, Standing
+from sassafraswinch.crash_suspects import Restriction, SuspectDecision
 from sassafraswinch.request_digest import RequestContent, digest_request
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest, Verdict
@@ -84,10 +84,10 @@
                 wait_ms, lambda: self._ends_under(host, execution)
             )
 
-    def judge(self, host: Host, key: str) -> Judgement:
+    def judge(self, host: Host, key: str) -> SuspectDecision:
         """Return what a request may do, as a host knows."""
-        judged = host.suspect_requests.judge(content_of(key))
-        if judged.standing is Standing.HELD:
+        judged = host.suspect_requests.decide(content_of(key))
+        if judged.restriction is Restriction.HELD:
             self._note_held(key)
         return judged
 
@@ -113,7 +113,7 @@
             began = execution.queue_entry.started_at_ms is not None
             if began:
                 digests = digest_request(execution.request)
-                host.suspect_requests.ended(digests, name)
+                host.suspect_requests.record_crash(digests, name)
             else:
                 host.queue.withdraw(execution.queue_entry)
             verdict = Verdict.MAY_HAVE_RUN if began else Verdict.NOT_RUN
@@ -155,8 +155,8 @@
         host for host in hosts if host.told.get(zone) != host.suspects.last_change
     ]
     for teller in tellers:
-        words = teller.suspects.words(now_ms, after=teller.told.get(zone, 0))
+        words = teller.suspects.reports(now_ms, after=teller.told.get(zone, 0))
         teller.told[zone] = teller.suspects.last_change
         for host in hosts:
             if host.instance.availability_zone == zone:
-                host.suspects.take(words, now_ms)
+                host.suspects.merge_reports(words, now_ms)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -8,7 +8,7 @@
 import random
 from functools import partial
 
-from sassafraswinch.crash_suspects import Standing
+from sassafraswinch.crash_suspects import Restriction
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.ingress_admission import (
     LEVELS,
@@ -202,7 +202,7 @@
     def _place(self, host: Host, relay: Relay) -> None:
         now_ms = self.now_ms()
         judged = self.crashes.judge(host, relay.request_id)
-        if judged.standing is Standing.HELD:
+        if judged.restriction is Restriction.HELD:
             self._fail(host, relay)
             return
         left_ms = relay.deadline_ms - now_ms
@@ -212,7 +212,7 @@
             and relay.placements - relay.offers < MAX_REFUSALS
         ):
             instances = self.instances_of(relay.service)
-            if judged.standing is Standing.FREE:
+            if judged.restriction is Restriction.FREE:
                 instance = choose_server(host.placement, relay, instances, now_ms)
             else:
                 instance = choose_server_for_suspect(
@@ -327,7 +327,7 @@
             return
         late = self.now_ms() > execution.deadline_ms
         if not late and status == 200:
-            host.suspect_requests.answered(execution.request)
+            host.suspect_requests.record_answer(execution.request)
         self.end(host, execution, Verdict.ANSWERED, "", 504 if late else status)
 
     def end(
@@ -374,7 +374,7 @@
                 self._repeat(host, relay)
                 return
             if not failed:
-                host.suspect_requests.answered(content_of(relay.request_id))
+                host.suspect_requests.record_answer(content_of(relay.request_id))
             host.outcomes.record_response(relay, response)
             self._done(relay, response.status)
         elif response.verdict == Verdict.MAY_HAVE_RUN:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -11,10 +11,10 @@
 import defopt
 
 from sassafraswinch.organisation_rates import (
-    FleetUse,
+    FleetUsage,
     OrganisationRates,
     RateRule,
-    sum_uses,
+    total_usage,
 )
 from sassafraswinch.organisations import Organisation, RateLimit
 
@@ -43,7 +43,7 @@
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
         """Let a request in (None), or tell when to come back, in milliseconds."""
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return what is told to the others."""
 
 
@@ -55,9 +55,9 @@
     zone: int
     way: Way
     up: bool = True
-    told: FleetUse = field(default_factory=FleetUse)
+    told: FleetUsage = field(default_factory=FleetUsage)
     told_ms: float = -MAX_VIEW_AGE_MS
-    reports: list[FleetUse] = field(default_factory=list)
+    reports: list[FleetUsage] = field(default_factory=list)
 
 
 class SumsTold:
@@ -67,20 +67,20 @@
         self._rates = OrganisationRates(
             rule=RULE,
             now_ms=now_ms,
-            most_hosts=lambda: len(fleet.hosts),
-            told=lambda at_ms: fleet.told(number, at_ms),
+            max_hosts=lambda: len(fleet.hosts),
+            fleet_usage=lambda at_ms: fleet.told(number, at_ms),
             random=fleet.rng.random,
         )
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
         """Let a request in, or tell when to come back (Way)."""
-        decision = self._rates.ask(organisation, now_ms)
+        decision = self._rates.decide_admission(organisation, now_ms)
         if decision is None or decision.admitted:
             self._rates.spend(organisation, now_ms)
             return None
         return self._rates.wait_ms(decision)
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return the counts of this host (Way)."""
         return self._rates.report(now_ms)
 
@@ -122,9 +122,9 @@
             return None
         return 1_000.0
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Tell nothing (Way)."""
-        return FleetUse()
+        return FleetUsage()
 
 
 class HomeHost:
@@ -154,9 +154,9 @@
             return None
         return 1_000.0
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Tell nothing (Way)."""
-        return FleetUse()
+        return FleetUsage()
 
 
 WAYS: dict[str, Callable[..., Way]] = {
@@ -195,10 +195,10 @@
             made = way(fleet=self, number=number, now_ms=-WINDOW_MS)
             self.hosts.append(Host(number, number % ZONES, made))
 
-    def told(self, number: int, now_ms: float) -> FleetUse:
+    def told(self, number: int, now_ms: float) -> FleetUsage:
         """Return what a host is told."""
         host = self.hosts[number]
-        return host.told if now_ms - host.told_ms < MAX_VIEW_AGE_MS else FleetUse()
+        return host.told if now_ms - host.told_ms < MAX_VIEW_AGE_MS else FleetUsage()
 
     def reached(self, number: int) -> list[Host]:
         """Return the hosts that one reaches."""
@@ -210,7 +210,7 @@
         for host in hosts:
             host.way = self._way(fleet=self, number=host.number, now_ms=self.now_ms)
             host.reports = []
-            host.told = FleetUse()
+            host.told = FleetUsage()
             host.told_ms = -MAX_VIEW_AGE_MS
 
     def tell(self) -> None:
@@ -225,7 +225,7 @@
             for zone in range(ZONES)
         ]
         for zone in range(ZONES):
-            told = sum_uses(
+            told = total_usage(
                 by_zone[other][0 if other == zone else 1]
                 for other in range(ZONES)
                 if self._joined(zone, other)
@@ -235,16 +235,16 @@
                 if host.zone == zone and host.up and host.reports:
                     host.told, host.told_ms = told, self.now_ms
 
-    def _near_limits(self, told: FleetUse) -> FleetUse:
+    def _near_limits(self, told: FleetUsage) -> FleetUsage:
         near = {
             name: use
             for name, use in told.uses.items()
             if RULE.is_near(self.limits[name], use)
         }
-        return FleetUse(near, told.hosts, told.unknown_ms)
+        return FleetUsage(near, told.hosts, told.unknown_ms)
 
-    def _zone_sum(self, zone: int, rounds: int) -> FleetUse:
-        return sum_uses(
+    def _zone_sum(self, zone: int, rounds: int) -> FleetUsage:
+        return total_usage(
             host.reports[-rounds]
             for host in self.hosts
             if host.zone == zone and host.up and len(host.reports) >= rounds
--- a/packages/sassafraswinch/sassafraswinch/fitting_shares.py
+++ b/packages/sassafraswinch/sassafraswinch/capacity_shares.py
@@ -30,32 +30,32 @@
         kind: names it.
         priority: 0 is the most important.
         rate_per_s: requests that arrive.
-        needs: room that one request takes for a second, by resource.
+        costs: room that one request takes for a second, by resource.
     """
 
     kind: str
     priority: int
     rate_per_s: float
-    needs: Mapping[Hashable, float]
+    costs: Mapping[Hashable, float]
 
-    def wanted(self, resource: Hashable) -> float:
+    def demand_for(self, resource: Hashable) -> float:
         """Return the room that all its requests would take."""
-        return self.rate_per_s * self.needs.get(resource, 0.0)
+        return self.rate_per_s * self.costs.get(resource, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class Allocation:
     """The part of a kind that is carried, from 0 to 1, and what it lacks for more."""
 
     share: float
-    lacks: Hashable
+    limiting_resource: Hashable
 
 
-def fitting_shares(
+def capacity_shares(
     claims: Collection[Claim],
     rooms: Mapping[Hashable, float],
     worth_of: Worth | None = None,
-) -> dict[str, Fit]:
+) -> dict[str, Allocation]:
     """Return the kinds that can't be carried in full.
 
     Args:
@@ -67,7 +67,7 @@
     if all(_wanted(claims, each) < room for each, room in rooms.items()):
         return {}
     left = dict(rooms)
-    fits: dict[str, Fit] = {}
+    fits: dict[str, Allocation] = {}
     for tier in _tiers(claims, rooms, worth_of):
         fits |= _fill(tier, left)
     return fits
@@ -126,19 +126,19 @@
 
 
 def _wanted(claims: Collection[Claim], resource: Hashable) -> float:
-    return sum(claim.wanted(resource) for claim in claims)
+    return sum(claim.demand_for(resource) for claim in claims)
 
 
-def _fill(claims: list[Claim], left: dict[Hashable, float]) -> dict[str, Fit]:
+def _fill(claims: list[Claim], left: dict[Hashable, float]) -> dict[str, Allocation]:
     """Raise the shares of equals together, and take what they need off ``left``."""
-    fits: dict[str, Fit] = {}
+    fits: dict[str, Allocation] = {}
     shares = dict.fromkeys((claim.kind for claim in claims), 0.0)
     speeds = _speeds(claims, left)
     growing = claims
     while growing := _carried(growing, left, shares, fits):
         step = min((1.0 - shares[c.kind]) / speeds[c.kind] for c in growing)
         takes = {
-            resource: sum(speeds[c.kind] * c.wanted(resource) for c in growing)
+            resource: sum(speeds[c.kind] * c.demand_for(resource) for c in growing)
             for resource in left
         }
         fitting = (left[resource] / take for resource, take in takes.items() if take)
@@ -163,7 +163,7 @@
     return {
         claim.kind: max(
             (
-                claim.needs.get(resource, 0.0) / room
+                claim.costs.get(resource, 0.0) / room
                 for resource, room in scarce.items()
             ),
             default=0.0,
@@ -193,7 +193,7 @@
     growing: list[Claim],
     left: Mapping[Hashable, float],
     shares: Mapping[str, float],
-    fits: dict[str, Fit],
+    fits: dict[str, Allocation],
 ) -> list[Claim]:
     """Return the kinds that no full resource stops, and note the share of the others.
 
@@ -202,9 +202,9 @@
     full = [resource for resource, room in left.items() if room <= EPSILON]
     going_on = []
     for claim in growing:
-        lacks = [resource for resource in full if claim.needs.get(resource, 0.0)]
+        lacks = [resource for resource in full if claim.costs.get(resource, 0.0)]
         if lacks:
-            fits[claim.kind] = Fit(shares[claim.kind], lacks[0])
+            fits[claim.kind] = Allocation(shares[claim.kind], lacks[0])
         else:
             going_on.append(claim)
     return going_on
--- a/packages/sassafraswinch/sassafraswinch/crash_suspects.py
+++ b/packages/sassafraswinch/sassafraswinch/crash_suspects.py
@@ -19,30 +19,30 @@
 
 from sassafraswinch.request_digest import TAG_BYTES, Digests, path_tag
 
-ENDS_TO_RUN_ALONE = 2
+CRASHES_TO_RUN_ALONE = 2
 """Ends after which a request runs once at a time, and beside no other such request:
 each copy would end one more server, and others would be lost with it once more."""
 
-ENDS_TO_HOLD = 3
+CRASHES_TO_HOLD = 3
 """Ends after which a request is held back. Few innocent ones share three: whoever is
 lost with a server is repeated at another one, which has to end under it as well."""
 
-FIRST_TRIAL_MS = 120_000.0
+FIRST_TRIAL_DELAY_MS = 120_000.0
 """Time after the last end until a request that is held back may run once. An innocent
 caller waits no longer. Hosts that all forgot, by a loss of power, let three more
 servers end before they know again; trials that came sooner would add to those."""
 
-TRIAL_FACTOR = 5
+TRIAL_DELAY_FACTOR = 5
 """Factor on that time for each trial that ended a server: 2 minutes, 10, then the
 longest, so that a bad request which keeps coming ends two servers an hour."""
 
-LONGEST_TRIAL_MS = 1_800_000.0
+MAX_TRIAL_DELAY_MS = 1_800_000.0
 """Longest such time: mended servers serve a request again within half an hour."""
 
-MEMORY_MS = 2 * LONGEST_TRIAL_MS
+CRASH_RETENTION_MS = 2 * MAX_TRIAL_DELAY_MS
 """Age at which an end is forgotten: well past the trial that follows it."""
 
-CLEARED_MEMORY_MS = 60_000.0
+CLEARED_RETENTION_MS = 60_000.0
 """Time for which a cleared request is remembered: a host that was cut off may tell of
 the former ends after it."""
 
@@ -53,7 +53,7 @@
 """Part that is kept when they are too many; dropping some at a time is cheaper."""
 
 
-class Standing(enum.IntEnum):
+class Restriction(enum.IntEnum):
     """What a request may do; the later, the less."""
 
     FREE = 0
@@ -70,27 +70,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class SuspectDecision:
     """What a request may do, and why.
 
     Attributes:
-        standing: what it may do.
+        restriction: what it may do.
         digest: the digest that decided.
-        ends: servers that ended under it since it was answered last.
+        crashes: servers that ended under it since it was answered last.
         wait_ms: time until its next trial, if it is held back.
     """
 
-    standing: Standing
+    restriction: Restriction
     digest: bytes = b""
-    ends: tuple[str, ...] = ()
+    crashes: tuple[str, ...] = ()
     wait_ms: float = 0.0
 
 
-UNSUSPECTED = Judgement(Standing.FREE)
+UNRESTRICTED = SuspectDecision(Restriction.FREE)
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectWord:
+class SuspectReport:
     """What one host tells another of a suspect; ages pass between clocks.
 
     Attributes:
@@ -100,7 +100,7 @@
     """
 
     digest: bytes
-    end_ages_ms: Mapping[str, float]
+    crash_ages_ms: Mapping[str, float]
     answered_age_ms: float | None = None
 
 
@@ -136,14 +136,14 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def may_know(self, target: bytes) -> bool:
+    def may_contain(self, target: bytes) -> bool:
         """Return whether a request for this path may be a suspect.
 
         Nearly all aren't, and needn't be digested.
         """
         return bool(self._tags) and path_tag(target) in self._tags
 
-    def ended(self, digests: Digests, end: str, now_ms: float) -> bool:
+    def record_crash(self, digests: Digests, end: str, now_ms: float) -> bool:
         """Note that a server's process ended while it ran a request.
 
         Args:
@@ -157,7 +157,7 @@
         news = [self._add_end(digest, end, now_ms) for digest in digests]
         return any(news)
 
-    def answered(self, digests: Digests, now_ms: float) -> bool:
+    def record_answer(self, digests: Digests, now_ms: float) -> bool:
         """Clear a request that a server has run to its end.
 
         Returns:
@@ -166,56 +166,56 @@
         news = [self._clear(digest, now_ms) for digest in digests]
         return any(news)
 
-    def judge(self, digests: Digests, now_ms: float) -> Judgement:
+    def decide(self, digests: Digests, now_ms: float) -> SuspectDecision:
         """Return what a request may do now."""
         judgements = (self._judge(digest, now_ms) for digest in digests)
-        return max(judgements, key=lambda each: each.standing, default=UNSUSPECTED)
+        return max(judgements, key=lambda each: each.restriction, default=UNRESTRICTED)
 
-    def restricted(self, now_ms: float) -> list[Judgement]:
+    def restricted(self, now_ms: float) -> list[SuspectDecision]:
         """Return a judgement for each request that doesn't go its usual way."""
         judgements = (self._judge(digest, now_ms) for digest in self._suspects)
-        return [each for each in judgements if each.standing is not Standing.FREE]
+        return [each for each in judgements if each.restriction is not Restriction.FREE]
 
-    def held_back(self, now_ms: float) -> list[Judgement]:
+    def held_back(self, now_ms: float) -> list[SuspectDecision]:
         """Return a judgement for each request that is held back, or on trial."""
         restricted = self.restricted(now_ms)
-        return [each for each in restricted if each.standing >= Standing.TRIAL]
+        return [each for each in restricted if each.restriction >= Restriction.TRIAL]
 
-    def words(
-        self, now_ms: float, *, after: int = 0, least_ends: int = 0
-    ) -> list[SuspectWord]:
+    def reports(
+        self, now_ms: float, *, after: int = 0, min_crashes: int = 0
+    ) -> list[SuspectReport]:
         """Return what is known, for another host.
 
         Args:
             now_ms: monotonic time.
             after: number of the last change that the other one was told.
-            least_ends: leaves out suspects with fewer ends since their last answer.
+            min_crashes: leaves out suspects with fewer ends since their last answer.
         """
         return [
             _word(digest, suspect, now_ms)
             for digest, suspect in self._suspects.items()
-            if suspect.change > after and len(suspect.counted()) >= least_ends
+            if suspect.change > after and len(suspect.counted()) >= min_crashes
         ]
 
-    def take(self, words: Iterable[SuspectWord], now_ms: float) -> bool:
+    def merge_reports(self, words: Iterable[SuspectReport], now_ms: float) -> bool:
         """Take in what another host tells; return whether anything was news."""
         news = [self._take(word, now_ms) for word in words]
         return any(news)
 
-    def forget(self, now_ms: float) -> None:
+    def evict_expired(self, now_ms: float) -> None:
         """Drop what is too old to matter."""
         for digest, suspect in list(self._suspects.items()):
             suspect.ends = {
                 name: at_ms
                 for name, at_ms in suspect.ends.items()
-                if now_ms - at_ms < MEMORY_MS
+                if now_ms - at_ms < CRASH_RETENTION_MS
             }
             cleared = not suspect.counted()
-            if cleared and now_ms - suspect.answered_ms >= CLEARED_MEMORY_MS:
+            if cleared and now_ms - suspect.answered_ms >= CLEARED_RETENTION_MS:
                 del self._suspects[digest]
         self._note_tags()
 
-    def stood_still(self, stood_ms: float) -> None:
+    def add_paused_time(self, stood_ms: float) -> None:
         """Add time that passed unknown to the clock to all ages."""
         for suspect in self._suspects.values():
             suspect.answered_ms -= stood_ms
@@ -223,18 +223,18 @@
                 name: at_ms - stood_ms for name, at_ms in suspect.ends.items()
             }
 
-    def _judge(self, digest: bytes, now_ms: float) -> Judgement:
+    def _judge(self, digest: bytes, now_ms: float) -> SuspectDecision:
         suspect = self._suspects.get(digest)
         counted = suspect.counted() if suspect else []
-        if len(counted) < ENDS_TO_RUN_ALONE:
-            return UNSUSPECTED
+        if len(counted) < CRASHES_TO_RUN_ALONE:
+            return UNRESTRICTED
         names = tuple(name for _, name in counted)
-        if len(counted) < ENDS_TO_HOLD:
-            return Judgement(Standing.ALONE, digest, names)
+        if len(counted) < CRASHES_TO_HOLD:
+            return SuspectDecision(Restriction.ALONE, digest, names)
         times_ms = [at_ms for at_ms, _ in counted]
-        wait_ms = times_ms[-1] + trial_pause_ms(times_ms) - now_ms
-        standing = Standing.HELD if wait_ms > 0 else Standing.TRIAL
-        return Judgement(standing, digest, names, max(wait_ms, 0.0))
+        wait_ms = times_ms[-1] + trial_delay_ms(times_ms) - now_ms
+        standing = Restriction.HELD if wait_ms > 0 else Restriction.TRIAL
+        return SuspectDecision(standing, digest, names, max(wait_ms, 0.0))
 
     def _add_end(self, digest: bytes, end: str, at_ms: float) -> bool:
         suspect = self._suspects.get(digest)
@@ -261,11 +261,11 @@
         self._note_change(suspect)
         return True
 
-    def _take(self, word: SuspectWord, now_ms: float) -> bool:
+    def _take(self, word: SuspectReport, now_ms: float) -> bool:
         ends = {
             name: age_ms
-            for name, age_ms in word.end_ages_ms.items()
-            if 0 <= age_ms < MEMORY_MS
+            for name, age_ms in word.crash_ages_ms.items()
+            if 0 <= age_ms < CRASH_RETENTION_MS
         }
         added = [
             self._add_end(word.digest, name, now_ms - age_ms)
@@ -295,7 +295,7 @@
         self._tags = {digest[:TAG_BYTES] for digest in self._suspects}
 
 
-def trial_pause_ms(times_ms: list[float]) -> float:
+def trial_delay_ms(times_ms: list[float]) -> float:
     """Return the time from a request's last end to its next trial.
 
     Ends that come together count as one: they say no more of a request than that all
@@ -304,16 +304,18 @@
     Args:
         times_ms: times of its ends, in order, at least as many as hold it back.
     """
-    later = itertools.pairwise(times_ms[ENDS_TO_HOLD - 1 :])
-    trials = sum(1 for before, after in later if after - before >= FIRST_TRIAL_MS / 2)
-    return min(FIRST_TRIAL_MS * TRIAL_FACTOR**trials, LONGEST_TRIAL_MS)
+    later = itertools.pairwise(times_ms[CRASHES_TO_HOLD - 1 :])
+    trials = sum(
+        1 for before, after in later if after - before >= FIRST_TRIAL_DELAY_MS / 2
+    )
+    return min(FIRST_TRIAL_DELAY_MS * TRIAL_DELAY_FACTOR**trials, MAX_TRIAL_DELAY_MS)
 
 
-def _word(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectWord:
+def _word(digest: bytes, suspect: _Suspect, now_ms: float) -> SuspectReport:
     cleared = suspect.answered_ms > -math.inf
-    return SuspectWord(
+    return SuspectReport(
         digest=digest,
-        end_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.ends.items()},
+        crash_ages_ms={name: now_ms - at_ms for name, at_ms in suspect.ends.items()},
         answered_age_ms=now_ms - suspect.answered_ms if cleared else None,
     )
 
--- a/packages/sassafraswinch/sassafraswinch/entry.py
+++ b/packages/sassafraswinch/sassafraswinch/entry.py
@@ -123,11 +123,11 @@
         pending: Pending = finished.owned.context
         answer = finished.answer
         classification = pending.classification
-        self.limits.shedder.learn(
+        self.limits.shedder.apply_thresholds(
             classification.operation.name,
             answer.thresholds,
             now_ms,
-            whole=answer.verdict is Verdict.ANSWERED,
+            complete=answer.verdict is Verdict.ANSWERED,
         )
         if pending.ticket_number is not None and not finished.given_up:
             self.ledger.finish(pending.ticket_number, answer, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/entry_limits.py
+++ b/packages/sassafraswinch/sassafraswinch/entry_limits.py
@@ -4,7 +4,7 @@
 
 from sassafraswinch import tickets
 from sassafraswinch.early_repeats import EarlyRepeats
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.messages import Answer, Rank
 from sassafraswinch.pending import Pending
 from sassafraswinch.requests import Request
@@ -29,7 +29,7 @@
     def __init__(
         self,
         *,
-        shedder: EntryShedder,
+        shedder: IngressShedder,
         budget: CallerRetryBudget,
         repeats: EarlyRepeats,
         rng: random.Random,
@@ -54,7 +54,7 @@
         if not wait_ms:
             self.budget.first(pending.organisation, now_ms)
             return None
-        if not self.shedder.sheds(operation, rank.class_order, now_ms):
+        if not self.shedder.is_shedding(operation, rank.class_order, now_ms):
             return None
         if self.budget.repeat(pending.organisation, now_ms):
             return None
--- a/packages/sassafraswinch/sassafraswinch/levels.py
+++ b/packages/sassafraswinch/sassafraswinch/levels.py
@@ -75,7 +75,7 @@
         return self.place >= classes and self.hold.lowest_open(now_ms) is None
 
 
-class EntryShedder:
+class IngressShedder:
     """Refuses at the entry what nodes below would refuse.
 
     One place on the axis of ranks is kept for each service under pressure, and
@@ -92,13 +92,13 @@
         self._needed: dict[str, dict[str, None]] = {}
         self._classes = 1
 
-    def learn(
+    def apply_thresholds(
         self,
         operation: str,
         thresholds: Iterable[ServiceThreshold],
         now_ms: float,
         *,
-        whole: bool,
+        complete: bool,
     ) -> None:
         """Take in the thresholds of one answer.
 
@@ -106,13 +106,13 @@
             operation: name of the operation that was answered.
             thresholds: of the services under pressure that it met.
             now_ms: monotonic time.
-            whole: whether the call went its whole way. Then the services that
+            complete: whether the call went its whole way. Then the services that
                 it needs and that told no threshold admit all; a refused call
                 hasn't asked them.
         """
         met = dict(thresholds)
         needed = self._needed.get(operation, {})
-        if whole:
+        if complete:
             for service in needed.keys() - met.keys():
                 self._told(service, inf, now_ms)
         for service, rank in met.items():
@@ -132,7 +132,7 @@
                 del self._services[service]
         return True
 
-    def sheds(self, operation: str, class_order: int, now_ms: float) -> bool:
+    def is_shedding(self, operation: str, class_order: int, now_ms: float) -> bool:
         """Return whether some calls of a class are held back now; changes nothing."""
         return any(
             level.place < class_order + 1 or level.hold.closes(class_order, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/organisation_rates.py
+++ b/packages/sassafraswinch/sassafraswinch/organisation_rates.py
@@ -54,7 +54,7 @@
 """Least part of a window that a refused caller is told to wait."""
 
 
-class Use(NamedTuple):
+class Usage(NamedTuple):
     """What was asked and let in of one organisation.
 
     Attributes:
@@ -66,11 +66,11 @@
     spent: int
 
 
-NOTHING = Use(0.0, 0)
+NOTHING = Usage(0.0, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class FleetUse:
+class FleetUsage:
     """What several hosts tell.
 
     Attributes:
@@ -79,12 +79,12 @@
         unknown_ms: time of the window before these hosts started, added up.
     """
 
-    uses: Mapping[str, Use] = field(default_factory=dict)
+    uses: Mapping[str, Usage] = field(default_factory=dict)
     hosts: int = 0
     unknown_ms: float = 0.0
 
 
-def sum_uses(told: Iterable[FleetUse]) -> FleetUse:
+def total_usage(told: Iterable[FleetUsage]) -> FleetUsage:
     """Return the sum of what hosts, or zones, tell."""
     asked_per_s: dict[str, float] = defaultdict(float)
     spent: dict[str, int] = defaultdict(int)
@@ -96,8 +96,8 @@
         for name, (asked, let_in) in each.uses.items():
             asked_per_s[name] += asked
             spent[name] += let_in
-    uses = {name: Use(asked, spent[name]) for name, asked in asked_per_s.items()}
-    return FleetUse(uses, hosts, unknown_ms)
+    uses = {name: Usage(asked, spent[name]) for name, asked in asked_per_s.items()}
+    return FleetUsage(uses, hosts, unknown_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -117,7 +117,7 @@
         window = limit.rate_per_s * self.window_ms / 1000
         return window + BURST_SHARE * limit.burst + SLACK_SHARE * self.slack
 
-    def is_near(self, limit: RateLimit, use: Use) -> bool:
+    def is_near(self, limit: RateLimit, use: Usage) -> bool:
         """Return whether an organisation comes near its limit."""
         return (
             use.asked_per_s >= NEAR_SHARE * limit.rate_per_s
@@ -134,14 +134,14 @@
         share: part of the organisation's requests that is let in.
         asked_per_s: requests of the organisation at all hosts, as told.
         spent: requests let in at all hosts within the window, as told.
-        part: part of the limit that the hosts in view share.
+        limit_share: part of the limit that the hosts in view share.
     """
 
     admitted: bool
     share: float
     asked_per_s: float
     spent: float
-    part: float
+    limit_share: float
 
 
 @dataclass(slots=True)
@@ -161,7 +161,7 @@
     limit: RateLimit
     spent: float = 0.0
     buckets: deque[_Bucket] = field(default_factory=deque)
-    reported: Use = NOTHING
+    reported: Usage = NOTHING
 
     def current(self, window_ms: float, now_ms: float) -> _Bucket:
         buckets = self.buckets
@@ -176,7 +176,7 @@
         while buckets and now_ms - buckets[0].began_ms >= window_ms + BUCKET_MS / 2:
             self.spent -= buckets.popleft().spent
 
-    def use(self, now_ms: float, age_ms: float) -> Use:
+    def use(self, now_ms: float, age_ms: float) -> Usage:
         asked = 0
         since_ms = now_ms - ASKED_MS
         for bucket in reversed(self.buckets):
@@ -184,7 +184,7 @@
                 break
             asked += bucket.asked
         over_ms = min(ASKED_MS, max(MIN_ASKED_MS, age_ms))
-        return Use(asked * 1000 / over_ms, max(0, round(self.spent)))
+        return Usage(asked * 1000 / over_ms, max(0, round(self.spent)))
 
     def take_over(self, limit: RateLimit) -> None:
         """Follow a changed limit.
@@ -207,9 +207,9 @@
     Args:
         rule: how the limits are measured.
         now_ms: monotonic time at which this host started.
-        most_hosts: returns how many hosts there may be at the most. Those that aren't
+        max_hosts: returns how many hosts there may be at the most. Those that aren't
             in view let in requests as well, so their part is left to them.
-        told: returns what all hosts in view tell; no hosts where nothing is told.
+        fleet_usage: returns what all hosts in view tell; no hosts where nothing is told.
         random: returns a number from 0 to 1.
     """
 
@@ -218,18 +218,20 @@
         *,
         rule: RateRule,
         now_ms: float,
-        most_hosts: Callable[[], int],
-        told: Callable[[float], FleetUse],
+        max_hosts: Callable[[], int],
+        fleet_usage: Callable[[float], FleetUsage],
         random: Callable[[], float],
     ):
         self._rule = rule
         self._started_ms = now_ms
-        self._most_hosts = most_hosts
-        self._told = told
+        self._most_hosts = max_hosts
+        self._told = fleet_usage
         self._random = random
         self._counts: dict[str, _Counts] = {}
 
-    def ask(self, organisation: Organisation, now_ms: float) -> RateDecision | None:
+    def decide_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> RateDecision | None:
         """Count a request that arrived, and decide on it.
 
         Returns:
@@ -250,7 +252,7 @@
             counts.credit -= 1.0
         return RateDecision(admitted, share, use.asked_per_s, use.spent, part)
 
-    def look(
+    def preview_decision(
         self, organisation: Organisation, now_ms: float
     ) -> tuple[RateDecision, int]:
         """Return what a request would meet now, and what this host let in lately."""
@@ -268,7 +270,7 @@
         """Count a request that is sent to a backend server."""
         self._add(organisation, 1, now_ms)
 
-    def give_back(self, organisation: Organisation, now_ms: float) -> None:
+    def refund(self, organisation: Organisation, now_ms: float) -> None:
         """Take back what was spent on a request that proved not to have run."""
         self._add(organisation, -1, now_ms)
 
@@ -277,7 +279,7 @@
         overdrawn = max(1.0 - decision.share, MIN_WAIT_SHARE)
         return self._rule.window_ms * overdrawn * (0.5 + 0.5 * self._random())
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return what this host tells."""
         window_ms = self._rule.window_ms
         age_ms = now_ms - self._started_ms
@@ -289,7 +291,7 @@
                 uses[name] = use
             elif not counts.buckets:
                 del self._counts[name]
-        return FleetUse(uses, 1, self._unknown_ms(now_ms))
+        return FleetUsage(uses, 1, self._unknown_ms(now_ms))
 
     def _add(self, organisation: Organisation, sign: int, now_ms: float) -> None:
         if organisation.limit is None:
@@ -310,21 +312,21 @@
         counts.take_over(limit)
         return counts
 
-    def _view(self, now_ms: float) -> FleetUse:
+    def _view(self, now_ms: float) -> FleetUsage:
         told = self._told(now_ms)
-        return told if told.hosts else FleetUse({}, 1, self._unknown_ms(now_ms))
+        return told if told.hosts else FleetUsage({}, 1, self._unknown_ms(now_ms))
 
     def _unknown_ms(self, now_ms: float) -> float:
         return max(0.0, self._rule.window_ms - (now_ms - self._started_ms))
 
     def _share(
-        self, name: str, counts: _Counts, told: FleetUse, now_ms: float
-    ) -> tuple[float, Use, float]:
+        self, name: str, counts: _Counts, told: FleetUsage, now_ms: float
+    ) -> tuple[float, Usage, float]:
         """Return the part to let in, what is known of its use, and of its limit."""
         limit = counts.limit
         own = counts.use(now_ms, now_ms - self._started_ms)
         use = told.uses.get(name, NOTHING)
-        use = Use(max(use.asked_per_s, own.asked_per_s), max(use.spent, own.spent))
+        use = Usage(max(use.asked_per_s, own.asked_per_s), max(use.spent, own.spent))
         most_hosts = max(self._most_hosts(), told.hosts, 1)
         part = told.hosts / most_hosts
         # What hosts let in before they started isn't known: as much as they may.
@@ -342,7 +344,7 @@
             return 0.0, use, part
         return min(1.0, target_per_s / max(use.asked_per_s, 1e-9)), use, part
 
-    def _fill(self, counts: _Counts, use: Use, now_ms: float) -> None:
+    def _fill(self, counts: _Counts, use: Usage, now_ms: float) -> None:
         """Add the tokens of the time that passed.
 
         They bound what one host lets in between two sums, however much it is sent.
--- a/packages/sassafraswinch/sassafraswinch/organisations.py
+++ b/packages/sassafraswinch/sassafraswinch/organisations.py
@@ -52,16 +52,16 @@
     """All organisations of one configuration.
 
     Args:
-        entries: the organisations with their keys.
+        organisation_keys: the organisations with their keys.
 
     Raises:
         AmbiguousOrganisationError: two share a name or a key.
     """
 
-    def __init__(self, *, entries: Iterable[OrganisationKeys]):
+    def __init__(self, *, organisation_keys: Iterable[OrganisationKeys]):
         self.by_name: dict[str, Organisation] = {}
         self._by_key: dict[str, Organisation] = {}
-        for entry in entries:
+        for entry in organisation_keys:
             organisation = entry.organisation
             name = organisation.name
             if name in self.by_name:
--- a/packages/sassafraswinch/tests/test_admission.py
+++ b/packages/sassafraswinch/tests/test_admission.py
@@ -7,7 +7,7 @@
 from sassafraswinch.admission import MAX_WAIT_MS, AdaptiveGate
 from sassafraswinch.errors import InvariantError
 from sassafraswinch.gate import BackendOutcome
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.messages import Rank
 from sassafraswinch.service_time import MIN_SAMPLES, WINDOW_MS
 from sassafraswinch.verdict import Reason
@@ -203,7 +203,7 @@
     trial call starts just after a paying one was refused, and the goodput is
     back within a second of the end.
     """
-    figures = run(name, shedder=EntryShedder())
+    figures = run(name, shedder=IngressShedder())
     assert figures.paying_percent >= 95
     assert figures.inversions == 0
     assert figures.recovery_ms <= 1000
--- a/packages/sassafraswinch/tests/test_crash_suspects.py
+++ b/packages/sassafraswinch/tests/test_crash_suspects.py
@@ -7,15 +7,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from sassafraswinch.crash_suspects import (
-    CLEARED_MEMORY_MS,
-    ENDS_TO_HOLD,
-    FIRST_TRIAL_MS,
-    LONGEST_TRIAL_MS,
+    CLEARED_RETENTION_MS,
+    CRASH_RETENTION_MS,
+    CRASHES_TO_HOLD,
+    FIRST_TRIAL_DELAY_MS,
     MAX_SUSPECTS,
-    MEMORY_MS,
+    MAX_TRIAL_DELAY_MS,
     CrashSuspects,
-    Standing,
-    SuspectWord,
+    Restriction,
+    SuspectReport,
 )
 from sassafraswinch.request_digest import RequestContent, digest_request
 
@@ -23,24 +23,24 @@
 
 
 def standing(suspects, now_ms, digests=BAD):
-    return suspects.judge(digests, now_ms).standing
+    return suspects.decide(digests, now_ms).restriction
 
 
 def ended_at(*times_ms, digests=BAD):
     suspects = CrashSuspects()
     for number, at_ms in enumerate(times_ms):
-        suspects.ended(digests, f"i-{number}", at_ms)
+        suspects.record_crash(digests, f"i-{number}", at_ms)
     return suspects
 
 
 @pytest.mark.parametrize(
     ("ends", "expected"),
     [
-        (0, Standing.FREE),
-        (1, Standing.FREE),
-        (2, Standing.ALONE),
-        (3, Standing.HELD),
-        (9, Standing.HELD),
+        (0, Restriction.FREE),
+        (1, Restriction.FREE),
+        (2, Restriction.ALONE),
+        (3, Restriction.HELD),
+        (9, Restriction.HELD),
     ],
 )
 def test_standing_falls_with_the_ends(ends, expected):
@@ -52,8 +52,8 @@
     lost with two servers must not be held back as if it had ended three.
     """
     suspects = ended_at(0.0, 1.0)
-    suspects.ended(BAD, "i-1", 500.0)
-    assert standing(suspects, 600.0) is Standing.ALONE
+    suspects.record_crash(BAD, "i-1", 500.0)
+    assert standing(suspects, 600.0) is Restriction.ALONE
 
 
 def test_request_that_was_answered_since_is_cleared():
@@ -61,17 +61,19 @@
     answered by the others all the time.
     """
     suspects = ended_at(0.0, 1.0, 2.0)
-    assert suspects.answered(BAD, 3.0)
-    assert standing(suspects, 4.0) is Standing.FREE
-    suspects.ended(BAD, "i-9", 5.0)
-    assert standing(suspects, 6.0) is Standing.FREE
+    assert suspects.record_answer(BAD, 3.0)
+    assert standing(suspects, 4.0) is Restriction.FREE
+    suspects.record_crash(BAD, "i-9", 5.0)
+    assert standing(suspects, 6.0) is Restriction.FREE
 
 
 def test_end_after_the_answer_counts_though_it_is_told_later():
     suspects = ended_at(0.0, 1.0)
-    suspects.answered(BAD, 2.0)
-    suspects.take([SuspectWord(BAD[0], {"a": 5.0, "b": 6.0, "c": 7.0})], 10.0)
-    assert standing(suspects, 10.0) is Standing.HELD
+    suspects.record_answer(BAD, 2.0)
+    suspects.merge_reports(
+        [SuspectReport(BAD[0], {"a": 5.0, "b": 6.0, "c": 7.0})], 10.0
+    )
+    assert standing(suspects, 10.0) is Restriction.HELD
 
 
 def test_trials_come_ever_later():
@@ -79,15 +81,19 @@
     the server again waits ten, then half an hour each.
     """
     suspects = ended_at(0.0, 1.0, 2.0)
-    assert standing(suspects, FIRST_TRIAL_MS + 1) is Standing.HELD
-    at_ms = FIRST_TRIAL_MS + 2
-    assert standing(suspects, at_ms) is Standing.TRIAL
+    assert standing(suspects, FIRST_TRIAL_DELAY_MS + 1) is Restriction.HELD
+    at_ms = FIRST_TRIAL_DELAY_MS + 2
+    assert standing(suspects, at_ms) is Restriction.TRIAL
     pauses_ms = []
     for number in range(3):
-        suspects.ended(BAD, f"trial-{number}", at_ms)
-        pauses_ms.append(suspects.judge(BAD, at_ms).wait_ms)
+        suspects.record_crash(BAD, f"trial-{number}", at_ms)
+        pauses_ms.append(suspects.decide(BAD, at_ms).wait_ms)
         at_ms += pauses_ms[-1]
-    assert pauses_ms == [5 * FIRST_TRIAL_MS, LONGEST_TRIAL_MS, LONGEST_TRIAL_MS]
+    assert pauses_ms == [
+        5 * FIRST_TRIAL_DELAY_MS,
+        MAX_TRIAL_DELAY_MS,
+        MAX_TRIAL_DELAY_MS,
+    ]
 
 
 def test_loss_of_all_servers_at_once_delays_the_trial_no_further():
@@ -95,57 +101,59 @@
     on each. It must not be held back for longer than a single one that ended three.
     """
     suspects = ended_at(*[float(number) for number in range(12)])
-    assert standing(suspects, 12 + FIRST_TRIAL_MS) is Standing.TRIAL
+    assert standing(suspects, 12 + FIRST_TRIAL_DELAY_MS) is Restriction.TRIAL
 
 
 def test_one_digest_of_two_is_enough():
     content = RequestContent("GET", b"/orders/1?page=1", b"Host: h\r\n", b"")
     other = RequestContent("GET", b"/orders/1?page=2", b"Host: h\r\n", b"")
     suspects = ended_at(0.0, 1.0, 2.0, digests=digest_request(content))
-    assert suspects.may_know(other.target)
-    assert standing(suspects, 3.0, digest_request(other)) is Standing.HELD
+    assert suspects.may_contain(other.target)
+    assert standing(suspects, 3.0, digest_request(other)) is Restriction.HELD
 
 
 def test_other_path_is_not_even_digested():
     content = RequestContent("GET", b"/orders/1", b"", b"")
     suspects = ended_at(0.0, digests=digest_request(content))
-    assert not suspects.may_know(b"/orders/2")
+    assert not suspects.may_contain(b"/orders/2")
 
 
 def test_bound_drops_the_least_suspected_first():
     """A caller sends thousands of different requests that end servers."""
     suspects = ended_at(0.0, 1.0, 2.0)
     for number in range(2 * MAX_SUSPECTS):
-        suspects.ended((b"%16d" % number,), f"x-{number}", 10.0 + number)
+        suspects.record_crash((b"%16d" % number,), f"x-{number}", 10.0 + number)
     assert len(suspects) <= MAX_SUSPECTS
-    assert standing(suspects, 10.0) is Standing.HELD
+    assert standing(suspects, 10.0) is Restriction.HELD
 
 
 def test_old_ends_and_cleared_requests_are_forgotten():
     suspects = ended_at(0.0)
-    suspects.forget(MEMORY_MS)
+    suspects.evict_expired(CRASH_RETENTION_MS)
     assert not len(suspects)
     suspects = ended_at(0.0)
-    suspects.answered(BAD, 1.0)
-    suspects.forget(CLEARED_MEMORY_MS)
+    suspects.record_answer(BAD, 1.0)
+    suspects.evict_expired(CLEARED_RETENTION_MS)
     assert len(suspects) == 1
-    suspects.forget(CLEARED_MEMORY_MS + 2.0)
+    suspects.evict_expired(CLEARED_RETENTION_MS + 2.0)
     assert not len(suspects)
 
 
 def test_words_are_told_once():
     suspects = ended_at(0.0, 1.0)
     told = suspects.last_change
-    assert not suspects.words(2.0, after=told)
-    suspects.ended(BAD, "i-9", 3.0)
-    (word,) = suspects.words(4.0, after=told)
-    assert word.end_ages_ms == {"i-0": 4.0, "i-1": 3.0, "i-9": 1.0}
+    assert not suspects.reports(2.0, after=told)
+    suspects.record_crash(BAD, "i-9", 3.0)
+    (word,) = suspects.reports(4.0, after=told)
+    assert word.crash_ages_ms == {"i-0": 4.0, "i-1": 3.0, "i-9": 1.0}
 
 
 def test_nothing_wrong_is_believed():
     """A peer's clock jumped: ages below zero or of days say nothing."""
     suspects = CrashSuspects()
-    assert not suspects.take([SuspectWord(BAD[0], {"a": -5.0, "b": 1e12})], 10.0)
+    assert not suspects.merge_reports(
+        [SuspectReport(BAD[0], {"a": -5.0, "b": 1e12})], 10.0
+    )
     assert not len(suspects)
 
 
@@ -166,19 +174,19 @@
         self.hosts = [CrashSuspects() for _ in range(3)]
         self.numbers = itertools.count()
         self.ends: dict[str, float] = {}
-        self.on_the_way: list[tuple[float, list[SuspectWord]]] = []
+        self.on_the_way: list[tuple[float, list[SuspectReport]]] = []
 
     @rule(host=HOSTS)
     def server_exits(self, host):
         self.now_ms += 1.0
         name = f"i-{next(self.numbers)}"
         self.ends[name] = self.now_ms
-        self.hosts[host].ended(BAD, name, self.now_ms)
+        self.hosts[host].record_crash(BAD, name, self.now_ms)
 
     @rule(host=HOSTS)
     def is_answered(self, host):
         self.now_ms += 1.0
-        self.hosts[host].answered(BAD, self.now_ms)
+        self.hosts[host].record_answer(BAD, self.now_ms)
 
     @rule(passes_ms=st.floats(1.0, 5_000.0))
     def time_passes(self, passes_ms):
@@ -186,13 +194,13 @@
 
     @rule(host=HOSTS)
     def sends(self, host):
-        self.on_the_way.append((self.now_ms, self.hosts[host].words(self.now_ms)))
+        self.on_the_way.append((self.now_ms, self.hosts[host].reports(self.now_ms)))
 
     @rule(host=HOSTS, data=st.data())
     def receives(self, host, data):
         if self.on_the_way:
             _, words = data.draw(st.sampled_from(self.on_the_way))
-            self.hosts[host].take(words, self.now_ms)
+            self.hosts[host].merge_reports(words, self.now_ms)
 
     @rule(host=HOSTS)
     def is_reborn(self, host):
@@ -201,11 +209,11 @@
     @invariant()
     def counts_each_end_once(self):
         for host in self.hosts:
-            judged = host.judge(BAD, self.now_ms)
-            assert len(judged.ends) <= len(self.ends)
-            assert set(judged.ends) <= set(self.ends)
-            assert (judged.standing >= Standing.TRIAL) == (
-                len(judged.ends) >= ENDS_TO_HOLD
+            judged = host.decide(BAD, self.now_ms)
+            assert len(judged.crashes) <= len(self.ends)
+            assert set(judged.crashes) <= set(self.ends)
+            assert (judged.restriction >= Restriction.TRIAL) == (
+                len(judged.crashes) >= CRASHES_TO_HOLD
             )
 
     @rule()
@@ -214,7 +222,7 @@
             hearer.take(teller.words(self.now_ms), self.now_ms)
         for teller, hearer in itertools.permutations(self.hosts, 2):
             hearer.take(teller.words(self.now_ms), self.now_ms)
-        judged = {host.judge(BAD, self.now_ms).ends for host in self.hosts}
+        judged = {host.decide(BAD, self.now_ms).crashes for host in self.hosts}
         assert len({frozenset(ends) for ends in judged}) == 1
 
 
--- a/packages/sassafraswinch/tests/test_levels.py
+++ b/packages/sassafraswinch/tests/test_levels.py
@@ -8,7 +8,7 @@
 from sassafraswinch.levels import (
     MAX_OPERATIONS,
     REOPEN_MS,
-    EntryShedder,
+    IngressShedder,
     position,
     rank_at,
 )
@@ -26,12 +26,12 @@
     operation, and that of the release had lately heard a stricter word than that of
     the lookup. So the lookup took the capacity that the release was refused.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(TRIAL, LEVELS - 1), 0)
-    shedder.learn("lookup", MIDDLE_OF_TRIAL, 0, whole=False)
+    shedder.apply_thresholds("lookup", MIDDLE_OF_TRIAL, 0, complete=False)
     strict = (ServiceThreshold("archiv", Rank(PAYING, 10)),)
     for _ in range(10):
-        shedder.learn("release", strict, 0, whole=False)
+        shedder.apply_thresholds("release", strict, 0, complete=False)
     assert not shedder.admits("release", Rank(PAYING, LEVELS - 1), 0)
     assert not shedder.admits("lookup", Rank(TRIAL, 0), 0)
 
@@ -42,24 +42,24 @@
     Its answer told no threshold of the archive, since it never came there. Taken as
     "the archive admits all" it undid what whole answers had told.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("release", Rank(TRIAL, 0), 0)
     strict = (ServiceThreshold("archiv", Rank(PAYING, 10)),)
     for _ in range(10):
-        shedder.learn("release", strict, 0, whole=True)
+        shedder.apply_thresholds("release", strict, 0, complete=True)
     before = shedder.admits("release", Rank(PAYING, 100), 0)
     for _ in range(100):
-        shedder.learn("release", (), 0, whole=False)
+        shedder.apply_thresholds("release", (), 0, complete=False)
     assert not before
     assert not shedder.admits("release", Rank(PAYING, 100), 0)
 
 
 def test_everything_is_open_again_after_a_second():
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(TRIAL, 0), 0)
     for _ in range(50):
         strict = (ServiceThreshold("archiv", Rank(PAYING, 0)),)
-        shedder.learn("lookup", strict, 0, whole=True)
+        shedder.apply_thresholds("lookup", strict, 0, complete=True)
     assert not shedder.admits("lookup", Rank(PAYING, 20), 0)
     assert shedder.admits("lookup", Rank(TRIAL, LEVELS - 1), 1_300)
 
@@ -79,10 +79,10 @@
     ranks=st.lists(st.integers(0, 2), min_size=2, max_size=20),
 )
 def test_no_class_passes_a_higher_one(told, ranks):
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     for operation, service, order, level, whole in told:
         met = (ServiceThreshold(service, Rank(order, level)),)
-        shedder.learn(operation, met, 0, whole=whole)
+        shedder.apply_thresholds(operation, met, 0, complete=whole)
     refused = [
         order
         for order in ranks
@@ -94,10 +94,10 @@
 
 
 def test_memory_is_bounded():
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     for number in range(2 * MAX_OPERATIONS):
         met = (ServiceThreshold(f"service-{number}", Rank(0, 1)),)
-        shedder.learn(f"operation-{number}", met, 0, whole=True)
+        shedder.apply_thresholds(f"operation-{number}", met, 0, complete=True)
     assert len(shedder._needed) <= MAX_OPERATIONS
     assert shedder.retry_after_ms("lookup", Rank(0, 0), 0, random.Random(1)) >= 0
 
@@ -107,7 +107,7 @@
 
 def learn_archive(shedder, threshold, now_ms):
     met = () if threshold is None else (ServiceThreshold("archiv", threshold),)
-    shedder.learn("lookup", met, now_ms, whole=True)
+    shedder.apply_thresholds("lookup", met, now_ms, complete=True)
 
 
 @given(rank=ranks)
@@ -124,7 +124,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_entry_never_admits_a_lower_claim_where_it_refuses_a_higher(answers, offers):
-    shedder, now_ms = EntryShedder(), 0.0
+    shedder, now_ms = IngressShedder(), 0.0
     shedder.admits("lookup", Rank(3, 0), now_ms)
     for threshold, pause_ms in answers:
         now_ms += pause_ms
@@ -140,7 +140,7 @@
     The entry refuses at once what would die below. With no answers any more, it
     has to open again within a second, or nobody would ever ask the node.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
         learn_archive(shedder, Rank(0, 63), 0.0)
@@ -156,7 +156,7 @@
 
     A trial call of the next moment would pass where a paying one was refused.
     """
-    shedder = EntryShedder()
+    shedder = IngressShedder()
     shedder.admits("lookup", Rank(1, 0), 0.0)
     for _ in range(20):
         learn_archive(shedder, Rank(0, 119), 0.0)
@@ -167,7 +167,7 @@
 
 
 def test_entry_retry_after_grows_with_the_refused():
-    shedder, rng = EntryShedder(), random.Random(1)
+    shedder, rng = IngressShedder(), random.Random(1)
     learn_archive(shedder, Rank(0, 0), 0.0)
     waits = [shedder.retry_after_ms("lookup", Rank(0, 90), 0.0, rng) for _ in range(3)]
     assert all(wait > 0 for wait in waits)
--- a/packages/sassafraswinch/tests/test_organisation_rates.py
+++ b/packages/sassafraswinch/tests/test_organisation_rates.py
@@ -6,11 +6,11 @@
 
 from sassafraswinch.organisation_rates import (
     UNTOLD_TOKENS,
-    FleetUse,
+    FleetUsage,
     OrganisationRates,
     RateRule,
-    Use,
-    sum_uses,
+    Usage,
+    total_usage,
 )
 from sassafraswinch.organisations import Organisation, RateLimit
 
@@ -25,12 +25,12 @@
     """A host that is told what a test chooses."""
 
     def __init__(self, *, started_ms=0.0, **told):
-        self.told = FleetUse({"large": Use(**told)} if told else {}, HOSTS)
+        self.told = FleetUsage({"large": Usage(**told)} if told else {}, HOSTS)
         self.rates = OrganisationRates(
             rule=RULE,
             now_ms=started_ms,
-            most_hosts=lambda: HOSTS,
-            told=lambda now_ms: self.told,
+            max_hosts=lambda: HOSTS,
+            fleet_usage=lambda now_ms: self.told,
             random=random.Random(1).random,
         )
         self.now_ms = START_MS
@@ -40,7 +40,7 @@
         admitted = 0
         for _ in range(count):
             self.now_ms += gap_ms
-            decision = self.rates.ask(organisation, self.now_ms)
+            decision = self.rates.decide_admission(organisation, self.now_ms)
             if decision.admitted:
                 admitted += 1
                 self.rates.spend(organisation, self.now_ms)
@@ -48,7 +48,7 @@
 
 
 def test_an_organisation_without_a_limit_needs_no_decision():
-    assert Host().rates.ask(Organisation(name="free"), START_MS) is None
+    assert Host().rates.decide_admission(Organisation(name="free"), START_MS) is None
 
 
 def test_all_is_let_in_below_the_limit():
@@ -71,15 +71,15 @@
 def test_hosts_that_arent_in_view_keep_their_part():
     """Guards against two halves of a cut fleet that each use the whole limit."""
     host = Host(asked_per_s=500.0, spent=285)
-    host.told = FleetUse(host.told.uses, HOSTS // 2)
-    decision = host.rates.ask(LARGE, START_MS)
-    assert decision.part == 0.5
+    host.told = FleetUsage(host.told.uses, HOSTS // 2)
+    decision = host.rates.decide_admission(LARGE, START_MS)
+    assert decision.limit_share == 0.5
     assert decision.share == pytest.approx(0.1, abs=0.03)
 
 
 def test_a_host_that_hears_nobody_has_its_even_part():
     host = Host()
-    host.told = FleetUse()
+    host.told = FleetUsage()
     share = host.let_in(200, gap_ms=25.0)
     assert share == pytest.approx(100.0 / HOSTS / 40.0, abs=0.03)
 
@@ -87,8 +87,10 @@
 def test_the_window_before_all_hosts_started_counts_as_spent():
     """Guards against a burst that is handed out anew after all hosts were killed."""
     host = Host(asked_per_s=500.0, spent=0)
-    host.told = FleetUse(host.told.uses, HOSTS, HOSTS * RULE.window_ms)
-    assert host.rates.ask(LARGE, START_MS).share == pytest.approx(0.2, abs=0.01)
+    host.told = FleetUsage(host.told.uses, HOSTS, HOSTS * RULE.window_ms)
+    assert host.rates.decide_admission(LARGE, START_MS).share == pytest.approx(
+        0.2, abs=0.01
+    )
 
 
 def test_a_host_lets_in_little_more_than_its_part_before_it_is_told():
@@ -102,13 +104,13 @@
     host = Host()
     host.rates.spend(LARGE, START_MS)
     assert host.rates.report(START_MS).uses["large"].spent == 1
-    host.rates.give_back(LARGE, START_MS)
+    host.rates.refund(LARGE, START_MS)
     assert host.rates.report(START_MS).uses == {}
 
 
 def test_counts_leave_with_their_window():
     host = Host()
-    host.rates.ask(LARGE, START_MS)
+    host.rates.decide_admission(LARGE, START_MS)
     host.rates.spend(LARGE, START_MS)
     late_ms = START_MS + 2 * RULE.window_ms
     assert host.rates.report(late_ms).uses == {}
@@ -121,13 +123,13 @@
     for _ in range(100):
         host.rates.spend(LARGE, START_MS)
     less = Organisation(name="large", limit=RateLimit(rate_per_s=10.0, burst=10.0))
-    host.rates.ask(less, START_MS)
+    host.rates.decide_admission(less, START_MS)
     assert host.rates.report(START_MS).uses["large"].spent == 10
 
 
 def test_refused_callers_come_back_spread_over_what_is_overdrawn():
     host = Host(asked_per_s=500.0, spent=570)
-    decision = host.rates.ask(LARGE, START_MS)
+    decision = host.rates.decide_admission(LARGE, START_MS)
     waits = [host.rates.wait_ms(decision) for _ in range(100)]
     assert min(waits) >= 0.5 * (1.0 - decision.share) * RULE.window_ms
     assert max(waits) <= RULE.window_ms
@@ -135,8 +137,8 @@
 
 
 def test_sums_add_up_and_keep_their_hosts():
-    one = FleetUse({"a": Use(1.0, 2)}, 1, 100.0)
-    other = FleetUse({"a": Use(2.0, 3), "b": Use(4.0, 5)}, 2, 50.0)
-    total = FleetUse({"a": Use(3.0, 5), "b": Use(4.0, 5)}, 3, 150.0)
-    assert sum_uses([one, other]) == total
-    assert sum_uses([]) == FleetUse()
+    one = FleetUsage({"a": Usage(1.0, 2)}, 1, 100.0)
+    other = FleetUsage({"a": Usage(2.0, 3), "b": Usage(4.0, 5)}, 2, 50.0)
+    total = FleetUsage({"a": Usage(3.0, 5), "b": Usage(4.0, 5)}, 3, 150.0)
+    assert total_usage([one, other]) == total
+    assert total_usage([]) == FleetUsage()
--- a/packages/sassafraswinch/tests/test_organisations.py
+++ b/packages/sassafraswinch/tests/test_organisations.py
@@ -16,7 +16,9 @@
 
 
 def test_a_key_leads_to_its_organisation():
-    organisations = Organisations(entries=[entry("a", "k1", "k2"), entry("b", "k3")])
+    organisations = Organisations(
+        organisation_keys=[entry("a", "k1", "k2"), entry("b", "k3")]
+    )
     assert organisations.find("k2").name == "a"
     assert organisations.find("k3").name == "b"
     assert organisations.find("k4") is None
@@ -24,7 +26,7 @@
 
 
 def test_an_organisation_may_have_no_key_left():
-    assert Organisations(entries=[entry("a")]).find("") is None
+    assert Organisations(organisation_keys=[entry("a")]).find("") is None
 
 
 @pytest.mark.parametrize(
@@ -33,13 +35,13 @@
 )
 def test_names_and_keys_stand_for_one_organisation(entries):
     with pytest.raises(AmbiguousOrganisationError) as caught:
-        Organisations(entries=entries)
+        Organisations(organisation_keys=entries)
     assert "k" not in str(caught.value).replace("key", "").replace("listed twice", "")
 
 
 def test_ten_thousand_organisations_are_read():
     entries = [entry(f"o{n}", f"key-{n}") for n in range(10_000)]
-    assert Organisations(entries=entries).find("key-9999").name == "o9999"
+    assert Organisations(organisation_keys=entries).find("key-9999").name == "o9999"
 
 
 def test_keys_do_not_show_in_texts():
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -9,7 +9,7 @@
 
 from sassafraswinch.gate import BackendOutcome, Gate
 from sassafraswinch.hosts import HostView
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.messages import LEVELS, Load, Rank, ServiceThreshold
 from sassafraswinch.routing import Router
 from sassafraswinch.verdict import Reason
@@ -102,7 +102,7 @@
         hosts: list[FakeHost],
         streams: list[Stream],
         seed: int,
-        shedder: EntryShedder | None = None,
+        shedder: IngressShedder | None = None,
         routers: Sequence[Router] = (),
     ):
         self.hosts = {host.view.name: host for host in hosts}
@@ -269,7 +269,9 @@
         if self.shedder is not None:
             met = () if threshold is None else (ServiceThreshold("server", threshold),)
             operation = call.stream.operation
-            self.shedder.learn(operation, met, self.now_ms, whole=not refused)
+            self.shedder.apply_thresholds(
+                operation, met, self.now_ms, complete=not refused
+            )
         if call.router is not None:
             latency_ms = None if refused else self.now_ms - call.offered_at_ms
             call.router.answered(call.host.view.name, latency_ms, load, self.now_ms)
--- a/packages/sassafraswinch/tests/utils/gate_bench.py
+++ b/packages/sassafraswinch/tests/utils/gate_bench.py
@@ -9,7 +9,7 @@
 from sassafraswinch.admission import AdaptiveGate
 from sassafraswinch.gate import Gate, OpenGate, StaticGate
 from sassafraswinch.hosts import HostView
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 
 from .fake_server import FakeHost, FakeServer, Stream, Trial
 from .figures import Figures, measure
@@ -47,7 +47,7 @@
     """The pressure is on a second server, which the first one calls."""
 
     def run(
-        self, make_gate: Callable[[], Gate], seed: int, shedder: EntryShedder | None
+        self, make_gate: Callable[[], Gate], seed: int, shedder: IngressShedder | None
     ) -> Figures:
         rates = self.slots / self.mean_ms * 1000
         streams = [
@@ -166,7 +166,7 @@
         "open": (OpenGate, None),
         "static": (lambda: StaticGate(slots=hint), None),
         "ours": (ours, None),
-        "ours+entry": (ours, EntryShedder()),
+        "ours+entry": (ours, IngressShedder()),
     }
 
 
