--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -2,7 +2,7 @@
 
 from sassafraswinch.hosts import HostView
 from sassafraswinch.node import Node
-from sassafraswinch.offers import KeeperReport
+from sassafraswinch.offers import DocumentReport
 from sassafraswinch.status import HostStatus, LinkStatus, Status
 from sassafraswinch_node.links import LinkPool
 from sassafraswinch_node.settings import Settings
@@ -41,7 +41,7 @@
     )
 
 
-def document_faults(report: KeeperReport) -> tuple[str, ...]:
+def document_faults(report: DocumentReport) -> tuple[str, ...]:
     """Return in words why a newer document isn't in force, or has two contents."""
     faults = [str(error) for error in report.refusal.errors] if report.refusal else []
     faults += [
--- a/packages/sassafraswinch/sassafraswinch/admission.py
+++ b/packages/sassafraswinch/sassafraswinch/admission.py
@@ -17,7 +17,7 @@
 from sassafraswinch.messages import LEVELS, Load, Rank
 from sassafraswinch.queue_delay import QueueDelays
 from sassafraswinch.regression import Round
-from sassafraswinch.retry_after import MIN_RETURNS_SHARE, ReturnSchedule
+from sassafraswinch.retry_after import MIN_PROBE_SHARE, RetryAfterSchedule
 from sassafraswinch.service_rate import ServiceRate
 from sassafraswinch.service_time import ServiceTimes
 from sassafraswinch.threshold import Threshold
@@ -55,7 +55,7 @@
         self._running: dict[Key, _Running] = {}
         self._waiting = WaitingCalls()
         self._hold = ClassHold()
-        self._returns: dict[int, ReturnSchedule] = {}
+        self._returns: dict[int, RetryAfterSchedule] = {}
         self._service_rate = ServiceRate(limit=self._limit)
         self._delays = QueueDelays()
         self._sequence = 0
@@ -111,7 +111,7 @@
             self._times.record(running.operation, held_ms, now_ms)
             self._service_rate.record_success(held_ms)
         elif outcome is BackendOutcome.CANCELLED:
-            self._times.record_cut(running.operation, held_ms, now_ms)
+            self._times.record_cancelled(running.operation, held_ms, now_ms)
             self._service_rate.record_cancelled(held_ms)
         self._limit.finished(
             started_in=running.round,
@@ -287,16 +287,16 @@
 
     def _refusal(self, call: WaitingCall, reason: Reason, now_ms: float) -> Refusal:
         order = call.claim.class_order
-        returns = self._returns.setdefault(order, ReturnSchedule())
+        returns = self._returns.setdefault(order, RetryAfterSchedule())
         capacity_per_s = self._service_rate.capacity_per_s()
         spare_per_s = max(
             capacity_per_s - self._threshold.rate_above_per_s(order + 1),
-            capacity_per_s * MIN_RETURNS_SHARE,
+            capacity_per_s * MIN_PROBE_SHARE,
         )
         return Refusal(
             key=call.key,
             reason=reason,
-            retry_after_ms=returns.next_ms(
+            retry_after_ms=returns.next_retry_after_ms(
                 spare_per_s=spare_per_s, now_ms=now_ms, rng=self._rng
             ),
         )
--- a/packages/sassafraswinch/sassafraswinch/dispatch_end.py
+++ b/packages/sassafraswinch/sassafraswinch/dispatch_result.py
@@ -10,7 +10,7 @@
 
 
 def judge(
-    result: BackendResult, *, cancelled: bool, began_children: bool
+    result: BackendResult, *, cancelled: bool, made_child_calls: bool
 ) -> tuple[Verdict, Reason | None, BackendOutcome]:
     """Return verdict, reason and gate outcome for the end of a dispatch.
 
@@ -19,7 +19,7 @@
     """
     if result.verdict is Verdict.ANSWERED:
         if result.status == SHED_STATUS and (SHED_HEADER, "1") in result.headers:
-            verdict = Verdict.MAY_HAVE_RUN if began_children else Verdict.NOT_RUN
+            verdict = Verdict.MAY_HAVE_RUN if made_child_calls else Verdict.NOT_RUN
             return verdict, Reason.BACKEND_SHED, BackendOutcome.SHED
         return Verdict.ANSWERED, None, BackendOutcome.OK
     if cancelled:
--- a/packages/sassafraswinch/sassafraswinch/early_repeats.py
+++ b/packages/sassafraswinch/sassafraswinch/early_retries.py
@@ -2,22 +2,22 @@
 
 from collections import OrderedDict
 
-MAX_REMEMBERED = 20_000
+MAX_REFUSED_REQUESTS = 20_000
 """Refused requests kept; the oldest are evicted first. About 200 bytes each."""
 
 
-class EarlyRepeats:
+class EarlyRetries:
     """Retry-after times of refused requests, by request key."""
 
-    def __init__(self, *, max_remembered: int = MAX_REMEMBERED):
-        self.max_remembered = max_remembered
+    def __init__(self, *, max_refused_requests: int = MAX_REFUSED_REQUESTS):
+        self.max_refused_requests = max_refused_requests
         self._retry_at_ms: OrderedDict[bytes, float] = OrderedDict()
 
-    def refused(self, key: bytes, retry_at_ms: float) -> None:
+    def record_refusal(self, key: bytes, retry_at_ms: float) -> None:
         """Record the earliest time at which the request ``key`` may be retried."""
         self._retry_at_ms[key] = retry_at_ms
         self._retry_at_ms.move_to_end(key)
-        if len(self._retry_at_ms) > self.max_remembered:
+        if len(self._retry_at_ms) > self.max_refused_requests:
             self._retry_at_ms.popitem(last=False)
 
     def wait_left_ms(self, key: bytes, now_ms: float) -> float:
--- a/packages/sassafraswinch/sassafraswinch/egress.py
+++ b/packages/sassafraswinch/sassafraswinch/egress.py
@@ -48,7 +48,7 @@
         Returns:
             The owned call that the waiter now waits for, or None.
         """
-        parent = self.executor.parent(request.traceparent)
+        parent = self.executor.find_parent(request.traceparent)
         orphan = parent is None and is_own_span(request.traceparent)
         operation = None
         if self.classifier is not None:
@@ -65,22 +65,22 @@
             return self._refuse(waiter, Reason.CANCELLED, may_have_run=may_have_run)
         return self.entry.submit_classified(request, classification, waiter, now_ms)
 
-    def finished(self, finished: Finished, now_ms: float) -> None:
+    def handle_finished(self, finished: Finished, now_ms: float) -> None:
         """Settle the parent and the waiters of a finished child call."""
         owned = finished.owned
         pending: Pending = owned.context
         parent = pending.parent
-        if not finished.given_up:
+        if not finished.timed_out:
             number = pending.child_number
             del self._running[parent.key, number]
-            parent.allowance.give_back(number, owned.allowance.unspent)
+            parent.allowance.reclaim(number, owned.allowance.unspent)
             parent.children.finish(number, finished.answer, repeatable=owned.repeatable)
-            parent.child_closed(now_ms, finished.answer.thresholds)
+            parent.record_child_end(now_ms, finished.answer.thresholds)
         waiters, pending.waiters = pending.waiters, []
         for waiter in waiters:
             self.respond(waiter, outcome_of(finished.answer))
 
-    def parent_ended(self, parent: RunningCall, now_ms: float) -> None:
+    def cancel_children(self, parent: RunningCall, now_ms: float) -> None:
         """Cancel the open child calls of a parent that has ended."""
         orphans = [
             owned
@@ -100,7 +100,7 @@
     ) -> OwnedCall | None:
         claim = parent.children.claim(
             classification.operation.name,
-            child_mark(request),
+            child_key(request),
             repeatable=classification.repeatable,
         )
         match claim:
@@ -132,7 +132,7 @@
             waiters=[waiter],
             parent=parent,
             child_number=number,
-            handed=parent.allowance.hand_over(number),
+            granted_retries=parent.allowance.reserve_for_child(number),
         )
         call = parent.call
         owned = OwnedCall(
@@ -145,7 +145,7 @@
             progress=call.progress + parent.finished_children + 1,
             deadline_at_ms=parent.deadline_at_ms,
             begun_at_ms=now_ms,
-            allowance=RetryAllowance(granted=pending.handed),
+            allowance=RetryAllowance(granted=pending.granted_retries),
             method=request.method,
             target=request.target,
             headers=request.headers,
@@ -153,13 +153,13 @@
             context=pending,
         )
         self._running[parent.key, number] = owned
-        parent.child_opened(now_ms)
+        parent.record_child_start(now_ms)
         self.owner.begin(owned, now_ms)
         return owned
 
     def _join(self, parent: RunningCall, number: int, waiter: LocalWaiter) -> OwnedCall:
         owned = self._running[parent.key, number]
-        self.owner.joined(owned, parent.deadline_at_ms)
+        self.owner.attach_waiter(owned, parent.deadline_at_ms)
         owned.context.waiters.append(waiter)
         return owned
 
@@ -169,7 +169,7 @@
         """Refuse a call of an unknown operation, or any call without a document."""
         no_document = self.classifier is None
         reason = Reason.NO_DOCUMENT if no_document else Reason.UNKNOWN_OPERATION
-        may_have_run = orphan or (parent is not None and parent.began_children)
+        may_have_run = orphan or (parent is not None and parent.made_child_calls)
         self._refuse(waiter, reason, may_have_run=may_have_run)
 
     def _refuse(
@@ -186,7 +186,7 @@
         self.respond(waiter, Outcome(verdict=verdict, reason=reason))
 
 
-def child_mark(request: Request) -> bytes:
+def child_key(request: Request) -> bytes:
     """Return a key that is the same for a child call and its retries."""
     if request.idempotency_key is not None:
         return request.idempotency_key.encode()
--- a/packages/sassafraswinch/sassafraswinch/entry.py
+++ b/packages/sassafraswinch/sassafraswinch/entry.py
@@ -7,8 +7,8 @@
 from sassafraswinch.burn import OTHER
 from sassafraswinch.classify import Classification, Classifier, admission_level
 from sassafraswinch.deadlines import answer_within_ms, time_left_ms
-from sassafraswinch.entry_limits import EntryLimits, not_run, repeat_key
 from sassafraswinch.forwarding import Forwarder
+from sassafraswinch.ingress_limits import IngressLimits, not_run, retry_key
 from sassafraswinch.messages import Answer, NodeId, Rank
 from sassafraswinch.outcomes import outcome_of
 from sassafraswinch.owned_call import Finished, OwnedCall
@@ -41,7 +41,7 @@
         owner: Owner,
         ledger: tickets.TicketLedger,
         forwarder: Forwarder,
-        limits: EntryLimits,
+        limits: IngressLimits,
         respond: Callable[[Waiter, Outcome], None],
         recorder: Recorder | None,
         rng: random.Random,
@@ -61,7 +61,7 @@
         self.leaving = False
         self._calls_by_ticket: dict[int, OwnedCall] = {}
 
-    def use(self, classifier: Classifier | None) -> None:
+    def set_classifier(self, classifier: Classifier | None) -> None:
         """Set the classifier; None: admit no request."""
         self.classifier = classifier
         self._latest_classifier = classifier or self._latest_classifier
@@ -118,7 +118,7 @@
             return None
         return self._claim(request, classification, waiter, now_ms)
 
-    def finished(self, finished: Finished, now_ms: float) -> None:
+    def handle_finished(self, finished: Finished, now_ms: float) -> None:
         """Settle the waiters and the ticket of a finished call."""
         pending: Pending = finished.owned.context
         answer = finished.answer
@@ -129,7 +129,7 @@
             now_ms,
             complete=answer.verdict is Verdict.ANSWERED,
         )
-        if pending.ticket_number is not None and not finished.given_up:
+        if pending.ticket_number is not None and not finished.timed_out:
             self.ledger.finish(pending.ticket_number, answer, now_ms)
             self._calls_by_ticket.pop(pending.ticket_number, None)
         if pending.waiters:
@@ -206,7 +206,7 @@
     def _join(
         self, owned: OwnedCall, waiter: Waiter, wait_until_ms: float
     ) -> OwnedCall:
-        self.owner.joined(owned, wait_until_ms)
+        self.owner.attach_waiter(owned, wait_until_ms)
         pending: Pending = owned.context
         if waiter not in pending.waiters:
             pending.waiters.append(waiter)
@@ -229,7 +229,7 @@
             organisation=request.organisation,
             begun_at_ms=now_ms,
             waiters=[waiter],
-            repeat_key=repeat_key(request),
+            retry_key=retry_key(request),
             ticket_number=ticket_number,
         )
         refusal = self._closed_answer() or self.limits.refusal(pending, rank, now_ms)
@@ -274,7 +274,7 @@
         self, pending: Pending, rank: Rank, answer: Answer, now_ms: float
     ) -> Outcome:
         classification = pending.classification
-        retry_after_ms = self.limits.come_back_ms(pending, rank, answer, now_ms)
+        retry_after_ms = self.limits.retry_after_delay_ms(pending, rank, answer, now_ms)
         ticket = None
         if not classification.repeatable and pending.parent is None:
             ticket = self._issue_ticket(pending.organisation, classification, now_ms)
@@ -306,7 +306,7 @@
             now_ms=now_ms,
         )
 
-    def fresh_ticket(self, request: Request, now_ms: float) -> str | None:
+    def issue_ticket(self, request: Request, now_ms: float) -> str | None:
         """Issue a ticket for another request of this organisation and operation."""
         classification = self._latest_classifier and _classify(
             self._latest_classifier, request
--- a/packages/sassafraswinch/sassafraswinch/execution.py
+++ b/packages/sassafraswinch/sassafraswinch/execution.py
@@ -13,7 +13,7 @@
 
 MAX_OWNERS = 4096
 """Owner incarnations with a state: 560 nodes, and nodes that restart in a loop."""
-FORGET_OWNER_MS = 1_800_000
+IDLE_OWNER_EVICTION_MS = 1_800_000
 """Idle time after which an owner without calls may be evicted for a new owner. Its
 links were closed as silent long before, so none of its frames is still in transit."""
 MAX_LIVE_CALLS = 16_384
@@ -36,7 +36,7 @@
 
     session: int
     state: CallState = CallState.QUEUED
-    left_behind: FenceState = FenceState.UNKNOWN
+    fence_state: FenceState = FenceState.UNKNOWN
     """State that a fence is answered with once this record is removed."""
 
 
@@ -47,7 +47,7 @@
     seen_at_ms: float
     floor_session: float = 0
     """Calls that arrive on a lower session are dropped, as they have been fenced."""
-    forgotten_below: float = 0
+    evicted_below: float = 0
     """The state of lower numbers without a record is unknown."""
     awaits_first_call: bool = False
     """The owner may have been evicted before: only calls from now on are known."""
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Fenced:
+class FenceResult:
     """The effect of a fence."""
 
     replies: tuple[FenceReply | Answer, ...]
@@ -120,8 +120,8 @@
             return False
         if state.awaits_first_call:
             state.awaits_first_call = False
-            state.forgotten_below = number
-        if number < state.forgotten_below:
+            state.evicted_below = number
+        if number < state.evicted_below:
             return False
         if number in state.records or number in state.dropped:
             return False
@@ -165,11 +165,11 @@
             )
         record.state = CallState.FINISHED
         if answer.verdict is Verdict.NOT_RUN:
-            record.left_behind = FenceState.NEVER_STARTED
+            record.fence_state = FenceState.NEVER_STARTED
         for dropped_owner, dropped in self._answers.keep((owner, number), answer):
             self._remove_record(dropped_owner, dropped)
 
-    def fence(self, owner: NodeId, fence: Fence) -> Fenced:
+    def fence(self, owner: NodeId, fence: Fence) -> FenceResult:
         """Fence the calls of an owner that lost a link.
 
         The frame of a fenced call may still be in transit on the silent link and arrive
@@ -180,7 +180,7 @@
         if state is None:
             unknown = FenceState.UNKNOWN
             replies = (FenceReply(number=n, state=unknown) for n in fence.numbers)
-            return Fenced(replies=tuple(replies), withdrawn=())
+            return FenceResult(replies=tuple(replies), withdrawn=())
         state.floor_session = max(state.floor_session, fence.floor_session)
         fenced = set(fence.numbers)
         withdrawn = tuple(
@@ -190,9 +190,9 @@
             and (number in fenced or record.session < state.floor_session)
         )
         for number in withdrawn:
-            state.records[number].left_behind = FenceState.NEVER_STARTED
+            state.records[number].fence_state = FenceState.NEVER_STARTED
             self._remove_record(owner, number)
-        return Fenced(
+        return FenceResult(
             replies=tuple(self._fence_reply(owner, state, n) for n in fence.numbers),
             withdrawn=withdrawn,
         )
@@ -205,7 +205,7 @@
                 self._answers.drop((owner, number))
                 self._remove_record(owner, number)
 
-    def forget_owner(self, owner: NodeId) -> tuple[int, ...]:
+    def retire_owner(self, owner: NodeId) -> tuple[int, ...]:
         """Remove the calls of an owner incarnation that is gone, and refuse later ones.
 
         One of its frames may still be in transit on an old link. If the owner were
@@ -228,7 +228,7 @@
         state.records.clear()
         state.dropped.clear()
         state.floor_session = math.inf
-        state.forgotten_below = math.inf
+        state.evicted_below = math.inf
         return queued
 
     def _owner_state(self, owner: NodeId) -> OwnerState | None:
@@ -244,13 +244,13 @@
         if self._has_evicted_owners:
             # It may be an evicted owner, whose earlier calls are unknown.
             state.awaits_first_call = True
-            state.forgotten_below = math.inf
+            state.evicted_below = math.inf
         self._owners[owner] = state
         return state
 
     def _evict_idle_owner(self) -> bool:
         owner, state = next(iter(self._owners.items()))
-        if state.records or self._now_ms - state.seen_at_ms < FORGET_OWNER_MS:
+        if state.records or self._now_ms - state.seen_at_ms < IDLE_OWNER_EVICTION_MS:
             return False
         del self._owners[owner]
         self._has_evicted_owners = True
@@ -267,7 +267,7 @@
         if record is None:
             known = state.dropped.get(number)
             if known is None:
-                is_evicted = number < state.forgotten_below
+                is_evicted = number < state.evicted_below
                 known = FenceState.UNKNOWN if is_evicted else FenceState.NEVER_STARTED
             return FenceReply(number=number, state=known)
         if record.state is CallState.FINISHED:
@@ -284,7 +284,7 @@
         state = self._owners[owner]
         record = state.records.pop(number)
         self._live_calls -= 1
-        state.dropped[number] = record.left_behind
+        state.dropped[number] = record.fence_state
         self._dropped.append((owner, number))
         while len(self._dropped) > self._max_dropped_calls:
             self._evict_number(*self._dropped.popleft())
@@ -293,4 +293,4 @@
         state = self._owners.get(owner)
         if state is not None:
             state.dropped.pop(number, None)
-            state.forgotten_below = max(state.forgotten_below, number + 1)
+            state.evicted_below = max(state.evicted_below, number + 1)
--- a/packages/sassafraswinch/sassafraswinch/executor.py
+++ b/packages/sassafraswinch/sassafraswinch/executor.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sassafraswinch.answer_store import AnswerStore
-from sassafraswinch.dispatch_end import judge
+from sassafraswinch.dispatch_result import judge
 from sassafraswinch.errors import InvariantError
 from sassafraswinch.execution import ExecutionLedger
 from sassafraswinch.gate import Gate, GateDecision
@@ -81,7 +81,7 @@
         ended, self._ended = self._ended, []
         return ended
 
-    def parent(self, traceparent: str | None) -> RunningCall | None:
+    def find_parent(self, traceparent: str | None) -> RunningCall | None:
         """Return the running call whose span a child call's ``traceparent`` names."""
         ids = parse_traceparent(traceparent)
         running = self._by_span.get(ids[1]) if ids else None
@@ -148,9 +148,9 @@
         """
         running = self.calls.get(CallKey(owner, cancel.number))
         if running is not None:
-            self.give_up(running, now_ms)
+            self.cancel_call(running, now_ms)
 
-    def give_up(self, running: RunningCall, now_ms: float) -> None:
+    def cancel_call(self, running: RunningCall, now_ms: float) -> None:
         """Withdraw a queued call, or stop a started repeatable one."""
         if running.started_at_ms is None:
             decision = self.gate.withdraw(running.key, now_ms)
@@ -183,7 +183,7 @@
         verdict, reason, outcome = judge(
             result,
             cancelled=running.cancelled,
-            began_children=running.began_children,
+            made_child_calls=running.made_child_calls,
         )
         decision = self.gate.finished(
             key=key,
--- a/packages/sassafraswinch/sassafraswinch/entry_limits.py
+++ b/packages/sassafraswinch/sassafraswinch/ingress_limits.py
@@ -3,7 +3,7 @@
 import random
 
 from sassafraswinch import tickets
-from sassafraswinch.early_repeats import EarlyRepeats
+from sassafraswinch.early_retries import EarlyRetries
 from sassafraswinch.levels import IngressShedder
 from sassafraswinch.messages import Answer, Rank
 from sassafraswinch.pending import Pending
@@ -23,7 +23,7 @@
 """Reasons of transient refusals, which carry a retry-after delay."""
 
 
-class EntryLimits:
+class IngressLimits:
     """Sheds requests that would be refused downstream, and bounds early retries."""
 
     def __init__(
@@ -31,12 +31,12 @@
         *,
         shedder: IngressShedder,
         budget: CallerRetryBudget,
-        repeats: EarlyRepeats,
+        early_retries: EarlyRetries,
         rng: random.Random,
     ):
         self.shedder = shedder
         self.budget = budget
-        self.repeats = repeats
+        self.early_retries = early_retries
         self.rng = rng
 
     def refusal(self, pending: Pending, rank: Rank, now_ms: float) -> Answer | None:
@@ -50,17 +50,17 @@
         if not self.shedder.admits(operation, rank, now_ms):
             delay_ms = self.shedder.retry_after_ms(operation, rank, now_ms, self.rng)
             return not_run(Reason.OVERLOADED, delay_ms)
-        wait_ms = self.repeats.wait_left_ms(pending.repeat_key, now_ms)
+        wait_ms = self.early_retries.wait_left_ms(pending.retry_key, now_ms)
         if not wait_ms:
-            self.budget.first(pending.organisation, now_ms)
+            self.budget.record_first_attempt(pending.organisation, now_ms)
             return None
         if not self.shedder.is_shedding(operation, rank.class_order, now_ms):
             return None
-        if self.budget.repeat(pending.organisation, now_ms):
+        if self.budget.spend_retry(pending.organisation, now_ms):
             return None
         return not_run(Reason.CALLER_RETRIES, int(wait_ms) + 1)
 
-    def come_back_ms(
+    def retry_after_delay_ms(
         self, pending: Pending, rank: Rank, answer: Answer, now_ms: float
     ) -> int:
         """Return the retry-after delay for ``answer``; 0: none is sent."""
@@ -70,12 +70,12 @@
         if not delay_ms and answer.reason in RETRY_AFTER_REASONS:
             operation = pending.classification.operation.name
             delay_ms = self.shedder.retry_after_ms(operation, rank, now_ms, self.rng)
-        if delay_ms and pending.repeat_key is not None:
-            self.repeats.refused(pending.repeat_key, now_ms + delay_ms)
+        if delay_ms and pending.retry_key is not None:
+            self.early_retries.record_refusal(pending.retry_key, now_ms + delay_ms)
         return delay_ms
 
 
-def repeat_key(request: Request) -> bytes:
+def retry_key(request: Request) -> bytes:
     """Return a key that is the same for a request and its retries by the caller."""
     sender = f"{request.organisation}\n{request.caller}\n{request.service}".encode()
     return sender + tickets.fingerprint(request.method, request.target, request.body)
--- a/packages/sassafraswinch/sassafraswinch/levels.py
+++ b/packages/sassafraswinch/sassafraswinch/levels.py
@@ -7,7 +7,7 @@
 
 from sassafraswinch.class_hold import ClassHold
 from sassafraswinch.messages import LEVELS, Rank, ServiceThreshold
-from sassafraswinch.retry_after import MIN_RETURNS_SHARE, ReturnSchedule
+from sassafraswinch.retry_after import MIN_PROBE_SHARE, RetryAfterSchedule
 
 REOPEN_MS = 1_000.0
 """Time in which the ingress opens from the strictest threshold to none, unless answers
@@ -47,7 +47,7 @@
     since_ms: float
     admitted: int = 0
     hold: ClassHold = field(default_factory=ClassHold)
-    returns: ReturnSchedule = field(default_factory=ReturnSchedule)
+    returns: RetryAfterSchedule = field(default_factory=RetryAfterSchedule)
 
     def reopen(self, classes: int, now_ms: float) -> None:
         """Raise the boundary by the elapsed time, so that the service reopens."""
@@ -152,11 +152,15 @@
         """
         states = [state for _, state in self._overloaded(operation, now_ms)]
         if not states:
-            return ReturnSchedule().next_ms(spare_per_s=inf, now_ms=now_ms, rng=rng)
+            return RetryAfterSchedule().next_retry_after_ms(
+                spare_per_s=inf, now_ms=now_ms, rng=rng
+            )
         state = min(states, key=lambda state: state.boundary)
         seconds = max(now_ms - state.since_ms, REOPEN_MS) / 1000
-        spare_per_s = state.admitted / seconds * MIN_RETURNS_SHARE
-        return state.returns.next_ms(spare_per_s=spare_per_s, now_ms=now_ms, rng=rng)
+        spare_per_s = state.admitted / seconds * MIN_PROBE_SHARE
+        return state.returns.next_retry_after_ms(
+            spare_per_s=spare_per_s, now_ms=now_ms, rng=rng
+        )
 
     def _overloaded(
         self, operation: str, now_ms: float
--- a/packages/sassafraswinch/sassafraswinch/offers.py
+++ b/packages/sassafraswinch/sassafraswinch/offers.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Offered:
+class OfferResult:
     """Result of an offer.
 
     Attributes:
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class KeeperReport:
+class DocumentReport:
     """Status of the configuration document on one node, for operators.
 
     Attributes:
--- a/packages/sassafraswinch/sassafraswinch/owned_call.py
+++ b/packages/sassafraswinch/sassafraswinch/owned_call.py
@@ -15,7 +15,7 @@
 
     number: int
     peer: NodeId
-    handed: int
+    granted_retries: int
     sent_at_ms: float
 
 
@@ -57,7 +57,7 @@
         return self.wait_until_ms
 
     @property
-    def detached_until_ms(self) -> float:
+    def detached_wait_ends_ms(self) -> float:
         """Time until which the outcome is awaited without waiters."""
         return self.deadline_at_ms + DETACHED_WAIT_MS
 
@@ -87,5 +87,5 @@
 
     owned: OwnedCall
     answer: Answer
-    given_up: bool = False
+    timed_out: bool = False
     """The answer is final for the waiters, but the call has no known outcome yet."""
--- a/packages/sassafraswinch/sassafraswinch/owner.py
+++ b/packages/sassafraswinch/sassafraswinch/owner.py
@@ -104,7 +104,7 @@
             self._close_attempt(attempt)
             self._end(owned, Verdict.MAY_HAVE_RUN, Reason.CANCELLED)
 
-    def joined(self, owned: OwnedCall, wait_until_ms: float) -> None:
+    def attach_waiter(self, owned: OwnedCall, wait_until_ms: float) -> None:
         """Record another waiter for a call that was dispatched before.
 
         Example: the caller of an approval got MAY_HAVE_RUN at the deadline and sends
@@ -114,7 +114,7 @@
         owned.abandoned = False
         owned.wait_until_ms = min(owned.wait_ends_ms, wait_until_ms)
 
-    def answered(self, peer: NodeId, answer: Answer, now_ms: float) -> None:
+    def handle_answer(self, peer: NodeId, answer: Answer, now_ms: float) -> None:
         """Handle an answer from an executing node."""
         self._acknowledge[peer.host].append(answer.number)
         if not self._sent.is_open(answer.number, peer):
@@ -126,15 +126,17 @@
         ran = answer.verdict is Verdict.ANSWERED
         latency_ms = now_ms - attempt.sent_at_ms if ran else None
         self.router.answered(peer.host, latency_ms, answer.load, now_ms)
-        owned.allowance.give_back(attempt.number, answer.unspent)
+        owned.allowance.reclaim(attempt.number, answer.unspent)
         if answer.verdict is Verdict.ANSWERED:
             self._finished.append(Finished(owned=owned, answer=answer))
         else:
             self._handle_failure(owned, attempt, answer, now_ms)
 
-    def fenced(self, peer: NodeId, reply: FenceReply, now_ms: float) -> None:
+    def handle_fence_reply(
+        self, peer: NodeId, reply: FenceReply, now_ms: float
+    ) -> None:
         """Handle the executing node's state of a call whose link was lost."""
-        verdict = self._sent.fence_replied(peer, reply)
+        verdict = self._sent.settle_fenced(peer, reply)
         if verdict is None:
             return
         owned = self.open[reply.number]
@@ -142,7 +144,7 @@
         self._close_attempt(attempt)
         reason = Reason.LINK_LOST
         if verdict is Verdict.NOT_RUN:
-            owned.allowance.give_back(attempt.number, attempt.handed)
+            owned.allowance.reclaim(attempt.number, attempt.granted_retries)
             reason = Reason.FENCED
         self._handle_failure(
             owned, attempt, _make_answer(attempt, verdict, reason), now_ms
@@ -220,16 +222,16 @@
         if peer is None:
             return False
         number = self.next_number()
-        if not self._sent.expect(number, peer=peer.node, session=peer.session):
+        if not self._sent.add(number, peer=peer.node, session=peer.session):
             return False
-        granted = owned.allowance.hand_over(number)
+        granted = owned.allowance.reserve_for_child(number)
         session = self.links.send(host, owned.message(number, granted, now_ms))
         if session is None:
             self._sent.settle(number)
-            owned.allowance.give_back(number, granted)
+            owned.allowance.reclaim(number, granted)
             return False
         owned.attempt = Attempt(
-            number=number, peer=peer.node, handed=granted, sent_at_ms=now_ms
+            number=number, peer=peer.node, granted_retries=granted, sent_at_ms=now_ms
         )
         self.open[number] = owned
         self.router.sent(host, now_ms)
@@ -302,14 +304,14 @@
         attempt = owned.attempt
         self.router.failed(attempt.peer.host, now_ms)
         self.links.send(attempt.peer.host, Cancel(number=attempt.number))
-        if owned.repeatable or now_ms > owned.detached_until_ms:
+        if owned.repeatable or now_ms > owned.detached_wait_ends_ms:
             self._close_attempt(attempt)
             self._end(owned, Verdict.MAY_HAVE_RUN, Reason.DEADLINE)
             return
         owned.abandoned = True
-        owned.wait_until_ms = owned.detached_until_ms
+        owned.wait_until_ms = owned.detached_wait_ends_ms
         answer = _make_answer(attempt, Verdict.MAY_HAVE_RUN, Reason.DEADLINE)
-        self._finished.append(Finished(owned=owned, answer=answer, given_up=True))
+        self._finished.append(Finished(owned=owned, answer=answer, timed_out=True))
 
     def _end_unplaced(self, owned: OwnedCall, last: Answer | None) -> None:
         if last is not None:
--- a/packages/sassafraswinch/sassafraswinch/pending.py
+++ b/packages/sassafraswinch/sassafraswinch/pending.py
@@ -33,11 +33,11 @@
     organisation: str
     begun_at_ms: float
     waiters: list[Waiter] = field(default_factory=list)
-    repeat_key: bytes | None = None
+    retry_key: bytes | None = None
     """Key that the request shares with its caller's retries; None for a child call."""
     ticket_number: int | None = None
     parent: RunningCall | None = None
     child_number: int | None = None
     """Number of the call among the child calls of its parent."""
-    handed: int = 0
+    granted_retries: int = 0
     """Retries granted by the parent."""
--- a/packages/sassafraswinch/sassafraswinch/retry.py
+++ b/packages/sassafraswinch/sassafraswinch/retry.py
@@ -23,9 +23,9 @@
 """Organisations with a retry budget of their own."""
 MAX_SAVED_RETRIES = 10.0
 """Retries that an organisation may accumulate."""
-FIRST_REPEATS = 1.0
+INITIAL_RETRIES = 1.0
 """Initial retries of an organisation that was never seen."""
-IDLE_REPEAT_MS = 10_000.0
+IDLE_PER_RETRY_MS = 10_000.0
 """Idle time that earns one retry without first attempts, so that a small organisation
 isn't refused its retries for good."""
 
@@ -58,7 +58,7 @@
         self._check_conserved()
         return True
 
-    def hand_over(self, child: Hashable) -> int:
+    def reserve_for_child(self, child: Hashable) -> int:
         """Reserve half of the unspent retries, rounded up, for a child call.
 
         Args:
@@ -72,7 +72,7 @@
         self._check_conserved()
         return part
 
-    def give_back(self, child: Hashable, unspent: int) -> None:
+    def reclaim(self, child: Hashable, unspent: int) -> None:
         """Reclaim the unspent retries of a child call.
 
         A second answer of the same child call has no effect. The count is capped at
@@ -113,10 +113,10 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class RepeatBucket:
+class RetryBucket:
     """Retries that one organisation may make now."""
 
-    repeats: float
+    retries: float
     updated_at_ms: float
 
 
@@ -128,29 +128,29 @@
     ):
         self._share = share_percent / 100
         self._max_organisations = max_organisations
-        self._buckets: OrderedDict[str, RepeatBucket] = OrderedDict()
-        self._initial_retries = FIRST_REPEATS
+        self._buckets: OrderedDict[str, RetryBucket] = OrderedDict()
+        self._initial_retries = INITIAL_RETRIES
 
     def set_share_percent(self, share_percent: float) -> None:
         """Set the share that the document says; retries earned before are kept."""
         self._share = share_percent / 100
 
-    def first(self, organisation: str, now_ms: float) -> None:
+    def record_first_attempt(self, organisation: str, now_ms: float) -> None:
         """Count a first attempt, which earns a share of a retry."""
         organisation_bucket = self._bucket(organisation, now_ms)
-        organisation_bucket.repeats = min(
-            MAX_SAVED_RETRIES, organisation_bucket.repeats + self._share
+        organisation_bucket.retries = min(
+            MAX_SAVED_RETRIES, organisation_bucket.retries + self._share
         )
 
-    def repeat(self, organisation: str, now_ms: float) -> bool:
+    def spend_retry(self, organisation: str, now_ms: float) -> bool:
         """Spend one retry; False: refuse it."""
         organisation_bucket = self._bucket(organisation, now_ms)
-        if organisation_bucket.repeats < 1:
+        if organisation_bucket.retries < 1:
             return False
-        organisation_bucket.repeats -= 1
+        organisation_bucket.retries -= 1
         return True
 
-    def _bucket(self, organisation: str, now_ms: float) -> RepeatBucket:
+    def _bucket(self, organisation: str, now_ms: float) -> RetryBucket:
         organisation_bucket = self._buckets.get(organisation)
         if organisation_bucket is None:
             return self._new_bucket(organisation, now_ms)
@@ -159,19 +159,19 @@
         organisation_bucket.updated_at_ms = max(
             now_ms, organisation_bucket.updated_at_ms
         )
-        accumulated = organisation_bucket.repeats + idle_ms / IDLE_REPEAT_MS
-        organisation_bucket.repeats = max(
-            organisation_bucket.repeats, min(1.0, accumulated)
+        accumulated = organisation_bucket.retries + idle_ms / IDLE_PER_RETRY_MS
+        organisation_bucket.retries = max(
+            organisation_bucket.retries, min(1.0, accumulated)
         )
         return organisation_bucket
 
-    def _new_bucket(self, organisation: str, now_ms: float) -> RepeatBucket:
+    def _new_bucket(self, organisation: str, now_ms: float) -> RetryBucket:
         if len(self._buckets) >= self._max_organisations:
             # An evicted organisation must not get its initial retries again.
             self._buckets.popitem(last=False)
             self._initial_retries = 0.0
-        organisation_bucket = RepeatBucket(
-            repeats=self._initial_retries, updated_at_ms=now_ms
+        organisation_bucket = RetryBucket(
+            retries=self._initial_retries, updated_at_ms=now_ms
         )
         self._buckets[organisation] = organisation_bucket
         return organisation_bucket
--- a/packages/sassafraswinch/sassafraswinch/retry_after.py
+++ b/packages/sassafraswinch/sassafraswinch/retry_after.py
@@ -21,12 +21,12 @@
 MIN_DRAIN_PER_S = 0.1
 """Minimum rate at which the backlog of retries drains, calls a second."""
 
-MIN_RETURNS_SHARE = 0.05
+MIN_PROBE_SHARE = 0.05
 """Share of the capacity for retries while no capacity is spare: they are probes, and
 most of them are refused again cheaply."""
 
 
-class ReturnSchedule:
+class RetryAfterSchedule:
     """Spreads the retries of refused callers over the spare capacity.
 
     It counts the refused callers whose retry time has not come yet. This backlog drains
@@ -37,7 +37,9 @@
         self._backlog = 0.0
         self._updated_at_ms = 0.0
 
-    def next_ms(self, *, spare_per_s: float, now_ms: float, rng: random.Random) -> int:
+    def next_retry_after_ms(
+        self, *, spare_per_s: float, now_ms: float, rng: random.Random
+    ) -> int:
         """Return the retry-after delay of one more refused caller, in whole ms.
 
         Args:
--- a/packages/sassafraswinch/sassafraswinch/running_call.py
+++ b/packages/sassafraswinch/sassafraswinch/running_call.py
@@ -29,17 +29,17 @@
     waited_ms: float = 0.0
 
     @property
-    def began_children(self) -> bool:
+    def made_child_calls(self) -> bool:
         """Whether any child call was made."""
         return self.open_children + self.finished_children > 0
 
-    def child_opened(self, now_ms: float) -> None:
+    def record_child_start(self, now_ms: float) -> None:
         """Record the start of a child call; time with open children isn't self time."""
         if not self.open_children:
             self.waiting_since_ms = now_ms
         self.open_children += 1
 
-    def child_closed(
+    def record_child_end(
         self, now_ms: float, thresholds: Iterable[ServiceThreshold]
     ) -> None:
         """Record the end of a child call and the thresholds that it met."""
--- a/packages/sassafraswinch/sassafraswinch/sent_calls.py
+++ b/packages/sassafraswinch/sassafraswinch/sent_calls.py
@@ -40,7 +40,7 @@
     def __len__(self) -> int:
         return len(self._calls)
 
-    def expect(self, number: int, *, peer: NodeId, session: int) -> bool:
+    def add(self, number: int, *, peer: NodeId, session: int) -> bool:
         """Record a call before its first byte is written.
 
         Returns:
@@ -91,7 +91,7 @@
         )
         return Recovery(fences=fences, lost=lost)
 
-    def fence_replied(self, peer: NodeId, reply: FenceReply) -> Verdict | None:
+    def settle_fenced(self, peer: NodeId, reply: FenceReply) -> Verdict | None:
         """Settle a fenced call.
 
         Returns:
--- a/packages/sassafraswinch/sassafraswinch/service_time.py
+++ b/packages/sassafraswinch/sassafraswinch/service_time.py
@@ -83,7 +83,7 @@
         windows.histogram.record_value(min(max(ticks, 1), MAX_TIME_MS * TICKS_PER_MS))
         windows.count += 1
 
-    def record_cut(self, operation: str, time_ms: float, now_ms: float) -> None:
+    def record_cancelled(self, operation: str, time_ms: float, now_ms: float) -> None:
         """Record the time after which a call was cancelled.
 
         Its service time is longer than that. Without cancelled calls only fast calls
--- a/packages/sassafraswinch/sassafraswinch/waiting.py
+++ b/packages/sassafraswinch/sassafraswinch/waiting.py
@@ -17,7 +17,7 @@
     """
 
     class_order: int
-    unprogressed: int
+    negated_progress: int
     """Finished calls of the root request, negated: work done raises the priority."""
 
     sequence: int
@@ -82,7 +82,7 @@
     def pop_lowest(self) -> WaitingCall:
         """Remove and return the greatest level of the last class and progress."""
         last = self._claims[-1]
-        first_of_group = Claim(last.class_order, last.unprogressed, 0)
+        first_of_group = Claim(last.class_order, last.negated_progress, 0)
         group = self._claims[bisect_left(self._claims, first_of_group) :]
         lowest = max(group, key=lambda claim: (self._calls[claim].level, claim))
         return self.remove(self._calls[lowest].key)
--- a/packages/sassafraswinch/tests/test_dispatch_end.py
+++ b/packages/sassafraswinch/tests/test_dispatch_result.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from sassafraswinch.dispatch_end import judge
+from sassafraswinch.dispatch_result import judge
 from sassafraswinch.gate import BackendOutcome
 from sassafraswinch.requests import BackendResult
 from sassafraswinch.verdict import Reason, Verdict
@@ -16,7 +16,7 @@
     result = BackendResult(
         verdict=Verdict.ANSWERED, status=status, headers=(("x-not-run", value),)
     )
-    verdict, _, outcome = judge(result, cancelled=False, began_children=False)
+    verdict, _, outcome = judge(result, cancelled=False, made_child_calls=False)
     assert (verdict is Verdict.NOT_RUN) is shed
     assert (outcome is BackendOutcome.SHED) is shed
 
@@ -30,7 +30,7 @@
     result = BackendResult(
         verdict=Verdict.ANSWERED, status=503, headers=(("x-not-run", "1"),)
     )
-    verdict, reason, _ = judge(result, cancelled=False, began_children=True)
+    verdict, reason, _ = judge(result, cancelled=False, made_child_calls=True)
     assert verdict is Verdict.MAY_HAVE_RUN
     assert reason is Reason.BACKEND_SHED
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("verdict", [Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN])
 def test_verdict_of_the_backend_client_is_kept_without_an_answer(verdict):
     result = BackendResult(verdict=verdict, reason=Reason.BACKEND_UNREACHABLE)
-    assert judge(result, cancelled=False, began_children=False) == (
+    assert judge(result, cancelled=False, made_child_calls=False) == (
         verdict,
         Reason.BACKEND_UNREACHABLE,
         BackendOutcome.BROKEN,
--- a/packages/sassafraswinch/tests/test_execution.py
+++ b/packages/sassafraswinch/tests/test_execution.py
@@ -13,7 +13,7 @@
 )
 
 from sassafraswinch.errors import InvariantError
-from sassafraswinch.execution import FORGET_OWNER_MS, ExecutionLedger
+from sassafraswinch.execution import IDLE_OWNER_EVICTION_MS, ExecutionLedger
 from sassafraswinch.messages import Answer, Fence, FenceReply, FenceState, NodeId
 from sassafraswinch.verdict import Verdict
 
@@ -108,17 +108,17 @@
     @precondition(lambda self: self.sent > 2)
     @rule()
     def remove_owner(self):
-        self.ledger.forget_owner(OWNER)
+        self.ledger.retire_owner(OWNER)
 
     @precondition(lambda self: self.sent > 2 and self.now_ms == 0)
     @rule()
     def long_idle_time_then_other_owner(self):
         self.frames.clear()  # Links that were silent for that long are closed.
-        self.now_ms += FORGET_OWNER_MS
+        self.now_ms += IDLE_OWNER_EVICTION_MS
         self.ledger.tick(self.now_ms)
         self.ledger.receive(OTHER, 1, 1)
-        self.ledger.forget_owner(OTHER)
-        self.now_ms += FORGET_OWNER_MS
+        self.ledger.retire_owner(OTHER)
+        self.now_ms += IDLE_OWNER_EVICTION_MS
         self.ledger.tick(self.now_ms)
 
     def finish(self, number, verdict, body=b""):
@@ -181,11 +181,11 @@
     ledger = ExecutionLedger(max_answer_bytes=ANSWER_BYTES, max_owners=1)
     ledger.receive(OWNER, 1, 7)
     ledger.start(OWNER, 7)
-    ledger.forget_owner(OWNER)
-    ledger.tick(FORGET_OWNER_MS)
+    ledger.retire_owner(OWNER)
+    ledger.tick(IDLE_OWNER_EVICTION_MS)
     assert ledger.receive(OTHER, 1, 1)
-    ledger.forget_owner(OTHER)
-    ledger.tick(2 * FORGET_OWNER_MS)
+    ledger.retire_owner(OTHER)
+    ledger.tick(2 * IDLE_OWNER_EVICTION_MS)
     for number in (3, 7):
         fenced = ledger.fence(OWNER, Fence(floor_session=2, numbers=(number,)))
         unknown = FenceReply(number=number, state=FenceState.UNKNOWN)
--- a/packages/sassafraswinch/tests/test_once.py
+++ b/packages/sassafraswinch/tests/test_once.py
@@ -16,7 +16,7 @@
 )
 
 from sassafraswinch.claims import Dispatch, Recorded, Refused
-from sassafraswinch.execution import FORGET_OWNER_MS, ExecutionLedger
+from sassafraswinch.execution import IDLE_OWNER_EVICTION_MS, ExecutionLedger
 from sassafraswinch.messages import Acknowledge, Answer, Fence, FenceReply, NodeId
 from sassafraswinch.sent_calls import SentCalls
 from sassafraswinch.ticket_states import TicketStates
@@ -228,7 +228,7 @@
             for reply in node.executed.fence(frame.source, payload).replies:
                 self.reply(node, frame.source, reply)
         elif isinstance(payload, FenceReply):
-            verdict = node.sent.fence_replied(frame.source, payload)
+            verdict = node.sent.settle_fenced(frame.source, payload)
             if verdict:
                 answer = Answer(number=payload.number, verdict=verdict)
                 self.settle(node, answer, retry)
@@ -293,12 +293,14 @@
         return nodes[pick % len(nodes)]
 
     @rule(
-        ms=st.sampled_from([LIFETIME_MS / 2, LIFETIME_MS + GRACE_MS, FORGET_OWNER_MS])
+        ms=st.sampled_from(
+            [LIFETIME_MS / 2, LIFETIME_MS + GRACE_MS, IDLE_OWNER_EVICTION_MS]
+        )
     )
     @limited
     def pass_time(self, ms):
         self.now_ms += ms
-        if ms == FORGET_OWNER_MS:
+        if ms == IDLE_OWNER_EVICTION_MS:
             self.frames.clear()  # Links that were silent for that long are closed.
         for node in self.nodes.values():
             node.tickets.tick(self.now_ms)
@@ -307,7 +309,7 @@
     def forget_previous_runs(self, host):
         owner = other(host)
         for incarnation in range(self.nodes[owner].id.incarnation):
-            self.nodes[host].executed.forget_owner(NodeId(owner, incarnation))
+            self.nodes[host].executed.retire_owner(NodeId(owner, incarnation))
 
     def claim(self, node, request, now_ms):
         claim = node.tickets.claim(
@@ -330,7 +332,7 @@
             self.link_up(node.id.host)
         node.numbers += 1
         peer, session = node.links[host]
-        assert node.sent.expect(node.numbers, peer=peer, session=session)
+        assert node.sent.add(node.numbers, peer=peer, session=session)
         node.open_calls[node.numbers] = (ticket_number, request)
         self.send(node, host, SentRequest(node.numbers, request))
 
--- a/packages/sassafraswinch/tests/test_retry.py
+++ b/packages/sassafraswinch/tests/test_retry.py
@@ -16,8 +16,8 @@
 from sassafraswinch.claims import Dispatch, Join, Recorded, Refused
 from sassafraswinch.messages import Answer
 from sassafraswinch.retry import (
-    FIRST_REPEATS,
-    IDLE_REPEAT_MS,
+    IDLE_PER_RETRY_MS,
+    INITIAL_RETRIES,
     CallerRetryBudget,
     ChildCalls,
     RetryAllowance,
@@ -106,7 +106,7 @@
             self.answers.remove(answer)
         call, unspent, verdict = answer
         if call.parent:
-            call.parent.allowance.give_back(call.name, unspent)
+            call.parent.allowance.reclaim(call.name, unspent)
             self.settle(call, verdict)
 
     def settle(self, call, verdict):
@@ -118,7 +118,7 @@
 
     def dispatch(self, parent, number, repeatable):
         name = len(self.calls)
-        granted = parent.allowance.hand_over(name)
+        granted = parent.allowance.reserve_for_child(name)
         child = Call(
             name=name,
             granted=granted,
@@ -152,16 +152,19 @@
     return the same unspent retries while another child call spends its own.
     """
     allowance = RetryAllowance(granted=4)
-    assert (allowance.hand_over("first"), allowance.hand_over("second")) == (2, 1)
-    allowance.give_back("first", 2)
-    allowance.give_back("first", 2)
+    assert (
+        allowance.reserve_for_child("first"),
+        allowance.reserve_for_child("second"),
+    ) == (2, 1)
+    allowance.reclaim("first", 2)
+    allowance.reclaim("first", 2)
     assert allowance.unspent == 3
 
 
 def test_a_child_returns_no_more_than_it_was_handed():
     allowance = RetryAllowance(granted=2)
-    allowance.hand_over("child")
-    allowance.give_back("child", 99)
+    allowance.reserve_for_child("child")
+    allowance.reclaim("child", 99)
     assert allowance.unspent == 2
 
 
@@ -170,7 +173,7 @@
     allowance = RetryAllowance(granted=2)
     assert allowance.close() == 2
     assert not allowance.spend()
-    assert allowance.hand_over("child") == allowance.close() == 0
+    assert allowance.reserve_for_child("child") == allowance.close() == 0
 
 
 def children(*, granted=1, parent_repeatable=False, **bounds):
@@ -227,7 +230,7 @@
         st.tuples(
             st.sampled_from(["acme", "rival", "third"]),
             st.booleans(),
-            st.sampled_from([0, 1, IDLE_REPEAT_MS / 4]),
+            st.sampled_from([0, 1, IDLE_PER_RETRY_MS / 4]),
         ),
         max_size=120,
     )
@@ -243,10 +246,10 @@
     for organisation, repeat, wait_ms in steps:
         now_ms += wait_ms
         if repeat:
-            repeats[organisation] += budget.repeat(organisation, now_ms)
+            repeats[organisation] += budget.spend_retry(organisation, now_ms)
         else:
             first_attempts[organisation] += 1
-            budget.first(organisation, now_ms)
+            budget.record_first_attempt(organisation, now_ms)
         earned = first_attempts[organisation] * share_percent / 100
-        bound = FIRST_REPEATS + earned + now_ms / IDLE_REPEAT_MS
+        bound = INITIAL_RETRIES + earned + now_ms / IDLE_PER_RETRY_MS
         assert repeats[organisation] <= bound + 1e-9
--- a/packages/sassafraswinch/tests/test_service_time.py
+++ b/packages/sassafraswinch/tests/test_service_time.py
@@ -48,9 +48,9 @@
     """
     times = ServiceTimes()
     for _ in range(MIN_SAMPLES):
-        times.record_cut("lookup", 200.0, 0)
+        times.record_cancelled("lookup", 200.0, 0)
     assert times.estimate("lookup", 0).likely_ms >= 180
-    times.record_cut("lookup", 1.0, 0)
+    times.record_cancelled("lookup", 1.0, 0)
     assert times.estimate("lookup", 100).likely_ms >= 180
 
 
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -27,9 +27,9 @@
     rate_per_s: Callable[[float], float]
     deadline_ms: float = 1000.0
     operation: str = "lookup"
-    repeats: int = 0
+    max_retries: int = 0
     """Maximum retries of a refused caller."""
-    obeys: bool = True
+    honours_retry_after: bool = True
     """Retries after the retry-after delay, or else after 20 ms."""
 
 
@@ -77,7 +77,7 @@
     slowness: Callable[[float], float] = lambda now_ms: 1.0
     available: Callable[[float], bool] = lambda now_ms: True
     """Sheds every call while false, like a draining server."""
-    onward: "FakeHost | None" = None
+    downstream: "FakeHost | None" = None
     """Host of the child call that each call makes while it holds its slot."""
     running: int = 0
     backlog: deque = field(default_factory=deque)
@@ -90,10 +90,10 @@
     gate: Gate
     server: FakeServer
     view: HostView
-    way_ms: float = 0.0
+    network_delay_ms: float = 0.0
 
 
-class Trial:
+class GateSimulation:
     """Runs streams of calls through gates to servers and records the outcomes."""
 
     def __init__(
@@ -122,7 +122,7 @@
         self._calls: dict[int, FakeCall] = {}
         self._keys = itertools.count()
 
-    def run(self, duration_ms: float) -> "Trial":
+    def run(self, duration_ms: float) -> "GateSimulation":
         for stream in self.streams:
             self._schedule(0.0, self._arrive, stream)
         self._schedule(TICK_MS, self._tick)
@@ -138,7 +138,7 @@
     def _arrive(self, stream: Stream) -> None:
         rate = stream.rate_per_s(self.now_ms)
         if rate > 0:
-            self._call(stream, stream.repeats, first=True)
+            self._call(stream, stream.max_retries, first=True)
         pause_ms = self.rng.expovariate(rate / 1000) if rate > 0 else 10.0
         self._schedule(pause_ms, self._arrive, stream)
 
@@ -165,8 +165,8 @@
 
     def _offer(self, call: FakeCall) -> None:
         call.host = host = self._choose(call)
-        if host.way_ms:
-            self._schedule(host.way_ms, self._offer_to, call)
+        if host.network_delay_ms:
+            self._schedule(host.network_delay_ms, self._offer_to, call)
         else:
             self._offer_to(call)
 
@@ -220,7 +220,7 @@
     def _finish_service(self, key: int, server: FakeServer) -> None:
         call = self._calls[key]
         call.self_time_ms = self.now_ms - call.started_at_ms
-        if server.onward is None:
+        if server.downstream is None:
             self._free_slot(key)
         else:
             child = FakeCall(
@@ -230,7 +230,7 @@
                 repeats_left=0,
                 first=False,
                 parent=key,
-                host=server.onward,
+                host=server.downstream,
             )
             self._offer_to(child)
 
@@ -260,7 +260,7 @@
         if call.parent is not None:
             self._calls[call.parent].threshold = threshold
             return
-        delay_ms = NETWORK_DELAY_MS + call.host.way_ms
+        delay_ms = NETWORK_DELAY_MS + call.host.network_delay_ms
         self._schedule(delay_ms, self._receive_load, call, load, threshold, refused)
 
     def _receive_load(
@@ -284,11 +284,11 @@
         self.done.append(Done(call=call, at_ms=self.now_ms, outcome=outcome))
         refused = outcome is not BackendOutcome.OK or call.failed
         if refused and call.repeats_left:
-            wait_ms = retry_after_ms if call.stream.obeys else 20.0
+            wait_ms = retry_after_ms if call.stream.honours_retry_after else 20.0
             self._schedule(wait_ms, self._call, call.stream, call.repeats_left - 1)
 
     def _tick(self) -> None:
-        downstream = (host.server.onward for host in self.hosts.values())
+        downstream = (host.server.downstream for host in self.hosts.values())
         for host in [*self.hosts.values(), *filter(None, downstream)]:
             self._apply_decision(host.gate.tick(self.now_ms))
             self.loads.append((self.now_ms, host.gate.load(self.now_ms)))
--- a/packages/sassafraswinch/tests/utils/figures.py
+++ b/packages/sassafraswinch/tests/utils/figures.py
@@ -7,7 +7,7 @@
 from sassafraswinch.gate import BackendOutcome
 from sassafraswinch.verdict import Reason
 
-from .fake_server import Trial
+from .fake_server import GateSimulation
 
 BIN_MS = 100.0
 INVERSION_MS = 100.0
@@ -31,7 +31,9 @@
     """Share of the refusals made by the gate, after the ingress admitted the call."""
 
 
-def measure(trial: Trial, *, start_ms: float, end_ms: float, run_ms: float) -> Figures:
+def measure(
+    trial: GateSimulation, *, start_ms: float, end_ms: float, run_ms: float
+) -> Figures:
     """Return the metrics of the overload between two times."""
     offered = [d for d in trial.done if start_ms <= d.call.offered_at_ms < end_ms]
     good = [d for d in offered if d.good]
@@ -70,7 +72,7 @@
     )
 
 
-def _count_inversions(trial: Trial) -> tuple[int, int]:
+def _count_inversions(trial: GateSimulation) -> tuple[int, int]:
     refused = [
         d.at_ms
         for d in trial.done
@@ -87,7 +89,9 @@
     return inversions_found, len(bins & started)
 
 
-def _recovery_ms(trial: Trial, start_ms: float, end_ms: float, run_ms: float) -> float:
+def _recovery_ms(
+    trial: GateSimulation, start_ms: float, end_ms: float, run_ms: float
+) -> float:
     bins = Counter(int(d.at_ms // BIN_MS) for d in trial.done if d.good)
     before = [
         bins[b] for b in range(int(start_ms // BIN_MS / 2), int(start_ms // BIN_MS))
--- a/packages/sassafraswinch/tests/utils/gate_bench.py
+++ b/packages/sassafraswinch/tests/utils/gate_bench.py
@@ -11,7 +11,7 @@
 from sassafraswinch.hosts import HostView
 from sassafraswinch.levels import IngressShedder
 
-from .fake_server import FakeHost, FakeServer, Stream, Trial
+from .fake_server import FakeHost, FakeServer, GateSimulation, Stream
 from .figures import Figures, measure
 
 RUN_MS, START_MS, END_MS = 12_000.0, 3_000.0, 7_000.0
@@ -54,8 +54,8 @@
             Stream(
                 class_order=order,
                 rate_per_s=during(share[0] * capacity_per_s, share[1] * capacity_per_s),
-                repeats=self.retries,
-                obeys=self.obeys_retry_after,
+                max_retries=self.retries,
+                honours_retry_after=self.obeys_retry_after,
                 deadline_ms=self.deadline_ms,
             )
             for order, share in enumerate((self.paying, self.trial))
@@ -70,11 +70,15 @@
         view = HostView(name="host", service="archiv", availability_zone="brno-a")
         host = FakeHost(gate=make_gate(), server=server, view=view)
         if self.deep:
-            first = FakeServer(slots=8 * self.slots, mean_ms=self.mean_ms, onward=host)
+            first = FakeServer(
+                slots=8 * self.slots, mean_ms=self.mean_ms, downstream=host
+            )
             gate = make_gate()
             gate.set_slots(first.slots)
             host = FakeHost(gate=gate, server=first, view=view)
-        trial = Trial(hosts=[host], streams=streams, seed=seed, shedder=shedder)
+        trial = GateSimulation(
+            hosts=[host], streams=streams, seed=seed, shedder=shedder
+        )
         trial.server = server
         trial.run(RUN_MS)
         return measure(trial, start_ms=START_MS, end_ms=END_MS, run_ms=RUN_MS)
