--- a/packages/sassafraswinch/sassafraswinch/__init__.py
+++ b/packages/sassafraswinch/sassafraswinch/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of an overload control layer: no sockets, no tasks, no clock of its own."""
+"""Sans-IO core of an overload control layer: no sockets, no tasks, no clock."""
--- a/packages/sassafraswinch/sassafraswinch/forwarding.py
+++ b/packages/sassafraswinch/sassafraswinch/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests whose ticket another node issued: passed on to that node, their owner."""
+"""Forwarding of requests to the node that issued their ticket, the owner."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -11,16 +11,17 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 FORWARD_GRACE_MS = 100.0
-"""Wait past a deadline for the word of the ticket's owner, which waits 50 ms for that
-of the executing node: two ways between availability zones and a tick are added."""
+"""Wait past a deadline for the answer of the ticket's owner. The owner itself waits
+50 ms for the executing node; the rest covers one round trip between availability
+zones and one tick."""
 
 UNREACHABLE_AFTER_MS = 1_000.0
-"""How long a link to the ticket's owner may take to come up."""
+"""Time limit for a link to the ticket's owner to come up."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Forwarded:
-    """One request at its ticket's owner."""
+    """A request that was forwarded, or is about to be, to the owner of its ticket."""
 
     number: int
     request: Request
@@ -29,16 +30,17 @@
     begun_at_ms: float
     deadline_at_ms: float
     session: int | None = None
-    """The link it was last written on; None while there is none."""
+    """Session of the link it was last sent on; None while there is no link."""
     written: bool = False
-    """Whether its owner may have received it, on whatever link."""
+    """Whether the owner may have received it, on this link or an earlier one."""
 
 
 class Forwarder:
-    """Carries requests to the owners of their tickets and answers back.
+    """Forwards requests to the owners of their tickets and returns the answers.
 
-    Sending one twice is safe: the owner knows its ticket and lets the second join
-    the first. A node that can't reach the owner proves nothing: MAY_HAVE_RUN.
+    Sending a request twice is safe: the owner recognises the ticket and attaches the
+    second copy to the first. If the owner can't be reached, it is unknown whether
+    the call was executed, so the verdict is MAY_HAVE_RUN.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         deadline_ms: float,
         now_ms: float,
     ) -> None:
-        """Pass a request on to the node that issued its ticket."""
+        """Forward a request to the node that issued its ticket."""
         self.forwarded += 1
         forwarded = Forwarded(
             number=self.next_number(),
@@ -79,7 +81,7 @@
             deadline_at_ms=now_ms + deadline_ms,
         )
         if not self.is_known(owner.host):
-            self._tell_unreachable(forwarded, now_ms)
+            self._respond_unreachable(forwarded, now_ms)
             return
         self.open[forwarded.number] = forwarded
         self.links.connect(owner.host)
@@ -87,27 +89,27 @@
             self._send(forwarded, now_ms)
 
     def answered(self, host: str, answer: Answer, now_ms: float) -> bool:
-        """Take in an owner's answer; False if it answers no forwarded request."""
+        """Handle an owner's answer; return False if it matches no forwarded request."""
         forwarded = self.open.get(answer.number)
         if forwarded is None or forwarded.owner.host != host:
             return False
         del self.open[answer.number]
         outcome = outcome_of(answer, retry_after_ms=answer.retry_after_ms)
-        self._tell(forwarded, outcome, now_ms)
+        self._respond_with_ticket(forwarded, outcome, now_ms)
         return True
 
     def abandon(self, handle: int) -> None:
-        """Forget a request whose sender has gone; its owner goes on."""
-        gone = [
+        """Discard a request whose sender disconnected; its owner goes on with it."""
+        abandoned = [
             number
             for number, forwarded in self.open.items()
             if forwarded.waiter.handle == handle
         ]
-        for number in gone:
+        for number in abandoned:
             del self.open[number]
 
     def link_up(self, node: NodeId, now_ms: float) -> None:
-        """Send what waits for a link to ``node``."""
+        """Send the requests that wait for a link to ``node``."""
         self._incarnations[node.host] = node.incarnation
         waiting = [
             forwarded
@@ -120,7 +122,7 @@
     def link_lost(
         self, host: str, session: int, *, replaced: bool, now_ms: float
     ) -> None:
-        """Note a lost link; what was on it is sent again on the next."""
+        """Handle a lost link; requests sent on it are sent again on the next one."""
         if not replaced:
             self._incarnations.pop(host, None)
         lost = [
@@ -134,10 +136,11 @@
                 self._send(forwarded, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Give up what no link came up for, or what got no answer in time.
+        """Time out requests without a link or without an answer.
 
-        Story: a caller repeats an approval through this node, while the link to the
-        ticket's owner is open but silent. Its outcome must not wait for the link.
+        Failure: a caller retries an approval through this node while the link to the
+        ticket's owner is open but silent. The caller must get an outcome without
+        waiting for the link to be closed.
         """
         for forwarded in list(self.open.values()):
             waited_ms = now_ms - forwarded.begun_at_ms
@@ -145,49 +148,52 @@
             late_ms = now_ms - forwarded.deadline_at_ms
             if unsent or late_ms > FORWARD_GRACE_MS:
                 del self.open[forwarded.number]
-                self._tell_unreachable(forwarded, now_ms)
+                self._respond_unreachable(forwarded, now_ms)
 
     def _send(self, forwarded: Forwarded, now_ms: float) -> None:
         if self._incarnations[forwarded.owner.host] != forwarded.owner.incarnation:
             del self.open[forwarded.number]
-            lost = Reason.PEER_RESTARTED if forwarded.written else None
-            reason = lost or Reason.TICKET_OWNER_RESTARTED
-            self._tell(forwarded, unproved(reason), now_ms)
+            sent_reason = Reason.PEER_RESTARTED if forwarded.written else None
+            reason = sent_reason or Reason.TICKET_OWNER_RESTARTED
+            self._respond_with_ticket(forwarded, unproved(reason), now_ms)
             return
-        left_ms = forwarded.deadline_at_ms - now_ms
-        message = forward_of(forwarded.request, forwarded.number, left_ms)
+        remaining_ms = forwarded.deadline_at_ms - now_ms
+        message = forward_of(forwarded.request, forwarded.number, remaining_ms)
         forwarded.session = self.links.send(forwarded.owner.host, message)
         forwarded.written |= forwarded.session is not None
 
-    def _tell_unreachable(self, forwarded: Forwarded, now_ms: float) -> None:
-        """End a request whose owner gave no answer.
+    def _respond_unreachable(self, forwarded: Forwarded, now_ms: float) -> None:
+        """Respond to a request whose owner did not answer.
 
-        Nothing is proved of the ticket, which may have come through another node. The
-        reason tells whether this attempt was passed on: a caller that sends a ticket
-        for the first time may conclude from the second one that nothing ran.
+        The fate of the ticket is unknown, because the request may also have arrived
+        through another node. The reason says whether this attempt was forwarded
+        (LINK_LOST) or not (TICKET_OWNER_UNREACHABLE): a caller that sends a ticket for
+        the first time may conclude from the latter that nothing was executed.
         """
-        lost = Reason.LINK_LOST if forwarded.written else None
-        reason = lost or Reason.TICKET_OWNER_UNREACHABLE
-        self._tell(forwarded, unproved(reason), now_ms)
+        sent_reason = Reason.LINK_LOST if forwarded.written else None
+        reason = sent_reason or Reason.TICKET_OWNER_UNREACHABLE
+        self._respond_with_ticket(forwarded, unproved(reason), now_ms)
 
-    def _tell(self, forwarded: Forwarded, outcome: Outcome, now_ms: float) -> None:
-        """Respond with a fresh ticket of this node, to go on with."""
+    def _respond_with_ticket(
+        self, forwarded: Forwarded, outcome: Outcome, now_ms: float
+    ) -> None:
+        """Respond, with a fresh ticket of this node for further attempts."""
         ticket = self.fresh_ticket(forwarded.request, now_ms)
         self.respond(forwarded.waiter, replace(outcome, ticket=ticket))
 
 
 def unproved(reason: Reason) -> Outcome:
-    """Return the outcome of a request whose fate isn't known here."""
+    """Return the outcome of a request that may or may not have been executed."""
     return Outcome(verdict=Verdict.MAY_HAVE_RUN, reason=reason)
 
 
-def forward_of(request: Request, number: int, left_ms: float) -> Forward:
-    """Return the message that hands a request to the owner of its ticket.
+def forward_of(request: Request, number: int, remaining_ms: float) -> Forward:
+    """Return the message that forwards a request to the owner of its ticket.
 
     Args:
-        request: the request.
-        number: names it between the two nodes.
-        left_ms: time in which an answer is of use.
+        request: the request to forward.
+        number: identifies the request between the two nodes.
+        remaining_ms: time left until the deadline of the request.
     """
     return Forward(
         number=number,
@@ -199,12 +205,12 @@
         target=request.target,
         headers=request.headers,
         body=request.body,
-        remaining_ms=max(0, int(left_ms)),
+        remaining_ms=max(0, int(remaining_ms)),
     )
 
 
 def request_of(forward: Forward) -> Request:
-    """Return the request that a message hands over; no caller of this node sent it."""
+    """Return the request that a message forwards; it has no handle on this node."""
     return Request(
         handle=0,
         service=forward.service,
--- a/packages/sassafraswinch/sassafraswinch/hosts.py
+++ b/packages/sassafraswinch/sassafraswinch/hosts.py
@@ -1,4 +1,4 @@
-"""A host as the platform lists it, and as routing sees it."""
+"""Host records of the platform's list, and the view of a host for routing."""
 
 import enum
 from dataclasses import dataclass
@@ -32,10 +32,10 @@
     service: str
     availability_zone: str
     leaving: bool = False
-    """Said by the host itself or, failing that, by the platform's list."""
+    """Reported by the host itself or, failing that, by the platform's list."""
 
     linked: bool = True
     """Whether a link to the host's node is up and answers heartbeats."""
 
     local: bool = False
-    """Whether this is the host that the asking node runs on."""
+    """Whether this is the host that the viewing node runs on."""
--- a/packages/sassafraswinch/sassafraswinch/identities.py
+++ b/packages/sassafraswinch/sassafraswinch/identities.py
@@ -1,4 +1,4 @@
-"""Whose labels count for a request, by the names that it carries."""
+"""Identification of the caller and organisation whose labels apply to a request."""
 
 import enum
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 
 class IdentityState(enum.Enum):
-    """How the names that a request carries fit the document."""
+    """Whether the names in a request match the document."""
 
     KNOWN = "known"
     """Caller and organisation are in the document and belong together."""
     UNKNOWN = "unknown"
-    """A name is missing or not in the document, and so has no labels."""
+    """A name is missing or not in the document, and therefore has no labels."""
     MISMATCHED = "mismatched"
-    """The caller belongs to another organisation; neither one's labels count."""
+    """The caller belongs to another organisation; no labels of either apply."""
 
 
 _NO_CALLER = Caller(name="")
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identified:
-    """The caller and the organisation whose labels count, without name if none."""
+    """Caller and organisation whose labels apply; their names are empty if none do."""
 
     caller: Caller = _NO_CALLER
     organisation: Organisation = _NO_ORGANISATION
@@ -33,17 +33,17 @@
 def identify(
     document: Document, *, caller: str, organisation: str | None
 ) -> Identified:
-    """Return whose labels count.
+    """Return the caller and organisation whose labels apply.
 
-    A listed caller can't gain another organisation's labels by naming it: the
-    request then counts as nobody's. Without an organisation header the caller's
-    own organisation counts.
+    A listed caller can't gain the labels of another organisation by naming it: no
+    labels apply to such a request. Without an organisation header the caller's own
+    organisation applies.
 
     Args:
         document: the document in force.
-        caller: name of the caller; empty where there is none.
-        organisation: name of the organisation; empty where there is none, None
-            for any name that the document doesn't list.
+        caller: name of the caller; empty if there is none.
+        organisation: name of the organisation; empty if there is none, None for any
+            name that the document doesn't list.
     """
     known = document.callers.get(caller, _NO_CALLER)
     if known.organisation is not None:
--- a/packages/sassafraswinch/sassafraswinch/lifecycle.py
+++ b/packages/sassafraswinch/sassafraswinch/lifecycle.py
@@ -1,31 +1,31 @@
-"""States of a node from start to stop."""
+"""Life cycle of a node: its states from start to stop, and their transitions."""
 
 import enum
 
 from transitions import Machine
 
 LEAVE_NOTICE_MS = 3_000
-"""Time that a leaving node still answers, to refuse with a proof what peers and
-callers send before they know."""
+"""Least time for which a leaving node keeps answering, so that requests sent by peers
+and callers before they know of it get a refusal that proves non-execution."""
 
 
 class NodeState(enum.Enum):
-    """What a node does at present."""
+    """State of a node."""
 
     STARTING = "starting"
-    """Listeners aren't open yet."""
+    """The listeners are not open yet."""
 
     SYNCING = "syncing"
-    """Peers are asked for the newest document; new calls are refused."""
+    """The newest document is requested from peers; new calls are refused."""
 
     SERVING = "serving"
-    """New calls are taken."""
+    """New calls are accepted."""
 
     LEAVING = "leaving"
-    """New calls are refused; those in flight, and calls they make, go on."""
+    """New calls are refused; calls in flight and their child calls go on."""
 
     STOPPED = "stopped"
-    """Nothing is in flight; the process may end."""
+    """Nothing is in flight; the process may exit."""
 
 
 _TRANSITIONS = [
@@ -44,19 +44,19 @@
 
 
 class Lifecycle:
-    """State of one node; a trigger that its state doesn't know is ignored.
+    """State machine of one node; a trigger that is invalid in its state is ignored.
 
-    Leaving can't be undone: peers were told so for this incarnation.
+    Leaving can't be undone: it was announced to peers for this incarnation.
 
     Args:
-        leave_notice_ms: least time between leaving and the stop.
+        leave_notice_ms: least time between the states LEAVING and STOPPED.
 
     Triggers:
         listening: the listeners are open.
-        synced(): the keeper serves a document.
-        woke(): the process was paused; ask the peers again.
+        synced(): a document is available to serve on.
+        woke(): the process was paused; synchronise with the peers again.
         leave(now_ms): a planned stop begins.
-        cut(): end at once, whatever is in flight.
+        cut(): stop at once, even with calls in flight.
     """
 
     def __init__(self, *, leave_notice_ms: float = LEAVE_NOTICE_MS):
@@ -73,16 +73,16 @@
 
     @property
     def takes_calls(self) -> bool:
-        """Whether new calls are taken; calls made by those in flight always are."""
+        """Whether new calls are accepted; child calls of those in flight always are."""
         return self.state is NodeState.SERVING
 
     @property
     def leaving(self) -> bool:
-        """Whether to tell peers that this host leaves."""
+        """Whether to report this host as leaving to peers."""
         return self.state in (NodeState.LEAVING, NodeState.STOPPED)
 
     def tick(self, now_ms: float, *, in_flight: int) -> None:
-        """Stop a leaving node once its notice is over and nothing is in flight.
+        """Stop a leaving node after its notice period, once nothing is in flight.
 
         Args:
             now_ms: monotonic milliseconds.
--- a/packages/sassafraswinch/sassafraswinch/local_links.py
+++ b/packages/sassafraswinch/sassafraswinch/local_links.py
@@ -1,4 +1,4 @@
-"""The link port as a node's own decisions see it: this host needs no link."""
+"""Link port of a node that queues messages to its own host instead of sending them."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,19 +7,19 @@
 from sassafraswinch.ports import LinkPort
 
 LOCAL_SESSION = 0
-"""Session of the calls that a node sends to itself."""
+"""Session number of calls that a node sends to itself."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LocalMessage:
-    """A message of this node to itself, waiting for the current step to end."""
+    """A message of this node to itself, queued until the current step ends."""
 
     to_owner: bool
     message: Message
 
 
 class LocalLinks:
-    """The link port as owner and executor see it: this host needs no link."""
+    """Link port of owner and executor; messages to this host are queued locally."""
 
     def __init__(self, *, host: str, links: LinkPort):
         self.host = host
@@ -34,17 +34,17 @@
         return LOCAL_SESSION
 
     def reply(self, node: NodeId, message: Message) -> bool:
-        """Answer another node, or this one."""
+        """Reply to another node, or queue the reply for this one."""
         if node.host != self.host:
             return self.links.reply(node, message)
         self.queue.append(LocalMessage(to_owner=True, message=message))
         return True
 
     def connect(self, host: str) -> None:
-        """Dial another host."""
+        """Open a link to another host; does nothing for this one."""
         if host != self.host:
             self.links.connect(host)
 
     def announce(self, message: Message) -> None:
-        """Tell every other node."""
+        """Send a message to every linked node."""
         self.links.announce(message)
--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -1,6 +1,6 @@
-"""One node: the decisions of its owning and executing sides, composed.
+"""Node: composes the owner, executor, ingress and egress decisions of one process.
 
-Sans-IO: adapters call in with time and messages, and the node acts through ports.
+Sans-IO: adapters pass in the time and messages, and the node acts through ports.
 """
 
 import random
@@ -52,10 +52,10 @@
 
 
 class Node:
-    """Everything that one node decides.
+    """All decisions of one node.
 
-    Each public method is one step: it takes what happened, and leaves with all
-    consequences passed to the ports.
+    Each public method is one step: it handles an event and returns after all of its
+    consequences have been passed to the ports.
     """
 
     def __init__(
@@ -132,27 +132,27 @@
             links=self.links,
             membership=membership,
             heartbeat=self.heartbeat,
-            use=self._use_document,
+            use=self._apply_document,
         )
-        self._waiting: dict[int, OwnedCall] = {}
+        self._owned_by_handle: dict[int, OwnedCall] = {}
 
     def start(self, now_ms: float) -> None:
-        """Begin to ask peers for the newest document; the listeners are open."""
+        """Request the newest document from peers, now that the listeners are open."""
         self.lifecycle.listening()
         self.configuration.sync(now_ms)
 
     def woke(self, now_ms: float) -> None:
-        """Distrust what was known: the process was paused, and is as old as that.
+        """Synchronise again after a process pause, since the state held may be stale.
 
-        The sync comes first: it expects an answer of each linked peer, and none
-        counts as linked any more once the view is distrusted.
+        The sync starts first because it expects an answer from each linked peer, and
+        no peer counts as linked once ``distrust`` was called.
         """
         self.lifecycle.woke()
         self.configuration.sync(now_ms)
         self.membership.distrust(now_ms)
 
     def heartbeat(self, sequence: int, now_ms: float) -> Heartbeat:
-        """Return what this node says of itself on every link."""
+        """Return the heartbeat that this node sends on every link."""
         stamp = self.configuration.keeper.stamp
         return Heartbeat(
             sequence=sequence,
@@ -162,20 +162,20 @@
         )
 
     def submit(self, request: Request, now_ms: float) -> None:
-        """Take a request at the entry listener."""
+        """Handle a request received by the ingress listener."""
         waiter = LocalWaiter(handle=request.handle)
-        self._wait(request.handle, self.entry.submit(request, waiter, now_ms))
-        self._settle(now_ms)
+        self._add_waiting(request.handle, self.entry.submit(request, waiter, now_ms))
+        self._run_pending(now_ms)
 
     def submit_child(self, request: Request, now_ms: float) -> None:
-        """Take a request at the egress listener."""
+        """Handle a child request received by the egress listener."""
         waiter = LocalWaiter(handle=request.handle)
-        self._wait(request.handle, self.egress.submit(request, waiter, now_ms))
-        self._settle(now_ms)
+        self._add_waiting(request.handle, self.egress.submit(request, waiter, now_ms))
+        self._run_pending(now_ms)
 
     def abandon(self, handle: int, now_ms: float) -> None:
-        """Note that the sender of a request has gone."""
-        owned = self._waiting.pop(handle, None)
+        """Handle the disconnection of the sender of a request."""
+        owned = self._owned_by_handle.pop(handle, None)
         if owned is None:
             self.forwarder.abandon(handle)
             return
@@ -184,17 +184,17 @@
         pending.waiters = [other for other in pending.waiters if other != waiter]
         if not pending.waiters and not owned.abandoned:
             self.owner.abandon(owned, now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def backend_done(self, key: CallKey, result: BackendResult, now_ms: float) -> None:
-        """Take in the end of a dispatch to the local backend server."""
+        """Handle the end of a dispatch to the local backend server."""
         self.executor.backend_done(key, result, now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def link_up(
         self, node: NodeId, session: int, *, dialled: bool, now_ms: float
     ) -> None:
-        """Note a new link, dialled by this node or by ``node``."""
+        """Handle a new link, dialled by this node or by ``node``."""
         self.host_exchange.heard(node, now_ms)
         if dialled:
             self.membership.link_up(
@@ -202,7 +202,7 @@
             )
             self.owner.link_up(node, session, now_ms)
             self.forwarder.link_up(node, now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def link_lost(
         self,
@@ -213,7 +213,7 @@
         replaced: bool,
         now_ms: float,
     ) -> None:
-        """Note the end of a link; ``replaced``: a newer one to the host is open."""
+        """Handle a lost link; ``replaced`` if a newer one to the host is open."""
         if dialled:
             self.membership.link_lost(node.host, now_ms, session=session)
             if not replaced:
@@ -224,41 +224,41 @@
             )
         elif not replaced and not self.owner.is_linked(node):
             self.configuration.peer_lost(node.host, now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def message(
         self, node: NodeId, session: int, message: Message, now_ms: float
     ) -> None:
-        """Take in a message of another node."""
-        self._take(node, session, message, now_ms)
-        self._settle(now_ms)
+        """Handle a message of another node."""
+        self._dispatch_message(node, session, message, now_ms)
+        self._run_pending(now_ms)
 
     def link_proved(self, node: NodeId, sent_at_ms: float, now_ms: float) -> None:
-        """Note that ``node`` answered a heartbeat sent at ``sent_at_ms``."""
+        """Record that ``node`` answered a heartbeat sent at ``sent_at_ms``."""
         self.membership.round_trip(node.host, sent_at_ms, now_ms)
         self.configuration.confirmed(node.host, sent_at_ms, now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass: deadlines, learnt limits, records' ages."""
+        """Process deadlines, adaptive limits and expiries that are due."""
         self.configuration.tick(now_ms)
         self.membership.tick(now_ms)
         self.executor.tick(now_ms)
         self.owner.tick(now_ms)
         self.forwarder.tick(now_ms)
         self.entry.ledger.tick(now_ms)
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def leave(self, now_ms: float) -> None:
-        """Refuse new work from now on; what has started runs to its end."""
+        """Refuse new calls from now on; calls in flight run to completion."""
         self.lifecycle.leave(now_ms)
         self.entry.leaving = True
         self.executor.leave(now_ms)
         self.links.announce(self.heartbeat(UNASKED_SEQUENCE, now_ms))
-        self._settle(now_ms)
+        self._run_pending(now_ms)
 
     def counters(self) -> dict[str, int]:
-        """Return counts since the start, for operators."""
+        """Return the counters since the start, for the operators' status."""
         return {
             "retries": self.owner.retries,
             "calls_received": self.executor.received,
@@ -267,15 +267,15 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests and calls that a planned stop has to wait for."""
+        """Number of requests and calls that a planned stop has to wait for."""
         executed, forwarded = len(self.executor.calls), len(self.forwarder.open)
         return len(self.awaited_calls()) + executed + forwarded
 
     def awaited_calls(self) -> list[OwnedCall]:
-        """Return the owned calls whose end somebody waits for.
+        """Return the owned calls whose outcome is still awaited.
 
         An abandoned call counts while a request waits for it: a backend server may
-        go on waiting for a child call whose parent was given up.
+        go on waiting for a child call whose parent was cancelled.
         """
         return [
             owned
@@ -283,25 +283,25 @@
             if owned.context.waiters or not owned.abandoned
         ]
 
-    def _wait(self, handle: int, owned: OwnedCall | None) -> None:
+    def _add_waiting(self, handle: int, owned: OwnedCall | None) -> None:
         if owned is not None:
-            self._waiting[handle] = owned
+            self._owned_by_handle[handle] = owned
 
     def _respond(self, waiter: Waiter, outcome: Outcome) -> None:
         if isinstance(waiter, LocalWaiter):
-            self._waiting.pop(waiter.handle, None)
+            self._owned_by_handle.pop(waiter.handle, None)
             self.callers.respond(waiter.handle, outcome)
             return
         self.links.reply(waiter.node, answer_of(waiter.number, outcome))
 
-    def _take(
+    def _dispatch_message(
         self, node: NodeId, session: int, message: Message, now_ms: float
     ) -> None:
         match message:
             case Call():
                 self.executor.receive(node, session, message, now_ms)
             case Answer():
-                self._take_answer(node, message, now_ms)
+                self._handle_answer(node, message, now_ms)
             case Acknowledge():
                 self.executor.ledger.acknowledge(node, message.numbers)
             case Cancel():
@@ -311,9 +311,9 @@
             case FenceReply():
                 self.owner.fenced(node, message, now_ms)
             case Forward():
-                self._take_forward(node, message, now_ms)
+                self._handle_forward(node, message, now_ms)
             case Heartbeat():
-                self._hear(node, message.load, now_ms)
+                self._record_load(node, message.load, now_ms)
                 self.configuration.heard(node, message, now_ms)
                 self.host_exchange.heard(node, now_ms)
             case DocumentRequest():
@@ -325,12 +325,12 @@
             case HostsReply():
                 self.host_exchange.replied(node, message, now_ms)
 
-    def _hear(self, node: NodeId, load: Load, now_ms: float) -> None:
+    def _record_load(self, node: NodeId, load: Load, now_ms: float) -> None:
         self.membership.heard(node, load, now_ms)
         self.router.heard(node.host, load, now_ms)
 
-    def _use_document(self, document: Document | None) -> None:
-        """Classify by ``document`` from now on; calls under way keep their class."""
+    def _apply_document(self, document: Document | None) -> None:
+        """Classify by ``document`` from now on; calls in flight keep their class."""
         classifier = Classifier(document=document) if document else None
         self.entry.use(classifier)
         if document is None:
@@ -343,51 +343,51 @@
         self.executor.gate.set_slots(service.slots if service else None)
         self.document_changed(document)
 
-    def _take_answer(self, node: NodeId, answer: Answer, now_ms: float) -> None:
+    def _handle_answer(self, node: NodeId, answer: Answer, now_ms: float) -> None:
         if answer.load is not None:
-            self._hear(node, answer.load, now_ms)
+            self._record_load(node, answer.load, now_ms)
         if not self.forwarder.answered(node.host, answer, now_ms):
             self.owner.answered(node, answer, now_ms)
 
-    def _take_forward(self, node: NodeId, forward: Forward, now_ms: float) -> None:
+    def _handle_forward(self, node: NodeId, forward: Forward, now_ms: float) -> None:
         waiter = RemoteWaiter(node=node, number=forward.number)
         self.entry.submit(request_of(forward), waiter, now_ms)
 
-    def _settle(self, now_ms: float) -> None:
-        """Carry on until nothing is left to do at this moment."""
+    def _run_pending(self, now_ms: float) -> None:
+        """Process replies, local messages and ended calls until none is left."""
         busy = True
         while busy:
-            busy = self._pass_replies()
-            busy |= self._pass_local(now_ms)
-            busy |= self._pass_ended(now_ms)
-            busy |= self._pass_finished(now_ms)
+            busy = self._send_replies()
+            busy |= self._deliver_local(now_ms)
+            busy |= self._end_parents(now_ms)
+            busy |= self._finish_calls(now_ms)
 
-    def _pass_replies(self) -> bool:
+    def _send_replies(self) -> bool:
         replies = self.executor.take_replies()
         for reply in replies:
             self.links.reply(reply.owner, reply.message)
         return bool(replies)
 
-    def _pass_local(self, now_ms: float) -> bool:
+    def _deliver_local(self, now_ms: float) -> bool:
         if not self.links.queue:
             return False
         local = self.links.queue.popleft()
-        self._take(self.node, LOCAL_SESSION, local.message, now_ms)
+        self._dispatch_message(self.node, LOCAL_SESSION, local.message, now_ms)
         return True
 
-    def _pass_ended(self, now_ms: float) -> bool:
+    def _end_parents(self, now_ms: float) -> bool:
         ended = self.executor.take_ended()
         for parent in ended:
             self.egress.parent_ended(parent, now_ms)
         return bool(ended)
 
-    def _pass_finished(self, now_ms: float) -> bool:
+    def _finish_calls(self, now_ms: float) -> bool:
         finished_calls = self.owner.take_finished()
         for finished in finished_calls:
-            self._finish(finished, now_ms)
+            self._finish_call(finished, now_ms)
         return bool(finished_calls)
 
-    def _finish(self, finished: Finished, now_ms: float) -> None:
+    def _finish_call(self, finished: Finished, now_ms: float) -> None:
         pending: Pending = finished.owned.context
         if pending.parent is not None:
             self.egress.finished(finished, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/paths.py
+++ b/packages/sassafraswinch/sassafraswinch/paths.py
@@ -1,4 +1,4 @@
-"""Path templates of operations, and the lookup of a request target among them."""
+"""Path templates of operations, and the matching of request targets to them."""
 
 import itertools
 import re
@@ -9,14 +9,14 @@
 from urllib.parse import unquote
 
 MAX_SEGMENTS = 32
-"""Segments of a template, and of a request target that can match one."""
+"""Most segments of a path template, and of a request target that can match one."""
 
 _LITERAL = re.compile(r"[A-Za-z0-9._~!$&'()*+,=:@-]+", re.ASCII)
 _PLACEHOLDER = re.compile(r"\{[A-Za-z_][A-Za-z0-9_]*\}", re.ASCII)
 _ESCAPE = re.compile(r"%[0-9A-Fa-f]{2}")
 _BAD_ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
 _UNSAFE = re.compile(r"[\\;\x00-\x1f\x7f]|/\.{0,2}(?=/|$)")
-"""Backslash, parameters, control characters, empty and dot segments."""
+"""Backslashes, ``;`` parameters, control characters, empty and dot segments."""
 
 Value = TypeVar("Value")
 Segments = tuple[str | None, ...]
@@ -30,21 +30,21 @@
         Its segments; the root path ``/`` has none.
 
     Raises:
-        ValueError: if ``text`` is no template, with the reason.
+        ValueError: if ``text`` is not a valid template; the message gives the reason.
     """
     if not text.startswith("/"):
-        raise ValueError("a path starts with '/'")
+        raise ValueError("a path template must start with '/'")
     if text == "/":
         return ()
     parts = text[1:].split("/")
     if len(parts) > MAX_SEGMENTS:
-        raise ValueError(f"more than {MAX_SEGMENTS} segments")
+        raise ValueError(f"a path template has at most {MAX_SEGMENTS} segments")
     segments = tuple(map(_parse_segment, parts))
     names = [
         part for part, segment in zip(parts, segments, strict=True) if segment is None
     ]
     if len(set(names)) < len(names):
-        raise ValueError("two placeholders of one name")
+        raise ValueError("a path template has two placeholders of the same name")
     return segments
 
 
@@ -53,13 +53,13 @@
         return None
     if part in (".", "..") or not _LITERAL.fullmatch(part):
         raise ValueError(
-            f"segment {part!r} is neither plain text nor one {{placeholder}}"
+            f"segment {part!r} must be plain text or a single {{placeholder}}"
         )
     return part
 
 
 def ambiguous(one: Segments, other: Segments) -> bool:
-    """Return whether some path matches both, and neither is the more specific one.
+    """Return whether some path matches both templates and neither is more specific.
 
     ``/orders/new`` is more specific than ``/orders/{order}`` and wins;
     ``/{kind}/new`` and ``/orders/{order}`` are ambiguous.
@@ -75,14 +75,15 @@
 
 
 def split_target(target: str) -> tuple[str, ...] | None:
-    """Return the decoded path segments of a request target, or None.
-
-    A backend server decodes the path before it routes. If a node compared the
-    raw text, ``/orders/7/%61pproval`` or ``/orders/7%2Fapproval`` would pass as
-    a repeatable lookup here and run as an approval there, outside at-most-once.
-    So paths are compared decoded, and one that servers are known to read in
-    different ways (encoded slash, double encoding, backslash, dot segments,
-    empty segments, ``;`` parameters, control characters) matches nothing.
+    """Return the decoded path segments of a request target, None if it is unsafe.
+
+    A backend server decodes the path before it routes. If a node compared the raw
+    text, ``/orders/7/%61pproval`` or ``/orders/7%2Fapproval`` would be classified as
+    a repeatable lookup by the node and executed as an approval by the server, which
+    breaks the at-most-once guarantee. Paths are therefore compared decoded, and a
+    path that servers are known to interpret differently (encoded slash, double
+    encoding, backslash, dot segments, empty segments, ``;`` parameters, control
+    characters) matches no template.
     """
     path = target.partition("?")[0]
     if not path.isascii() or "#" in path:
@@ -111,6 +112,8 @@
 
 @dataclass(slots=True)
 class _Branch(Generic[Value]):
+    """Trie node."""
+
     literals: dict[str, "_Branch[Value]"] = field(default_factory=dict)
     placeholder: "_Branch[Value] | None" = None
     value: Value | None = None
@@ -133,9 +136,9 @@
 
 
 class PathTable(Generic[Value]):
-    """Values by path template; the most specific template of a path wins.
+    """Trie that maps path templates to values; the most specific match wins.
 
-    Literal segments are tried before placeholders, which finds the most specific
+    Literal segments are tried before placeholders. This finds the most specific
     template because no two templates of a table are ambiguous.
     """
 
@@ -143,36 +146,36 @@
         self._root: _Branch[Value] = _Branch()
 
     def add(self, segments: Segments, value: Value) -> None:
-        """Add a template that is ambiguous with none added before."""
+        """Add a template that must not be ambiguous with those added before."""
         branch = self._root
         for segment in segments:
             branch = branch.child(segment)
         branch.value = value
 
     def find(self, segments: tuple[str, ...]) -> Value | None:
-        """Return the value of the template that ``segments`` match, or None."""
+        """Return the value of the template that matches ``segments``, or None."""
         return self._root.find(segments, 0)
 
 
 class AmbiguityIndex(Generic[Value]):
-    """Path templates that are searched for one which another is ambiguous with.
+    """Index of path templates that finds one ambiguous with a given template.
 
-    Comparing each two templates of a document of 1 MB would take seconds. Two
-    ambiguous templates agree in every position where the one has a literal: the
-    other has that literal or a placeholder there. So only the templates under
-    the rarest such position are compared.
+    Comparing all pairs of templates of a 1 MB document would take seconds. Of two
+    ambiguous templates, wherever one has a literal, the other has the same literal
+    or a placeholder. So only the templates listed under the least frequent such
+    position are compared.
     """
 
     def __init__(self):
-        self._entries: defaultdict[Hashable, list[tuple[Segments, Value]]]
-        self._entries = defaultdict(list)
+        self._templates: defaultdict[Hashable, list[tuple[Segments, Value]]]
+        self._templates = defaultdict(list)
 
     def add(self, segments: Segments, value: Value) -> None:
         """Add a template."""
-        self._entries[len(segments)].append((segments, value))
+        self._templates[len(segments)].append((segments, value))
         for position, segment in enumerate(segments):
             key = (len(segments), position, segment)
-            self._entries[key].append((segments, value))
+            self._templates[key].append((segments, value))
 
     def find(self, segments: Segments) -> Value | None:
         """Return the value of a template that is ambiguous with ``segments``."""
@@ -187,14 +190,16 @@
 
     def _candidates(self, segments: Segments) -> Iterable[tuple[Segments, Value]]:
         length = len(segments)
-        choices = [
+        lists_by_position = [
             (
-                self._entries.get((length, position, segment), ()),
-                self._entries.get((length, position, None), ()),
+                self._templates.get((length, position, segment), ()),
+                self._templates.get((length, position, None), ()),
             )
             for position, segment in enumerate(segments)
             if segment is not None
         ]
-        if not choices:
-            return self._entries.get(length, ())
-        return itertools.chain(*min(choices, key=lambda lists: sum(map(len, lists))))
+        if not lists_by_position:
+            return self._templates.get(length, ())
+        return itertools.chain(
+            *min(lists_by_position, key=lambda lists: sum(map(len, lists)))
+        )
--- a/packages/sassafraswinch/sassafraswinch/read_budget.py
+++ b/packages/sassafraswinch/sassafraswinch/read_budget.py
@@ -1,27 +1,27 @@
-"""When a node reads the platform, so that the fleet stays within its read budget."""
+"""Schedule of a node's platform reads that keeps the fleet within a read budget."""
 
 import enum
 import random
 
 READS_PER_S = 2_000
-"""Reads a second that the platform bears from all readers together."""
+"""Total reads a second that the platform can serve to all readers."""
 
 WAIT_MS = 10_000
-"""How long a watch waits at the platform for a change."""
+"""Mean time that a watch waits at the platform for a change (long poll)."""
 
 DOCUMENT_WATCHES = 24
-"""Watches on the document that wait at any moment in a large fleet: four for
-each of six availability zones; other nodes hear of a change from these."""
+"""Open document watches at any moment in a large fleet: four for each of six
+availability zones; the other nodes get changes from peers."""
 
 HOST_WATCHES = 300
-"""Watches on the host list that wait at any moment in a large fleet; the list
-doesn't travel between nodes, so each node reads it often."""
+"""Open host list watches at any moment in a large fleet; the list is not passed
+between nodes, so each node reads it often."""
 
 STREAM_SHARE = 0.2
-"""Share of the read budget that one stream may use in its busiest second."""
+"""Maximum share of the read budget that one stream uses in its busiest second."""
 
 BACKOFF_DOUBLINGS = 3
-"""How often the spread of reads doubles while the platform stays down."""
+"""Maximum number of doublings of the read interval while the platform is down."""
 
 
 class WatchOutcome(enum.Enum):
@@ -33,22 +33,22 @@
 
 
 class WatchSchedule:
-    """When one node issues its next read of one stream (document or host list).
+    """Schedules one node's reads of one stream (document or host list).
 
-    A node watches for a while and then rests, both for random times, so that
-    about ``watches`` of ``nodes`` watches wait at any moment, wherever the
-    others are. No node needs to know which ones.
+    A node alternates between a watch and a pause, both of random length, so that
+    about ``watches`` of ``nodes`` watches are open at any moment. This needs no
+    coordination between nodes.
 
-    Failure guarded against: the platform comes back after an outage, or drops
-    all watches at once, and every node asks in the same second; the platform
-    goes down again. Each pause is drawn evenly from an interval long enough
-    for ``STREAM_SHARE`` of the budget, so the sum holds whatever the moment.
+    Failure: the platform comes back after an outage, or drops all watches at once;
+    every node reads it in the same second, and it goes down again. Each pause is
+    therefore drawn uniformly from an interval in which one read per node takes
+    ``STREAM_SHARE`` of the budget, so that the budget holds at any moment.
 
     Args:
         rng: source of all delays.
-        nodes: size of the fleet as far as known; an estimate at start.
-        watches: watches that shall wait at any moment.
-        budget_per_s: reads a second that the platform bears in all.
+        nodes: known size of the fleet; an estimate at start.
+        watches: target number of watches open at any moment.
+        budget_per_s: total reads a second that the platform can serve.
     """
 
     def __init__(
@@ -68,23 +68,23 @@
 
     @property
     def spread_ms(self) -> float:
-        """Interval over which one read of each node fits the stream's share."""
+        """Interval over which one read per node stays within the stream's share."""
         return self._nodes * 1000 / (self._budget_per_s * STREAM_SHARE)
 
     def set_nodes(self, nodes: int) -> None:
-        """Follow the size of the fleet."""
+        """Update the size of the fleet."""
         self._nodes = max(1, nodes)
 
     def set_isolated(self, isolated: bool) -> None:
-        """Rest no longer than ``spread_ms`` while peers can't tell of changes."""
+        """Pause no longer than ``spread_ms`` while no peer can report changes."""
         self._isolated = isolated
 
     def first_delay_ms(self) -> float:
-        """Return the pause before the first read: a whole fleet may start at once."""
+        """Return the pause before the first read; an entire fleet may start at once."""
         return self._rng.uniform(0, self.spread_ms)
 
     def wait_ms(self) -> int:
-        """Return how long the next watch shall wait at the platform."""
+        """Return the time for which the next watch waits at the platform."""
         return round(self._rng.uniform(0.5, 1.5) * WAIT_MS)
 
     def next_delay_ms(self, outcome: WatchOutcome) -> float:
@@ -94,10 +94,10 @@
             self._failures += 1
             return self._rng.uniform(0, self.spread_ms * 2**doublings)
         self._failures = 0
-        return self._rng.uniform(0, max(self.spread_ms, 2 * self._rest_ms()))
+        return self._rng.uniform(0, max(self.spread_ms, 2 * self._mean_pause_ms()))
 
-    def _rest_ms(self) -> float:
-        """Mean rest that leaves ``watches`` of ``nodes`` watches waiting."""
+    def _mean_pause_ms(self) -> float:
+        """Return the mean pause that keeps ``watches`` of ``nodes`` watches open."""
         if self._isolated:
             return 0.0
         return WAIT_MS * max(0.0, self._nodes / self._watches - 1)
--- a/packages/sassafraswinch/sassafraswinch/records.py
+++ b/packages/sassafraswinch/sassafraswinch/records.py
@@ -1,4 +1,4 @@
-"""Data classes to JSON and back, with every fault of a bad text named."""
+"""JSON serialization of data classes; parse errors name every invalid field."""
 
 from typing import TypeVar
 
@@ -12,15 +12,15 @@
 def parse_record(
     adapter: TypeAdapter[Record], body: bytes | str, *, source: str
 ) -> Record:
-    """Read a record from JSON; fields that this version doesn't know are ignored.
+    """Parse a record from JSON; unknown fields are ignored.
 
     Args:
-        adapter: says which data class the text must hold.
+        adapter: type adapter of the data class.
         body: JSON text.
-        source: the address or file the text came from, for the errors.
+        source: address or file that the text came from, for error messages.
 
     Returns:
-        The record, with every field checked.
+        The validated record.
 
     Raises:
         InvalidFieldsError: names each field that is missing or wrong.
@@ -40,5 +40,5 @@
 
 
 def serialize_record(adapter: TypeAdapter[Record], record: Record) -> bytes:
-    """Write a record as compact JSON that ``parse_record`` reads back."""
+    """Serialize a record as compact JSON for ``parse_record``."""
     return adapter.dump_json(record)
--- a/packages/sassafraswinch/sassafraswinch/status.py
+++ b/packages/sassafraswinch/sassafraswinch/status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself to operators, and its JSON form."""
+"""Status of a node for operators, and its JSON form."""
 
 from dataclasses import dataclass, field
 
@@ -14,15 +14,15 @@
 
     host: str
     state: str
-    """``up``, or ``down:`` and why."""
+    """``up``, or ``down:`` followed by the reason."""
     session: int
     silent_ms: float
-    """Time since the last frame of the peer."""
+    """Time since the last frame received from the peer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostStatus:
-    """One other host, as this node sees it."""
+    """Another host as seen by this node."""
 
     name: str
     service: str
@@ -48,43 +48,43 @@
     """Version in force; 0 while there is none."""
     document_digest: str = ""
     document_age_ms: float = 0.0
-    """Time since the version in force was taken into use."""
+    """Time since the version in force was applied."""
     document_faults: tuple[str, ...] = ()
-    """Why newer documents were refused, or which version has two contents."""
+    """Reasons for refused newer documents, and versions published with two contents."""
     host_list_version: int = 0
-    """Version of the platform's host list that was read; 0 before the first."""
+    """Version of the platform's host list last read; 0 before the first read."""
     in_flight: int = 0
     """Calls on the local backend server."""
     queued: int = 0
-    """Calls that wait for the local backend server."""
+    """Calls queued for the local backend server."""
     limit: int = 0
-    """Calls that the node lets onto the local backend server at once."""
+    """Concurrency limit of the local backend server."""
     queue_delay_ms: float = 0.0
     threshold: Rank | None = None
-    """Calls of a greater rank are refused; None admits all."""
+    """Calls of a greater rank are refused; None if all are admitted."""
     owned_calls: int = 0
     """Calls that this node owns and that have no outcome yet."""
     links: tuple[LinkStatus, ...] = ()
     hosts: tuple[HostStatus, ...] = ()
     counters: dict[str, int] = field(default_factory=dict)
-    """Counts since the start of the process, by name in snake case."""
+    """Counters since the start of the process, by name in snake case."""
     cpu_percent: float = 0.0
     """Share of one core that the process uses."""
     memory_mb: float = 0.0
     """Resident memory of the process."""
     control_bytes_per_s: float = 0.0
-    """Bytes sent for control: heartbeats, documents, reads of the platform."""
+    """Control traffic sent: heartbeats, documents, reads of the platform."""
 
 
 _STATUS = TypeAdapter(Status)
 
 
 def parse_status(body: bytes | str, *, source: str) -> Status:
-    """Read the JSON of a node's ``/status``.
+    """Parse the JSON of a node's ``/status``.
 
     Args:
         body: JSON text.
-        source: address of the node, for the errors.
+        source: address of the node, for error messages.
 
     Raises:
         InvalidFieldsError: names each field that is missing or wrong.
@@ -93,5 +93,5 @@
 
 
 def serialize_status(status: Status) -> bytes:
-    """Write a status as JSON."""
+    """Serialize a status as JSON."""
     return serialize_record(_STATUS, status)
--- a/packages/sassafraswinch/sassafraswinch/sync.py
+++ b/packages/sassafraswinch/sassafraswinch/sync.py
@@ -1,24 +1,24 @@
-"""How long a node listens to its peers before it serves on what it holds."""
+"""Wait of a starting or resumed node for its peers' document versions."""
 
 from collections.abc import Iterable
 
 SYNC_WAIT_MS = 3_000
-"""How long a node listens to its peers before it serves on a copy of its own."""
+"""Time that a node waits for its peers before it serves on the document it holds."""
 
 SYNC_LIMIT_MS = 15_000
-"""How long a claim of a newer version that no peer delivers may hold a node back."""
+"""Time limit of the wait while a peer claims a newer version that none delivers."""
 
 
 class PeerSync:
-    """One wait for the peers' word on the newest version.
+    """One wait for the document versions that peers hold.
 
-    The wait ends once every expected peer answered and nothing newer is
-    claimed, or after ``SYNC_WAIT_MS``; a claim that isn't met yet prolongs it
-    up to ``SYNC_LIMIT_MS``, for a peer that never delivers must not stop a
-    fleet that restarts host by host.
+    The wait ends once every expected peer has answered and none claims a newer
+    version, or after ``SYNC_WAIT_MS``. A newer version that is claimed but not yet
+    delivered extends it to at most ``SYNC_LIMIT_MS``, because a peer that never
+    delivers must not stop a fleet that restarts host by host.
 
     Args:
-        started_ms: when the wait began, monotonic milliseconds.
+        started_ms: start of the wait, in monotonic milliseconds.
         expected: hosts whose answers end the wait early.
     """
 
@@ -28,17 +28,17 @@
         self._confirmed: set[str] = set()
 
     def confirmed(self, host: str, sent_at_ms: float) -> None:
-        """Take in that a host answered a heartbeat sent at ``sent_at_ms``.
+        """Record that a host answered a heartbeat sent at ``sent_at_ms``.
 
-        A link keeps order, so all that the host said before has been heard by
-        now. Only an answer to a heartbeat sent after the wait began counts:
-        what lay in the buffers of a paused process is as old as the pause.
+        A link preserves order, so all earlier messages of the host have been
+        received by now. Only the answer to a heartbeat sent after the start of the
+        wait counts: data in the buffers of a paused process is as old as the pause.
         """
         if sent_at_ms >= self._started_ms:
             self._confirmed.add(host)
 
     def lost(self, host: str) -> None:
-        """Expect nothing more from a host."""
+        """Stop waiting for a host."""
         self._expected.discard(host)
 
     def is_over(self, now_ms: float, *, unmet: bool) -> bool:
@@ -46,10 +46,10 @@
 
         Args:
             now_ms: monotonic milliseconds.
-            unmet: whether a peer claims a newer content that isn't held yet.
+            unmet: whether a peer claims a newer document that isn't held yet.
         """
         waited_ms = now_ms - self._started_ms
         if unmet:
             return waited_ms >= SYNC_LIMIT_MS
-        heard_all = bool(self._expected) and self._expected <= self._confirmed
-        return heard_all or waited_ms >= SYNC_WAIT_MS
+        all_answered = bool(self._expected) and self._expected <= self._confirmed
+        return all_answered or waited_ms >= SYNC_WAIT_MS
--- a/packages/sassafraswinch/sassafraswinch/traceparent.py
+++ b/packages/sassafraswinch/sassafraswinch/traceparent.py
@@ -1,30 +1,30 @@
-"""The ``traceparent`` header, by which a node knows the parent of a child call."""
+"""``traceparent`` header, which identifies the parent of a child call."""
 
 import hashlib
 import random
 
 SPAN_MARK_DIGITS = 6
-"""Digits of a span that follow from the rest: a foreign one has them by chance once in
-16 million calls."""
+"""Hex digits of a span id that are a checksum of the rest; a span of another tracer has
+a valid checksum by chance once in 16 million calls."""
 
 
 def make_span(root_id: str, rng: random.Random) -> str:
-    """Return a span of 16 hex digits that ``is_own_span`` recognises on any node."""
-    drawn = f"{rng.getrandbits(64) | 1:016x}"[SPAN_MARK_DIGITS:]
-    return drawn + _span_mark(root_id, drawn)
+    """Return a span id of 16 hex digits that ``is_own_span`` recognises on any node."""
+    random_digits = f"{rng.getrandbits(64) | 1:016x}"[SPAN_MARK_DIGITS:]
+    return random_digits + _span_checksum(root_id, random_digits)
 
 
 def is_own_span(traceparent: str | None) -> bool:
-    """Return whether a node, of whatever host and run, made the span in the header."""
+    """Return whether the span in the header was made by a node, on any host."""
     ids = parse_traceparent(traceparent)
     if ids is None:
         return False
-    drawn, mark = ids[1][:-SPAN_MARK_DIGITS], ids[1][-SPAN_MARK_DIGITS:]
-    return mark == _span_mark(ids[0], drawn)
+    random_digits, checksum = ids[1][:-SPAN_MARK_DIGITS], ids[1][-SPAN_MARK_DIGITS:]
+    return checksum == _span_checksum(ids[0], random_digits)
 
 
-def _span_mark(root_id: str, drawn: str) -> str:
-    digest = hashlib.blake2b(f"{root_id} {drawn}".encode(), digest_size=4)
+def _span_checksum(root_id: str, random_digits: str) -> str:
+    digest = hashlib.blake2b(f"{root_id} {random_digits}".encode(), digest_size=4)
     return digest.hexdigest()[:SPAN_MARK_DIGITS]
 
 
@@ -37,5 +37,5 @@
 
 
 def serialize_traceparent(root_id: str, span_id: str) -> str:
-    """Return the ``traceparent`` header for a dispatch."""
+    """Return the ``traceparent`` header of a dispatch."""
     return f"00-{root_id}-{span_id}-01"
--- a/packages/sassafraswinch/sassafraswinch/version_claims.py
+++ b/packages/sassafraswinch/sassafraswinch/version_claims.py
@@ -1,4 +1,4 @@
-"""What peers say they hold, and from which one to fetch a newer document."""
+"""Document versions claimed by peers, and the choice of a peer to fetch from."""
 
 import random
 from collections.abc import Callable
@@ -8,39 +8,40 @@
 from sassafraswinch.messages import DocumentRequest, NodeId
 
 FETCH_TIMEOUT_MS = 1_500
-"""An unanswered request is given up after this long and another peer is asked."""
+"""Time-out of a fetch request, after which another peer is tried."""
 
 RETRY_FIRST_MS = 250
-"""Pause before a peer that failed to deliver is asked again; doubles each time."""
+"""Back-off of a peer that failed to deliver; doubled by each further failure."""
 
 RETRY_LIMIT_MS = 4_000
-"""Longest pause before a peer that failed to deliver is asked again."""
+"""Longest back-off of a peer that failed to deliver."""
 
 CLAIM_LIFE_MS = 30_000
-"""A claim not repeated for this long is dropped: its peer is gone. Links repeat
-it with each heartbeat, every 1 s."""
+"""Time after which a claim that is not renewed expires, because its peer is gone.
+Heartbeats renew it every 1 s."""
 
 SERVE_BYTES_PER_S = 1_000_000
-"""Packed document bytes that a node sends to its peers at most, with a burst of
-1 s: below a hundredth of a link of 1 Gbit/s."""
+"""Maximum rate of packed document bytes sent to peers, with a burst of 1 s; less than a
+hundredth of the capacity of a 1 Gbit/s link."""
 
 
 class Stamp(NamedTuple):
-    """Names one content of a document."""
+    """Identifies one document by version and digest."""
 
     version: int
     digest: str
 
 
 NO_STAMP = Stamp(0, "")
-"""Stands for no document."""
+"""Stamp that means no document."""
 
 
 def supersedes(new: Stamp, old: Stamp) -> bool:
-    """Return whether ``new`` comes into force over ``old``.
+    """Return whether ``new`` replaces ``old``.
 
-    The greater version does. Under one version the smaller digest does, so that
-    two contents published for it resolve alike everywhere, without agreement.
+    The greater version does, and within one version the smaller digest, so that two
+    documents published under the same version resolve in the same way on all nodes
+    without coordination.
     """
     if new.version != old.version:
         return new.version > old.version
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fetch:
-    """A request to send to the node of one host."""
+    """A document request to send to the node of one host."""
 
     peer: str
     request: DocumentRequest
@@ -59,69 +60,69 @@
 class _Claim:
     stamp: Stamp
     near: bool
-    heard_ms: float
+    received_ms: float
     failures: int = 0
     retry_at_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Open:
+class _OpenFetch:
     peer: NodeId
     stamp: Stamp
     sent_at_ms: float
 
 
 class Claims:
-    """The latest word of each linked peer, and the one request that is open.
+    """Latest version claim of each linked peer, and the single open fetch request.
 
-    A claim is only a hint: a peer may say that it holds a version and never
-    deliver it. So each failure sends the next request to another peer, and a
-    peer that failed is asked again only after a growing pause.
+    A claim is only a hint: a peer may report a version and never deliver it. After a
+    failure the next request goes to another peer, and the failed one gets no request
+    until an exponential back-off ends.
 
     Args:
-        rng: chooses among equal peers, so that one of them isn't asked by all.
+        rng: chooses among equal peers, so that not all nodes request from the same one.
     """
 
     def __init__(self, *, rng: random.Random):
         self._rng = rng
         self._claims: dict[NodeId, _Claim] = {}
-        self._open: _Open | None = None
+        self._open: _OpenFetch | None = None
 
     def heard(
         self, peer: NodeId, stamp: Stamp, now_ms: float, *, near: bool = True
     ) -> None:
-        """Raise the claim of a peer; a repeated one keeps its failures.
+        """Record the claim of a peer; an unchanged one keeps its failure count.
 
-        One run of a peer only moves up, so a lower claim is an old message
-        that another link to it delivers late.
+        The version on one incarnation of a peer only rises, so a lower claim is an
+        old message that another link delivered late.
         """
         claim = self._claims.get(peer)
         if claim is None:
             self._expire(now_ms)
         if claim is None or supersedes(stamp, claim.stamp):
-            self._claims[peer] = _Claim(stamp=stamp, near=near, heard_ms=now_ms)
+            self._claims[peer] = _Claim(stamp=stamp, near=near, received_ms=now_ms)
         else:
-            claim.heard_ms = now_ms
+            claim.received_ms = now_ms
 
     def drop(self, host: str) -> None:
-        """Forget every run of the node on a host."""
+        """Discard the claims of all incarnations of the node on a host."""
         for peer in [peer for peer in self._claims if peer.host == host]:
             del self._claims[peer]
         if self._open and self._open.peer.host == host:
             self._open = None
 
     def failed(self, peer: NodeId, now_ms: float) -> None:
-        """Note that a peer didn't deliver, and close the request to it."""
+        """Record that a peer didn't deliver, and close the request to it."""
         self._close(peer)
         claim = self._claims.get(peer)
         if claim is None:
             return
-        pause_ms = min(RETRY_LIMIT_MS, RETRY_FIRST_MS * 2**claim.failures)
+        backoff_ms = min(RETRY_LIMIT_MS, RETRY_FIRST_MS * 2**claim.failures)
         claim.failures = min(claim.failures + 1, 16)
-        claim.retry_at_ms = now_ms + pause_ms * self._rng.uniform(0.5, 1.5)
+        claim.retry_at_ms = now_ms + backoff_ms * self._rng.uniform(0.5, 1.5)
 
     def delivered(self, peer: NodeId, stamp: Stamp, now_ms: float) -> None:
-        """Note what a peer delivered; less than it claimed is a failure."""
+        """Record what a peer delivered; an older document than claimed is a failure."""
         claim = self._claims.get(peer)
         if claim and supersedes(claim.stamp, stamp):
             self.failed(peer, now_ms)
@@ -134,8 +135,8 @@
         """Return the request to send now, if any.
 
         Args:
-            held: what is in force on this node.
-            is_refused: whether a content is known to be invalid.
+            held: document in force on this node.
+            is_refused: returns whether a document is known to be invalid.
             now_ms: monotonic milliseconds.
         """
         if self._open and now_ms - self._open.sent_at_ms >= FETCH_TIMEOUT_MS:
@@ -151,35 +152,35 @@
         if not due:
             return None
         peer, claim = min(due, key=self._preference)
-        self._open = _Open(peer=peer, stamp=claim.stamp, sent_at_ms=now_ms)
+        self._open = _OpenFetch(peer=peer, stamp=claim.stamp, sent_at_ms=now_ms)
         return Fetch(
             peer=peer.host, request=DocumentRequest(version=claim.stamp.version)
         )
 
     def is_unmet(self, held: Stamp, is_refused: Callable[[Stamp], bool]) -> bool:
-        """Return whether some peer claims what would supersede ``held``."""
+        """Return whether a peer claims a document that supersedes ``held``."""
         return bool(self._wanted(held, is_refused))
 
     def undelivered(
         self, held: Stamp, is_refused: Callable[[Stamp], bool]
     ) -> tuple[str, ...]:
-        """Return the hosts that claim a newer content and failed to deliver it."""
+        """Return the hosts that claim a newer document and failed to deliver it."""
         wanted = self._wanted(held, is_refused)
         return tuple(sorted(peer.host for peer, claim in wanted if claim.failures))
 
     def _expire(self, now_ms: float) -> None:
-        """Drop claims of peers that are gone, whose links nobody saw close."""
+        """Discard expired claims, left by peers whose links closed unnoticed."""
         self._claims = {
             peer: claim
             for peer, claim in self._claims.items()
-            if now_ms - claim.heard_ms < CLAIM_LIFE_MS
+            if now_ms - claim.received_ms < CLAIM_LIFE_MS
         }
 
     def _close(self, peer: NodeId) -> None:
         """Close the request that ``peer`` answered.
 
-        An answer of another run of the node shows that the run which made the
-        claim is gone, and the claim with it.
+        An answer of another incarnation shows that the one which made the claim has
+        ended, so its claim is discarded.
         """
         if self._open and self._open.peer.host == peer.host:
             if self._open.peer != peer:
@@ -207,11 +208,11 @@
 
 
 class ServeBudget:
-    """Bounds the document bytes that a node sends to its peers.
+    """Token bucket that bounds the document bytes that a node sends to its peers.
 
-    Failure guarded against: the first node to hold a new version is asked by
-    all its peers at once and answers late, to calls as well. Those refused ask
-    others, of which there are more each moment.
+    Failure: the first node with a new version gets requests from all its peers at
+    once, and its answers are late, also those to calls. Refused peers request the
+    document from other nodes, more and more of which hold it.
     """
 
     def __init__(self):
--- a/packages/sassafraswinch/sassafraswinch/versions.py
+++ b/packages/sassafraswinch/sassafraswinch/versions.py
@@ -1,4 +1,4 @@
-"""Which configuration document is in force: versions only rise, on every node alike."""
+"""Store of the configuration document in force; its version only ever rises."""
 
 import math
 import random
@@ -33,23 +33,23 @@
 )
 
 KNOWN_CONTENTS = 64
-"""Contents remembered by digest, so that none is parsed or refused twice."""
+"""Documents remembered by digest, so that none is parsed or refused twice."""
 
 REPORTED_CONFLICTS = 8
-"""Latest conflicts kept for the report."""
+"""Number of the latest conflicts kept for the report."""
 
 
 class ConfigKeeper:
-    """Keeps the document in force on one node.
+    """Holds the configuration document in force on one node.
 
-    Contents are ordered by version, and within one version by digest, the
-    smaller being the greater. A node only moves up in this order, so all nodes
-    that hear of the same contents end with the same one, in whatever order
-    they hear.
+    Documents are ordered by version, and within one version by digest, where the
+    smaller digest supersedes the greater one. A node only moves up in this order, so
+    all nodes that receive the same documents converge on the same one, in whatever
+    order they receive them.
 
     Args:
-        parse: reads a body; raises ``InvalidFieldsError`` with every fault.
-        digest: short stable hash of a body.
+        parse: parses a body; raises ``InvalidFieldsError`` with every fault.
+        digest: returns a short stable hash of a body.
         rng: spreads fetches over peers and over time.
     """
 
@@ -76,26 +76,26 @@
 
     @property
     def in_force(self) -> Document | None:
-        """The newest valid document held, also while the node isn't serving."""
+        """Newest valid document held, even while the node isn't serving."""
         return self._document
 
     @property
     def serving(self) -> Document | None:
-        """The document to serve on; None while syncing or without one."""
+        """Document to serve on; None while syncing or without one."""
         return None if self._sync else self._document
 
     @property
     def stamp(self) -> Stamp:
-        """Version and digest in force, to tell peers."""
+        """Version and digest in force, as reported to peers."""
         return self._stamp
 
     def start_sync(self, now_ms: float, *, expected: Iterable[str] = ()) -> None:
-        """Stop serving until the peers' word on the newest version is in.
+        """Stop serving until the peers have reported their versions.
 
-        Called at start and after a wake. Failure guarded against: a node that
-        lost its memory reads a stale copy from the platform, or a paused one
-        acts on what it held before, and serves an older version than its peers.
-        ``PeerSync`` says when the wait ends.
+        Called at start and after a process pause. Failure: a restarted node reads a
+        stale copy from the platform, or a resumed one acts on the document it held
+        before the pause, and serves an older version than its peers. ``PeerSync``
+        decides when the wait ends.
 
         Args:
             now_ms: monotonic milliseconds.
@@ -104,7 +104,7 @@
         self._sync = PeerSync(started_ms=now_ms, expected=expected)
 
     def read(self, body: bytes) -> Candidate:
-        """Parse a body; changes nothing, so that a thread may run it."""
+        """Parse a body; changes no state, so that it may run in a thread."""
         digest = self._digest(body)
         known = self._known.get(digest)
         if known is not None:
@@ -114,8 +114,8 @@
         except InvalidFieldsError as group:
             return Candidate(stamp=Stamp(0, digest), errors=group.exceptions)
         except Exception as error:
-            # A document that trips a fault of the parser reaches every node
-            # within seconds; were the error let out, it would stop them all.
+            # A document that triggers a parser bug reaches every node within
+            # seconds; if the error propagated, it would stop all of them.
             fault = InvalidFieldError(
                 source="document", field="", reason=f"can't be read: {error!r}"
             )
@@ -127,16 +127,16 @@
         return self.take(self.read(body), source, now_ms)
 
     def take(self, candidate: Candidate, source: Source, now_ms: float) -> Offered:
-        """Put what ``read`` returned in force if it is valid and newer."""
+        """Put a document returned by ``read`` in force if it is valid and newer."""
         self._remember(candidate)
-        outcome = self._judge(candidate)
+        outcome = self._check_candidate(candidate)
         changed = candidate.document is not None and supersedes(
             candidate.stamp, self._stamp
         )
         if outcome is Outcome.INVALID:
-            self._refuse(candidate, source, now_ms)
+            self._record_refusal(candidate, source, now_ms)
         if outcome is Outcome.CONFLICT:
-            self._note_conflict(candidate.stamp, now_ms)
+            self._record_conflict(candidate.stamp, now_ms)
         if changed:
             self._put_in_force(candidate, source, now_ms)
         return Offered(
@@ -156,22 +156,22 @@
         *,
         near: bool = True,
     ) -> tuple[Fetch, ...]:
-        """Take in the version that a peer says it holds.
+        """Record the version that a peer reports.
 
         Args:
-            peer: the peer, one run of it.
-            version: version in force there; 0 for none.
-            digest: digest in force there.
+            peer: node and incarnation of the peer.
+            version: version in force on the peer; 0 for none.
+            digest: digest in force on the peer.
             now_ms: monotonic milliseconds.
             near: whether the peer is in this node's availability zone.
 
         Returns:
-            Requests to send; at most one is open at a time.
+            Fetch requests to send; at most one is open at a time.
         """
         stamp = Stamp(version, digest)
         self._claims.heard(peer, stamp, now_ms, near=near)
         if version and version == self._stamp.version and stamp != self._stamp:
-            self._note_conflict(stamp, now_ms)
+            self._record_conflict(stamp, now_ms)
         if self._sync is None and not supersedes(stamp, self._stamp):
             return ()
         return self.tick(now_ms)
@@ -179,7 +179,7 @@
     def confirmed(
         self, host: str, sent_at_ms: float, now_ms: float
     ) -> tuple[Fetch, ...]:
-        """Take in that a host answered a heartbeat sent at ``sent_at_ms``."""
+        """Record that a host answered a heartbeat sent at ``sent_at_ms``."""
         if self._sync is None:
             return ()
         self._sync.confirmed(host, sent_at_ms)
@@ -188,7 +188,7 @@
     def reply(
         self, peer: NodeId, reply: DocumentReply, now_ms: float
     ) -> Offered | None:
-        """Take in a peer's answer to a request; None if it sent no document."""
+        """Handle a peer's reply to a fetch; return None if it holds no document."""
         try:
             body = unpack_document(reply.body)
         except UnpackError:
@@ -197,12 +197,12 @@
         return self.fetched(peer, self.read(body), now_ms)
 
     def fetched(self, peer: NodeId, candidate: Candidate, now_ms: float) -> Offered:
-        """Take in what ``read`` made of a peer's answer."""
+        """Apply a peer's document that ``read`` has parsed."""
         self._claims.delivered(peer, candidate.stamp, now_ms)
         return self.take(candidate, Source.PEER, now_ms)
 
     def answer(self, request: DocumentRequest, now_ms: float) -> DocumentReply:
-        """Answer a peer's request; an empty body tells it to ask another."""
+        """Return the reply to a peer; an empty body makes it try another peer."""
         document = self._document
         if document is None or document.version < request.version:
             return DocumentReply(version=request.version, body=b"")
@@ -213,20 +213,20 @@
         return DocumentReply(version=document.version, body=self._packed)
 
     def peer_lost(self, host: str, now_ms: float) -> tuple[Fetch, ...]:
-        """Drop the claims of a host whose last link is lost."""
+        """Discard the claims of a host whose last link is lost."""
         self._claims.drop(host)
         if self._sync:
             self._sync.lost(host)
         return self.tick(now_ms)
 
     def tick(self, now_ms: float) -> tuple[Fetch, ...]:
-        """End waits that are over and return the requests that are due."""
+        """End a sync that is over and return the fetch requests that are due."""
         fetch = self._claims.next_fetch(self._stamp, self._is_refused, now_ms)
         self._end_sync(now_ms)
         return (fetch,) if fetch else ()
 
     def report(self, now_ms: float) -> KeeperReport:
-        """Return what operators see."""
+        """Return the report for the operators' status."""
         return KeeperReport(
             stamp=self._stamp,
             age_ms=now_ms - self._since_ms if self._document else 0.0,
@@ -237,7 +237,7 @@
             undelivered=self._claims.undelivered(self._stamp, self._is_refused),
         )
 
-    def _judge(self, candidate: Candidate) -> Outcome:
+    def _check_candidate(self, candidate: Candidate) -> Outcome:
         stamp = candidate.stamp
         if candidate.errors:
             return Outcome.INVALID
@@ -254,7 +254,7 @@
         if candidate.errors or not supersedes(candidate.stamp, self._stamp):
             raise InvariantError(
                 invariant="version-never-falls",
-                facts=f"{candidate.stamp} offered over {self._stamp}",
+                facts=f"{candidate.stamp} must not replace {self._stamp}",
             )
         self._document = candidate.document
         self._packed = None
@@ -263,7 +263,9 @@
         self._since_ms = now_ms
         self._refusal = None
 
-    def _refuse(self, candidate: Candidate, source: Source, now_ms: float) -> None:
+    def _record_refusal(
+        self, candidate: Candidate, source: Source, now_ms: float
+    ) -> None:
         self._refusal = Refusal(
             stamp=candidate.stamp,
             source=source,
@@ -271,10 +273,10 @@
             at_ms=now_ms,
         )
 
-    def _note_conflict(self, other: Stamp, now_ms: float) -> None:
+    def _record_conflict(self, other: Stamp, now_ms: float) -> None:
         kept, dropped = sorted((self._stamp.digest, other.digest))
-        noted = ((c.version, c.kept, c.dropped) for c in self._conflicts)
-        if (other.version, kept, dropped) in noted:
+        recorded = ((c.version, c.kept, c.dropped) for c in self._conflicts)
+        if (other.version, kept, dropped) in recorded:
             return
         self._conflicts.append(
             Conflict(version=other.version, kept=kept, dropped=dropped, at_ms=now_ms)
