--- a/packages/sassafraswinch/sassafraswinch/link_plan.py
+++ b/packages/sassafraswinch/sassafraswinch/link_plan.py
@@ -6,7 +6,7 @@
 from sassafraswinch.membership import HostRecord
 
 FULL_MESH_HOSTS = 24
-"""Largest fleet in which a node links to all hosts: 24 heartbeats a second are cheap."""
+"""Largest fleet in which each node links to all: 24 heartbeats a second are cheap."""
 
 LINKS_PER_SERVICE = 3
 """Links per called service, to hosts of the node's own availability zone first: two
--- a/packages/sassafraswinch/tests/__init__.py
+++ b/packages/sassafraswinch/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decision library."""
+"""Tests of the sans-IO core."""
--- a/packages/sassafraswinch/tests/test_host_exchange.py
+++ b/packages/sassafraswinch/tests/test_host_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the hosts that a node learns from its peers."""
+"""Tests of the exchange of host records between peers."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 class AcceptedLinks:
-    """Links that only the peers have dialled."""
+    """Link port of a node whose links were all dialled by its peers."""
 
     def __init__(self):
         self.replies = []
@@ -51,10 +51,10 @@
     return HostExchange(self_host=SELF, membership=membership, links=links)
 
 
-def test_restarted_node_learns_the_fleet_from_a_peer(exchange, membership, links):
-    """The platform is down; the peer's list still says that this host leaves.
+def test_restarted_node_gets_the_fleet_from_a_peer(exchange, membership, links):
+    """The platform is down; the peer's record marks this host as leaving.
 
-    That was said of its earlier run: the new one must not stop for it.
+    The record stems from the earlier run of this host, so the new one must not stop.
     """
     peer = NodeId("vydej-2", 7)
     exchange.heard(peer, 0)
@@ -66,7 +66,7 @@
     assert not membership.self_leaving
 
 
-def test_only_a_few_peers_are_asked_and_the_useless_ones_again(exchange, links):
+def test_few_peers_get_a_request_and_those_with_an_empty_reply_another(exchange, links):
     peers = [NodeId(f"vydej-{number}", 1) for number in range(2, 12)]
     for peer in peers:
         exchange.heard(peer, 0)
@@ -84,20 +84,20 @@
     assert len(links.replies) == 2 * ENOUGH_PEERS
 
 
-def test_node_with_the_platforms_list_asks_nobody(exchange, membership, links):
+def test_node_with_a_platform_list_requests_no_hosts(exchange, membership, links):
     membership.replace([record(SELF)], 1, 0)
     exchange.heard(NodeId("vydej-2", 1), 0)
     assert not links.replies
 
 
-def test_known_host_isnt_changed_by_a_peers_view(exchange, membership):
+def test_known_host_is_not_changed_by_a_peer_record(exchange, membership):
     membership.learn([record("vydej-2")], 0)
     leaving = HostsReply(hosts=(record("vydej-2", HostState.LEAVING),))
     exchange.replied(NodeId("vydej-3", 1), leaving, 1)
     assert [view.leaving for view in membership.views(1)] == [False]
 
 
-def test_peer_gets_all_hosts_known_here(exchange, membership, links):
+def test_reply_holds_all_known_hosts(exchange, membership, links):
     membership.learn([record(SELF), record("vydej-2")], 0)
     exchange.requested(NodeId("vydej-2", 1))
     ((host, reply),) = links.replies
@@ -105,13 +105,13 @@
     assert reply.hosts == (record(SELF), record("vydej-2"))
 
 
-def test_node_restarted_in_a_cut_off_zone_learns_the_hosts_from_a_peer(
+def test_node_restarted_in_a_partitioned_zone_gets_the_hosts_from_a_peer(
     exchange, membership, links
 ):
-    """A node restarts while its zone is cut off from the platform.
+    """A node restarts while its zone is partitioned from the platform.
 
-    It knows no host but its own, so its callers and its backend server could reach
-    nobody. A peer that still has its address dials it.
+    It knows only its own host, so its callers and its backend server could reach no
+    service. A peer that still has its address dials it.
     """
     membership.learn([record(SELF)], 0)
     known = Membership(self_host="vydej-2")
--- a/packages/sassafraswinch/tests/test_lifecycle.py
+++ b/packages/sassafraswinch/tests/test_lifecycle.py
@@ -1,14 +1,14 @@
-"""States of a node, and the detector of pauses."""
+"""Tests of the node's life cycle and of the detector of process pauses."""
 
 from sassafraswinch.lifecycle import LEAVE_NOTICE_MS, Lifecycle, NodeState
 from sassafraswinch.wake import WakeDetector
 
 
-def test_a_planned_stop_waits_for_notice_and_for_calls_in_flight():
-    """A host is drained while a call runs and peers still send to it.
+def test_planned_stop_waits_for_notice_period_and_calls_in_flight():
+    """A host is drained while a call runs and peers still send calls to it.
 
-    The node refuses new calls at once, stays up until its peers have had time
-    to hear and the call is answered, and never serves again.
+    The node refuses new calls at once, stays up until the notice period has ended
+    and the call is answered, and never serves again.
     """
     node = Lifecycle()
     node.listening()
@@ -26,7 +26,7 @@
     assert node.state is NodeState.STOPPED
 
 
-def test_ticks_before_leaving_stop_nothing():
+def test_tick_before_leaving_does_not_stop_the_node():
     node = Lifecycle()
     node.tick(1e9, in_flight=0)
     node.listening()
@@ -39,11 +39,11 @@
     assert node.state is NodeState.STOPPED
 
 
-def test_a_pause_is_noticed_by_the_first_event_after_it():
-    """SIGSTOP for a minute, and a suspended virtual machine.
+def test_process_pause_is_detected_by_the_first_event_after_it():
+    """A process gets SIGSTOP for a minute, and a virtual machine is suspended.
 
-    The first shows as a gap of the monotonic clock, the second as a step of the
-    wall clock alone. Regular ticks are no pause.
+    The former shows as a gap in the monotonic clock, the latter as a step of the
+    wall clock alone. Regular ticks are not a pause.
     """
     detector = WakeDetector(tick_ms=250)
     assert not detector.observe(monotonic_ms=1_000, wall_ms=5_000_000)
--- a/packages/sassafraswinch/tests/test_link_plan.py
+++ b/packages/sassafraswinch/tests/test_link_plan.py
@@ -1,4 +1,4 @@
-"""Which hosts a node links to, and that its calls tell the plan."""
+"""Tests of the link plan: the hosts that a node links to, given its calls."""
 
 from sassafraswinch.link_plan import (
     DEMAND_MS,
@@ -32,18 +32,18 @@
     assert len(make_plan().choose(make_records(count=20), 0.0)) == 19
 
 
-def test_called_services_get_links_in_the_own_availability_zone_first():
+def test_called_services_get_links_in_own_availability_zone_first():
     plan, records = make_plan(), make_records()
     assert len(plan.choose(records, 0.0)) == GOSSIP_LINKS
     assert plan.need_service("service-2", 0.0)
     assert not plan.need_service("service-2", 1.0)
     chosen = plan.choose(records, 1.0)
     of_service = [r for r in records if r.name in chosen and r.service == "service-2"]
-    near = [r for r in of_service if r.availability_zone == "zone-0"]
-    assert len(near) >= LINKS_PER_SERVICE
+    same_zone = [r for r in of_service if r.availability_zone == "zone-0"]
+    assert len(same_zone) >= LINKS_PER_SERVICE
 
 
-def test_links_go_with_the_demand_and_stay_the_same_meanwhile():
+def test_links_are_stable_until_the_demand_expires():
     plan, records = make_plan(), make_records()
     plan.need_service("service-2", 0.0)
     plan.need_host("host-50", 0.0)
--- a/packages/sassafraswinch/tests/test_membership.py
+++ b/packages/sassafraswinch/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under lagging lists, silent links, restarts and a paused process."""
+"""Tests of membership: lagging host lists, silent links, restarts, process pauses."""
 
 from collections import deque
 from dataclasses import dataclass, field, replace
@@ -30,7 +30,7 @@
 
 @dataclass
 class Peer:
-    """The truth about a host, and the link to it as the network holds it."""
+    """Actual state of a host, and the messages in flight on the link to it."""
 
     name: str
     incarnation: int = 1
@@ -39,14 +39,14 @@
     session: int = 0
     linked: bool = False
     answered_ms: float = 0.0
-    heard: bool = False
+    has_reported: bool = False
     marked: bool = False
-    """Whether the newest list read shows this run, or one before it, as leaving."""
+    """Whether the newest list read marks this or an earlier incarnation as leaving."""
     queue: deque = field(default_factory=deque)
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """One node that looks at three hosts; its adapter finds silence after 3 s."""
+    """One node with three peers; its adapter reports links silent after 3 s."""
 
     def __init__(self):
         super().__init__()
@@ -64,7 +64,7 @@
         if peer.linked:
             self.members.link_lost(peer.name, self.now_ms, session=peer.session)
         peer.queue.clear()
-        peer.linked, peer.heard = not peer.cut, False
+        peer.linked, peer.has_reported = not peer.cut, False
         if peer.linked:
             peer.session += 1
             peer.answered_ms = self.now_ms
@@ -72,7 +72,7 @@
                 peer.name, peer.incarnation, self.now_ms, session=peer.session
             )
 
-    def beat(self, peer, at_ms):
+    def send_heartbeat(self, peer, at_ms):
         leaving = peer.leaving_since_ms is not None
         peer.queue.append((NodeId(peer.name, peer.incarnation), Load(leaving=leaving)))
         peer.queue.append(at_ms)
@@ -84,7 +84,7 @@
                 peer.answered_ms = self.now_ms
                 self.members.round_trip(peer.name, message, self.now_ms)
             else:
-                peer.heard = True
+                peer.has_reported = True
                 self.members.heard(*message, self.now_ms)
 
     def publish(self, name, state):
@@ -95,7 +95,7 @@
         peer = self.peers[host]
         if peer.leaving_since_ms is None:
             peer.leaving_since_ms = self.now_ms
-            self.beat(peer, self.now_ms)
+            self.send_heartbeat(peer, self.now_ms)
             self.publish(host, HostState.LEAVING)
 
     @rule(host=hosts)
@@ -113,7 +113,7 @@
 
     @rule(back=st.integers(0, 4), kept=st.sets(hosts))
     def read_list(self, back, kept):
-        """The list lags by some changes, or a new one lacks hosts that work."""
+        """Read a list that lags by some changes, or a new one that lacks live hosts."""
         version = max(1, len(self.lists) - back)
         shown = self.lists[version - 1]
         if back == 0:
@@ -130,7 +130,7 @@
             woke = self.detector.observe(monotonic_ms=self.now_ms, wall_ms=self.now_ms)
             assert not woke
             for peer in self.peers.values():
-                self.beat(peer, self.now_ms)
+                self.send_heartbeat(peer, self.now_ms)
                 self.deliver(peer)
                 if self.now_ms - peer.answered_ms >= SILENT_MS and peer.linked:
                     self.members.silent(peer.name, self.now_ms, session=peer.session)
@@ -142,17 +142,17 @@
 
     @rule(leaver=hosts, pause_s=st.integers(2, 60))
     def pause(self, leaver, pause_s):
-        """The process stops; a host leaves; old heartbeats fill the buffers."""
+        """Suspend the process while a host leaves and heartbeats fill the buffers."""
         for second in range(pause_s):
             for peer in self.peers.values():
-                self.beat(peer, self.now_ms)
+                self.send_heartbeat(peer, self.now_ms)
             self.now_ms += 1_000
             if second == 0:
                 self.leave(leaver)
         assert self.detector.observe(monotonic_ms=self.now_ms, wall_ms=self.now_ms)
         self.members.distrust(self.now_ms)
         for peer in self.peers.values():
-            self.beat(peer, self.now_ms)
+            self.send_heartbeat(peer, self.now_ms)
 
     @rule(host=hosts, count=st.integers(1, 4))
     def deliver_some(self, host, count):
@@ -164,10 +164,12 @@
         for peer in self.peers.values():
             view = views.get(peer.name)
             if view and view.linked and peer.leaving_since_ms is not None:
-                assert self.now_ms - peer.leaving_since_ms < NOTICE_MS, "gets new work"
-            fresh = peer.heard and not peer.cut and not peer.queue
+                assert self.now_ms - peer.leaving_since_ms < NOTICE_MS, (
+                    "a leaving host gets new calls"
+                )
+            fresh = peer.has_reported and not peer.cut and not peer.queue
             if fresh and peer.leaving_since_ms is None and not peer.marked:
-                assert view and view.linked, "a host that answers was taken away"
+                assert view and view.linked, "a host that answers was removed"
 
 
 TestMembershipMachine = MembershipMachine.TestCase
@@ -190,11 +192,11 @@
     return {view.name for view in views if view.linked}
 
 
-def test_own_word_beats_the_list():
+def test_leaving_report_of_a_host_overrides_the_list():
     """A host leaves while the platform's list still shows it as live.
 
-    It says so on one answer. Neither the list nor an older message of the same
-    run that comes late over another link may bring it back.
+    It reports so on one answer. Neither the list nor an older message of the same
+    incarnation, delivered late by another link, may make it live again.
     """
     members = linked_members("x", "y")
     members.heard(NodeId("x", 1), Load(leaving=True), 1.0)
@@ -203,11 +205,12 @@
     assert linked(members) == {"y"}
 
 
-def test_restart_in_place_ends_the_lists_mark():
-    """A host was listed as leaving and restarts in place; then the platform dies.
+def test_restart_in_place_clears_the_leaving_mark_of_the_list():
+    """A host listed as leaving restarts in place; then the platform fails.
 
-    Its new run says that it takes work, so it gets work, also while an older
-    list that is read again marks it as leaving. Before its first word it gets none.
+    Its new incarnation reports that it accepts calls, so it gets calls, even while an
+    older list that is read again marks it as leaving. Before its first report it
+    gets none.
     """
     members = linked_members("x", "y")
     leaving = replace(record("x"), state=HostState.LEAVING)
@@ -220,18 +223,19 @@
     assert linked(members) == {"x", "y"}
 
 
-def test_the_old_link_is_lost_after_the_new_one_is_up():
-    """A link goes silent, a new one is made beside it, then the old one closes."""
+def test_host_stays_linked_when_an_older_link_closes():
+    """A link goes silent, a second one is opened, and then the first one closes."""
     members = linked_members("x")
     members.link_up("x", 1, 1.0, session=2)
     members.link_lost("x", 2.0, session=0)
     assert linked(members) == {"x"}
 
 
-def test_an_absent_host_is_kept_through_a_long_partition():
-    """The list is emptied and the regions lose each other for an hour.
+def test_unlisted_host_is_kept_through_a_long_partition():
+    """The list becomes empty and the regions are partitioned for an hour.
 
-    The addresses are still known afterwards; a host gone for longer is forgotten.
+    The addresses must still be known afterwards; a host that stays away for longer
+    is evicted.
     """
     members = linked_members("x")
     members.replace([], 6, 0.0)
--- a/packages/sassafraswinch/tests/test_paths.py
+++ b/packages/sassafraswinch/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Tests of path templates and of the lookup of targets."""
+"""Tests of path templates and of the matching of request targets."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -17,7 +17,7 @@
 
 def matches(template, path):
     return len(template) == len(path) and all(
-        want in (None, got) for want, got in zip(template, path, strict=True)
+        segment in (None, part) for segment, part in zip(template, path, strict=True)
     )
 
 
@@ -88,11 +88,12 @@
         "",
     ],
 )
-def test_target_that_servers_read_in_different_ways_matches_nothing(target):
-    """A trial caller sends an approval with its path in an unusual spelling.
+def test_target_that_servers_interpret_differently_matches_nothing(target):
+    """A trial caller sends an approval whose path is encoded in an unusual way.
 
-    The node takes it for a lookup, lets it be repeated, and the backend server
-    decodes it and approves the order twice. Such a path must match nothing.
+    If the node classified it as a repeatable lookup and retried it, the backend
+    server would decode the path and approve the order twice. Such a path must match
+    no template.
     """
     assert split_target(target) is None
 
@@ -108,6 +109,6 @@
     ["", "orders", "/orders/", "//", "/a/{b", "/a/x{b}", "/{b}/{b}", "/..", "/a%20b"]
     + ["/a" * 33, "/é", "/{}", "/a?b"],
 )
-def test_wrong_template_is_refused(text):
+def test_invalid_template_is_refused(text):
     with pytest.raises(ValueError, match="."):
         parse_path_template(text)
--- a/packages/sassafraswinch/tests/test_read_budget.py
+++ b/packages/sassafraswinch/tests/test_read_budget.py
@@ -1,4 +1,4 @@
-"""Reads of the platform by a whole fleet, in simulated time."""
+"""Simulation of the platform reads of an entire fleet."""
 
 import heapq
 import itertools
@@ -17,11 +17,11 @@
 NODES = 560
 DOWN_MS, UP_MS, END_MS = 60_000, 180_000, 300_000
 CHANGES_MS = (30_000, UP_MS, 240_000)
-"""Document and host list both change at these times."""
+"""Times at which both the document and the host list change."""
 
 
-def finish(schedule, at_ms, seen):
-    """Return when a read issued at ``at_ms`` ends, how, and the version seen."""
+def simulate_read(schedule, at_ms, seen):
+    """Return end, outcome and version read of a read issued at ``at_ms``."""
     if DOWN_MS <= at_ms < UP_MS:
         return at_ms + 5, WatchOutcome.FAILED, seen
     version = sum(change <= at_ms for change in CHANGES_MS)
@@ -37,13 +37,13 @@
 
 
 def simulate(schedules):
-    """Run all schedules; return (begin, end, outcome) of each read."""
+    """Run all schedules; return the (begin, end, outcome) of each read."""
     due = [(s.first_delay_ms(), i, 0) for i, s in enumerate(schedules)]
     heapq.heapify(due)
     reads = []
     while due[0][0] < END_MS:
         at_ms, i, seen = heapq.heappop(due)
-        ends_ms, outcome, seen = finish(schedules[i], at_ms, seen)
+        ends_ms, outcome, seen = simulate_read(schedules[i], at_ms, seen)
         reads.append((at_ms, ends_ms, outcome))
         pause_ms = schedules[i].next_delay_ms(outcome)
         heapq.heappush(due, (ends_ms + pause_ms, i, seen))
@@ -51,7 +51,7 @@
 
 
 def busiest_second(reads, *, waiting):
-    """Return the most reads in any second; ``waiting`` adds those still open."""
+    """Return the most reads in any second; ``waiting`` adds watches still open."""
     begins = sorted(begin for begin, _, _ in reads)
     ends = sorted(end for _, end, _ in reads)
 
@@ -73,10 +73,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_fleet_stays_within_the_read_budget(seed):
-    """All nodes start at once; the platform fails for two minutes and returns.
+    """All nodes start at once; the platform fails for two minutes and recovers.
 
-    Both streams have changed at its return, so each read is answered at once
-    and followed by another. A waiting watch is counted in each of its seconds.
+    Both streams have changed when it recovers, so each read is answered at once and
+    followed by another. An open watch is counted in each of its seconds.
     """
     documents, lists = fleet(random.Random(seed))
     reads = simulate(documents + lists)
@@ -84,8 +84,8 @@
     assert busiest_second(reads, waiting=True) < READS_PER_S
 
 
-def test_a_change_is_seen_at_once_by_some_node_and_an_outage_ends_soon():
-    """Few watches wait at a time; some of them must always be there."""
+def test_some_node_reads_a_change_or_ended_outage_within_a_second():
+    """Few watches are open at a time, but there must always be some."""
     documents, _ = fleet(random.Random(7))
     reads = simulate(documents)
     changed = sorted(e for _, e, o in reads if o is WatchOutcome.CHANGED)
@@ -96,8 +96,8 @@
     )
 
 
-def test_without_peers_a_node_reads_often():
-    """A node without links hears of a change from the platform alone."""
+def test_isolated_node_reads_often():
+    """A node without links gets changes from the platform alone."""
     schedule = WatchSchedule(rng=random.Random(1), nodes=NODES)
     schedule.set_isolated(True)
     delays = (schedule.next_delay_ms(WatchOutcome.UNCHANGED) for _ in itertools.count())
--- a/packages/sassafraswinch/tests/test_routing.py
+++ b/packages/sassafraswinch/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of a host."""
+"""Tests of the router: host selection, back-off and use of load reports."""
 
 import random
 from collections import Counter
@@ -17,8 +17,8 @@
 from .utils.routing_bench import FLEETS, routers
 
 
-def view(name, zone="brno-a", **facts):
-    return HostView(name=name, service="archiv", availability_zone=zone, **facts)
+def view(name, zone="brno-a", **fields):
+    return HostView(name=name, service="archiv", availability_zone=zone, **fields)
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
     assert choices(router, hosts[1:3]) == {None: 100}
 
 
-def test_own_zone_goes_first_until_its_queue_is_longer_than_the_way(router):
+def test_own_zone_is_preferred_until_its_queue_delay_exceeds_the_network_delay(router):
     hosts = [view("near"), view("far", "brno-b")]
     assert set(choices(router, hosts)) == {"near"}
     router.heard("near", Load(queue_delay_ms=1.0), 0.0)
@@ -51,11 +51,11 @@
     assert set(choices(router, hosts, now_ms=LOAD_FRESH_MS + 1)) == {"near"}
 
 
-def test_failed_host_rests_and_is_probed_by_one_call_at_a_time(router):
-    """A host stops answering, then is back.
+def test_failed_host_backs_off_and_is_probed_by_one_call_at_a_time(router):
+    """A host stops answering, then recovers.
 
-    Calls must leave it at once, a single one must ask it again after a while,
-    and its answer brings the others back.
+    It must get no more calls at once, a single probe after the back-off, and all
+    calls again after the answer to the probe.
     """
     hosts = [view("a"), view("b")]
     router.answered("b", 10.0, None, 0.0)
@@ -71,7 +71,7 @@
     assert choices(router, hosts, now_ms=later_ms)["a"] > 0
 
 
-def test_rest_doubles_up_to_its_bound_and_all_resting_are_still_asked(router):
+def test_back_off_is_bounded_and_a_host_is_chosen_when_all_are_in_back_off(router):
     for _ in range(20):
         router.failed("a", 0.0)
     router.failed("b", 0.0)
@@ -80,14 +80,14 @@
     assert choices(router, [view("a"), view("b")], now_ms=late_ms)["a"] > 0
 
 
-def test_host_with_fewer_and_faster_calls_is_preferred(router):
+def test_host_with_lower_latency_is_preferred_at_equal_load(router):
     router.answered("slow", 150.0, Load(in_flight=10, limit=60), 0.0)
     router.answered("fast", 30.0, Load(in_flight=10, limit=60), 0.0)
     assert set(choices(router, [view("slow"), view("fast")])) == {"fast"}
 
 
 def test_new_host_is_not_flooded_before_its_first_answer(router):
-    """A host starts beside one that is known to take 100 ms."""
+    """A new host without latency samples starts beside one that takes 100 ms."""
     router.answered("known", 100.0, None, 0.0)
     for _ in range(100):
         host = router.choose(
@@ -97,11 +97,11 @@
     assert 40 <= router._hosts["new"].outstanding <= 60
 
 
-def test_refusal_says_nothing_about_latency(router):
-    """A host refuses everything within a millisecond.
+def test_refusal_is_not_counted_as_latency(router):
+    """A host refuses all calls within a millisecond.
 
-    Taken for its latency, that would make it the fastest host of all, and
-    draw all calls to it.
+    Counted as latency, its refusals would make it appear the fastest host, and it
+    would get all calls.
     """
     router.answered("full", 100.0, None, 0.0)
     for _ in range(50):
@@ -111,19 +111,19 @@
 
 
 @pytest.mark.parametrize("fleet", FLEETS[2:], ids=lambda fleet: fleet.name)
-def test_slow_or_full_hosts_cost_no_answers(fleet):
-    """One host becomes five times slower, or a zone gets more than it can serve.
+def test_slow_or_full_hosts_reduce_no_goodput(fleet):
+    """One host becomes five times slower, or a zone is offered more than it can serve.
 
-    Other hosts have room for all, so all calls must be answered.
+    The other hosts have the capacity for all calls, so 99% must be answered in time.
     """
     figures = fleet.run(routers(Router, 0), 0)
     assert figures.good_percent >= 99
 
 
-def test_host_without_a_threshold_takes_lower_classes_while_it_is_not_full(router):
-    """A paying call is refused by one host, and the owner looks for another.
+def test_host_without_threshold_admits_lower_classes_while_it_has_no_queue(router):
+    """A paying call is refused by one host, and the owner selects another.
 
-    A host that tells no threshold has room unless its calls wait.
+    A host that reports no threshold has free capacity unless calls are queued.
     """
     paying = Rank(0, 5)
     assert not router.takes_below("unheard", paying, 0.0)
@@ -131,11 +131,11 @@
     router.heard("full", Load(queue_delay_ms=5.0), 0.0)
     router.heard("trial too", Load(threshold=Rank(1, 3)), 0.0)
     router.heard("paying only", Load(threshold=Rank(0, 90)), 0.0)
-    taking = {
+    admitting = {
         host: router.takes_below(host, paying, 0.0)
         for host in ("free", "full", "trial too", "paying only")
     }
-    assert taking == {
+    assert admitting == {
         "free": True,
         "full": False,
         "trial too": True,
--- a/packages/sassafraswinch/tests/test_spreading.py
+++ b/packages/sassafraswinch/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""How fast a change spreads among 560 nodes, and what it costs, in simulated time."""
+"""Simulation of the spread of a document change among 560 nodes, and its cost."""
 
 import heapq
 import itertools
@@ -22,11 +22,11 @@
 CHANGE_EVERY_S = 86_400 / 1_700
 CONTROL_BYTES_PER_S = 2_048
 HEARTBEAT_BYTES, REQUEST_BYTES, PACKET_BYTES = 61, 12, 52
-"""Frames as the wire codes them, and the headers of TCP and IP around each."""
+"""Sizes of encoded frames, and of the TCP and IP headers around each."""
 BYTES_PER_MS = 125_000
-"""A network interface of 1 Gbit/s; what a node sends goes out one after another."""
+"""Throughput of a 1 Gbit/s network interface; a node sends its frames in sequence."""
 PARSE_BYTES_PER_MS = 1_000
-"""Reading a document of YAML, a little slower than measured on a busy machine."""
+"""Conservative parsing speed of a YAML document on a loaded host."""
 
 
 def one_way_ms(a, b):
@@ -49,7 +49,7 @@
 
 
 def links_of(records):
-    """Return the linked pairs that the link plans of all nodes choose."""
+    """Return the linked peers of each node according to the plans of all nodes."""
     pairs = set()
     for n, record in enumerate(records):
         plan = LinkPlan(host=record.name, availability_zone=record.availability_zone)
@@ -65,7 +65,7 @@
 
 @dataclass
 class Spread:
-    """Nodes that announce a change on every link, and fetch it from one another."""
+    """Simulated nodes that announce a change on every link and fetch it from peers."""
 
     records: dict
     links: dict
@@ -86,9 +86,9 @@
         }
         for name, keeper in self.keepers.items():
             keeper.offer(body_of(1), Source.PLATFORM, 0.0)
-            self.at(self.rng.uniform(0, 1_000), self.beat, name)
+            self.schedule(self.rng.uniform(0, 1_000), self.heartbeat, name)
 
-    def at(self, ms, action, *args):
+    def schedule(self, ms, action, *args):
         heapq.heappush(self.events, (ms, next(self.order), action, args))
 
     def send(self, ms, sender, receiver, message, size):
@@ -101,7 +101,7 @@
         self.idle_from_ms[sender] = sent_ms
         if not cut and self.rng.random() >= self.loss:
             arrives_ms = sent_ms + one_way_ms(a, b)
-            self.at(arrives_ms, self.receive, sender, receiver, message)
+            self.schedule(arrives_ms, self.receive, sender, receiver, message)
 
     def receive(self, ms, sender, receiver, message):
         keeper, peer = self.keepers[receiver], NodeId(sender, 1)
@@ -114,14 +114,14 @@
             self.send(ms, receiver, sender, reply, size)
         elif message.body:
             parsed_ms = ms + len(self.body) / PARSE_BYTES_PER_MS
-            self.at(parsed_ms, self.parsed, receiver, peer, message)
+            self.schedule(parsed_ms, self.apply_reply, receiver, peer, message)
         else:
             keeper.reply(peer, message, ms)
 
-    def parsed(self, ms, name, peer, reply):
-        self.took(ms, name, self.keepers[name].reply(peer, reply, ms))
+    def apply_reply(self, ms, name, peer, reply):
+        self.record_offered(ms, name, self.keepers[name].reply(peer, reply, ms))
 
-    def took(self, ms, name, offered):
+    def record_offered(self, ms, name, offered):
         if offered and offered.changed:
             self.in_force_ms[name] = ms
             self.announce(ms, name)
@@ -136,11 +136,11 @@
             size = REQUEST_BYTES + PACKET_BYTES
             self.send(ms, name, fetch.peer, fetch.request, size)
 
-    def beat(self, ms, name):
+    def heartbeat(self, ms, name):
         self.announce(ms, name)
         for step in range(4):
-            self.at(ms + 250 * step, self.tick, name)
-        self.at(ms + 1_000, self.beat, name)
+            self.schedule(ms + 250 * step, self.tick, name)
+        self.schedule(ms + 1_000, self.heartbeat, name)
 
     def tick(self, ms, name):
         self.fetch(ms, name, self.keepers[name].tick(ms))
@@ -148,20 +148,20 @@
     def publish(self, ms, readers):
         for name in readers:
             parse_ms = len(self.body) / PARSE_BYTES_PER_MS
-            self.at(ms + self.rng.uniform(1, 10) + parse_ms, self.read, name)
+            self.schedule(ms + self.rng.uniform(1, 10) + parse_ms, self.read, name)
 
     def read(self, ms, name):
         offered = self.keepers[name].offer(self.body, Source.PLATFORM, ms)
-        self.took(ms, name, offered)
+        self.record_offered(ms, name, offered)
 
     def run(self, until_ms):
-        """Let time pass until then, or until the change is in force everywhere."""
+        """Run until ``until_ms``, or until the change is in force on all nodes."""
         while self.events[0][0] < until_ms and len(self.in_force_ms) < NODES:
             ms, _, action, args = heapq.heappop(self.events)
             action(ms, *args)
 
 
-def spread(
+def simulate_spread(
     *,
     size_bytes,
     packs_to=0.15,
@@ -182,31 +182,31 @@
 
 
 @pytest.mark.parametrize("size_bytes", (100_000, 1_000_000))
-def test_a_change_is_in_force_everywhere_in_time(size_bytes):
-    """A change is seen by the few nodes that watch the platform at that moment.
+def test_a_change_is_in_force_on_all_nodes_in_time(size_bytes):
+    """A change is read by the few nodes with an open watch at that moment.
 
-    One message in a hundred is lost. The news itself must leave room in the
-    budget of control: each node announces it once on each link.
+    One message in a hundred is lost. Each node announces the change once on each
+    link, and these announcements must use less than 1/20 of the control budget.
     """
-    run = spread(size_bytes=size_bytes, loss=0.01)
+    run = simulate_spread(size_bytes=size_bytes, loss=0.01)
     assert len(run.in_force_ms) == NODES
     links = sum(map(len, run.links.values())) / NODES
-    news_bytes = links * (HEARTBEAT_BYTES + PACKET_BYTES)
-    assert news_bytes / CHANGE_EVERY_S < CONTROL_BYTES_PER_S / 20
+    announced_bytes = links * (HEARTBEAT_BYTES + PACKET_BYTES)
+    assert announced_bytes / CHANGE_EVERY_S < CONTROL_BYTES_PER_S / 20
 
 
-def test_one_reader_is_enough():
+def test_one_platform_reader_is_enough():
     """Only one node of the fleet can reach the platform."""
-    assert len(spread(size_bytes=100_000, readers=1).in_force_ms) == NODES
+    assert len(simulate_spread(size_bytes=100_000, readers=1).in_force_ms) == NODES
 
 
-def test_a_zone_cut_off_from_the_platform_stays_whole():
-    """A zone is cut off after one of its nodes read the change.
+def test_partitioned_zone_converges_on_the_change():
+    """A zone is partitioned from the fleet, and one of its nodes reads the change.
 
-    All its nodes must come to the same version by themselves, and the rest of
-    the fleet too.
+    All nodes of the zone must converge on the new version without the rest of the
+    fleet, and the rest without the zone.
     """
-    run = spread(size_bytes=100_000, cut_zone="z0", readers=1)
+    run = simulate_spread(size_bytes=100_000, cut_zone="z0", readers=1)
     assert len(run.in_force_ms) == sum(
         r.availability_zone != "z0" for r in run.records.values()
     )
--- a/packages/sassafraswinch/tests/test_status.py
+++ b/packages/sassafraswinch/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of the status of a node."""
+"""Tests of the status of a node and its JSON form."""
 
 import pytest
 
@@ -35,16 +35,16 @@
 )
 
 
-def test_status_comes_back_whole_from_its_json():
+def test_status_survives_a_json_round_trip():
     assert parse_status(serialize_status(STATUS), source="node") == STATUS
 
 
-def test_field_of_a_newer_version_is_ignored():
+def test_unknown_field_is_ignored():
     text = serialize_status(STATUS).replace(b"{", b'{"unheard_of": 1,', 1)
     assert parse_status(text, source="node") == STATUS
 
 
-def test_every_fault_of_a_bad_status_is_named():
+def test_every_invalid_field_is_named():
     with pytest.raises(InvalidFieldsError) as caught:
         parse_status('{"host": 1, "links": [{"host": "x"}]}', source="node")
     fields = {error.field for error in caught.value.exceptions}
--- a/packages/sassafraswinch/tests/test_versions.py
+++ b/packages/sassafraswinch/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Configuration keepers, step by step: faults, claims of peers, transfers."""
+"""Unit tests of the document store: invalid documents, peer claims, transfers."""
 
 import random
 
@@ -11,11 +11,11 @@
 from .utils.config_keepers import body_of, new_keeper, stamp_of
 
 
-def test_invalid_document_is_overtaken_by_a_valid_newer_one():
-    """An operator publishes version 2 with a fault and mends it as version 3.
+def test_invalid_document_is_superseded_by_a_valid_newer_one():
+    """An operator publishes an invalid version 2 and corrects it with version 3.
 
-    Version 1 stays in force meanwhile, and the report names the field. Once
-    version 3 is in force the fault is no longer reported.
+    Version 1 stays in force meanwhile, and the report names the field. Once version 3
+    is in force the fault is no longer reported.
     """
     keeper = new_keeper()
     keeper.offer(body_of(1), Source.PLATFORM, 0.0)
@@ -28,11 +28,11 @@
     assert keeper.report(4.0).refusal is None
 
 
-def test_a_peer_that_does_not_deliver_is_passed_over():
-    """A near peer claims version 2 and stays mute; a far one holds it too.
+def test_peer_that_does_not_deliver_is_skipped():
+    """A near peer claims version 2 and never replies; a far one holds it too.
 
-    The node asks the near one, gives up after the timeout, asks the far one,
-    and reports the mute peer until it has the document.
+    The node sends a request to the near one, times out, sends one to the far one, and
+    reports the near peer as not delivering until it has the document.
     """
     keeper = new_keeper()
     mute, far = NodeId("mute", 1), NodeId("far", 1)
@@ -48,11 +48,11 @@
     assert keeper.report(FETCH_TIMEOUT_MS).undelivered == ()
 
 
-def test_a_woken_node_hears_a_fresh_word_before_it_serves():
-    """A process is paused while version 2 comes into force elsewhere.
+def test_resumed_node_waits_for_a_fresh_answer_before_it_serves():
+    """A process is paused while version 2 comes into force on its peer.
 
-    In its buffers lies a peer's answer to a heartbeat from before the pause,
-    ahead of the peer's word on version 2. That answer must not end the wait.
+    Its buffers hold the peer's answer to a heartbeat sent before the pause, ahead of
+    the peer's report of version 2. That answer must not end the wait.
     """
     keeper, peer = new_keeper(), NodeId("peer", 1)
     keeper.offer(body_of(1), Source.PLATFORM, 0.0)
@@ -68,10 +68,10 @@
     assert keeper.serving.version == 2
 
 
-def test_a_peer_that_delivers_less_than_it_claims_is_not_asked_at_once_again():
-    """A peer claims version 3 and sends version 2 each time it is asked.
+def test_peer_that_delivers_an_older_version_than_claimed_is_backed_off():
+    """A peer claims version 3 and sends version 2 in reply to each request.
 
-    Version 2 is better than none, but the claim must not be followed in a loop.
+    Version 2 is better than none, but the node must not repeat the request in a loop.
     """
     keeper, peer = new_keeper(), NodeId("peer", 1)
     reply = DocumentReply(version=2, body=pack_document(body_of(2)))
@@ -81,10 +81,10 @@
     assert keeper.report(2.0).undelivered == ("peer",)
 
 
-def test_a_late_message_of_a_second_link_lowers_no_claim():
+def test_late_message_of_a_second_link_does_not_lower_a_claim():
     """A node restarts and reads version 1; a peer holds 2 but is slow to send it.
 
-    An older word of that peer, version 1, comes late over its other link. The
+    An older report of that peer, version 1, arrives late over its other link. The
     node must go on waiting for version 2 until the peer is lost.
     """
     keeper, peer = new_keeper(), NodeId("peer", 1)
@@ -98,19 +98,19 @@
     assert keeper.serving.version == 1
 
 
-def test_a_claim_of_a_vanished_peer_ends():
-    """A peer claims version 2 over a link it dialled, and its host dies.
+def test_claim_of_a_crashed_peer_expires():
+    """A peer claims version 2 over a link it dialled, and its host crashes.
 
-    Nobody tells the keeper. It asks a few times, then drops the claim.
+    No lost link is reported. The node sends a few requests, then the claim expires.
     """
     keeper, peer = new_keeper(), NodeId("peer", 1)
     keeper.heard(peer, *stamp_of(body_of(2)), 0.0)
-    asked_ms = [ms for ms in range(0, 120_000, 500) if keeper.tick(ms)]
-    assert asked_ms and max(asked_ms) < 40_000
+    requested_ms = [ms for ms in range(0, 120_000, 500) if keeper.tick(ms)]
+    assert requested_ms and max(requested_ms) < 40_000
     assert keeper.report(120_000.0).undelivered == ()
 
 
-def test_a_content_found_invalid_is_fetched_once():
+def test_document_found_invalid_is_fetched_once():
     """A peer of another release accepted version 2, which this node refuses.
 
     The node must not fetch it again at each heartbeat of that peer.
@@ -124,10 +124,11 @@
     assert keeper.heard(peer, *stamp_of(body), 60_000.0) == ()
 
 
-def test_a_node_bounds_what_it_sends_to_peers():
-    """Fifty peers ask the first holder of a 1 MB document in one moment.
+def test_document_bytes_sent_to_peers_are_bounded():
+    """Fifty peers request a 1 MB document from the first node with it at the same time.
 
-    It answers a few and tells the others at once to ask elsewhere.
+    It sends the document to a few; the others get an empty reply at once, so that they
+    try other nodes.
     """
     keeper = new_keeper()
     body = body_of(1) + random.Random(1).randbytes(300_000)
@@ -137,8 +138,8 @@
     assert keeper.answer(DocumentRequest(version=1), 1_000.0).body
 
 
-def test_a_broken_or_oversized_transfer_is_a_failure_to_deliver():
-    """A peer sends bytes that aren't packed, are cut off, or unpack to too much."""
+def test_corrupt_or_oversized_transfer_is_a_failure_to_deliver():
+    """A peer sends bytes that are not packed, are truncated or unpack to too many."""
     packed = pack_document(body_of(2))
     for sent in (b"", b"x", packed[:-1], pack_document(b" " * 1_000_001)):
         keeper, peer = new_keeper(), NodeId("peer", 1)
--- a/packages/sassafraswinch/tests/test_versions_machine.py
+++ b/packages/sassafraswinch/tests/test_versions_machine.py
@@ -1,4 +1,4 @@
-"""Configuration keepers under lost memory, partitions and a misleading platform."""
+"""Stateful test of the document store: restarts, partitions, stale platform reads."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
@@ -21,16 +21,16 @@
 
 @dataclass
 class Run:
-    """One run of a node's process, and what the test saw happen to it."""
+    """One incarnation of a node, and the events that the test recorded for it."""
 
     node: NodeId
     keeper: ConfigKeeper
     highest: Stamp = NO_STAMP
-    heard: dict = field(default_factory=dict)
+    claims: dict = field(default_factory=dict)
     synced_from_ms: float = 0.0
     peers_at_sync: dict = field(default_factory=dict)
     serving: bool = False
-    mute: bool = False
+    unresponsive: bool = False
 
 
 class ConfigMachine(RuleBasedStateMachine):
@@ -52,7 +52,7 @@
         run = Run(node=NodeId(host, self.starts), keeper=new_keeper(self.starts))
         old, self.runs[host] = self.runs.get(host), run
         for peer in (p for p in self.runs.values() if old and p is not run):
-            self.forget(peer, host)
+            self.drop_links(peer, host)
         for other in HOSTS:
             self.connect(host, other)
         self.sync(run)
@@ -61,10 +61,10 @@
         for sender, receiver in ((host, other), (other, host)):
             for lane in LANES:
                 self.lanes[sender, receiver, lane].clear()
-                self.say(sender, receiver, lane)
+                self.send_heartbeat(sender, receiver, lane)
 
-    def forget(self, run, host):
-        run.heard.pop(host, None)
+    def drop_links(self, run, host):
+        run.claims.pop(host, None)
         run.peers_at_sync.pop(host, None)
         self.send(run, run.keeper.peer_lost(host, self.now_ms))
 
@@ -76,7 +76,7 @@
         run.synced_from_ms, run.serving = self.now_ms, False
         run.keeper.start_sync(self.now_ms, expected=run.peers_at_sync)
 
-    def say(self, sender, receiver, lane):
+    def send_heartbeat(self, sender, receiver, lane):
         if sender != receiver and {sender, receiver} <= self.runs.keys():
             run = self.runs[sender]
             self.lanes[sender, receiver, lane] += (run.keeper.stamp, self.now_ms)
@@ -88,14 +88,14 @@
         for fetch in fetches:
             self.lanes[run.node.host, fetch.peer, 0].append(fetch.request)
 
-    def took(self, run, offered):
+    def record_offered(self, run, offered):
         if offered is None:
             return
         self.send(run, offered.fetches)
         if offered.changed:
             for receiver in HOSTS:
                 for lane in LANES:
-                    self.say(run.node.host, receiver, lane)
+                    self.send_heartbeat(run.node.host, receiver, lane)
 
     def connected(self, sender, receiver):
         return (sender in self.cut) == (receiver in self.cut)
@@ -106,24 +106,24 @@
             return False
         message, run, peer = queue.popleft(), self.runs[receiver], self.runs[sender]
         if isinstance(message, Stamp):
-            if not supersedes(run.heard.get(sender, NO_STAMP), message):
-                run.heard[sender] = message
+            if not supersedes(run.claims.get(sender, NO_STAMP), message):
+                run.claims[sender] = message
             self.send(run, run.keeper.heard(peer.node, *message, self.now_ms))
         elif isinstance(message, float):
             self.lanes[receiver, sender, lane].append(("pong", message))
         elif isinstance(message, tuple):
             fetches = run.keeper.confirmed(sender, message[1], self.now_ms)
             self.send(run, fetches)
-        elif isinstance(message, DocumentRequest) and not run.mute:
+        elif isinstance(message, DocumentRequest) and not run.unresponsive:
             reply = run.keeper.answer(message, self.now_ms)
             self.lanes[receiver, sender, lane].append(reply)
         elif isinstance(message, DocumentReply):
-            self.took(run, run.keeper.reply(peer.node, message, self.now_ms))
+            self.record_offered(run, run.keeper.reply(peer.node, message, self.now_ms))
         return True
 
     @rule(kind=st.sampled_from(("good", "twin", "bad", "crash")), reader=hosts)
     def publish(self, kind, reader):
-        """A twin is another content under the version of the latest document."""
+        """Publish a document; a twin reuses the version of the latest one."""
         salt, version = len(self.published), stamp_of(self.published[-1]).version
         body = body_of(version + (kind != "twin"), kind.replace("twin", "good"), salt)
         self.published.append(body)
@@ -131,16 +131,18 @@
 
     @rule(host=hosts, back=st.integers(0, 3))
     def read_platform(self, host, back):
-        """The platform may show any reader an older document."""
+        """Read a document from the platform, which may return an older one."""
         if host not in self.cut:
             body = self.published[max(0, len(self.published) - 1 - back)]
             run = self.runs[host]
-            self.took(run, run.keeper.offer(body, Source.PLATFORM, self.now_ms))
+            self.record_offered(
+                run, run.keeper.offer(body, Source.PLATFORM, self.now_ms)
+            )
 
     @rule(sender=hosts, receiver=hosts, lane=st.sampled_from(LANES), back=st.booleans())
     def exchange(self, sender, receiver, lane, back):
-        """One heartbeat, and perhaps all that the link holds the other way."""
-        self.say(sender, receiver, lane)
+        """Exchange a heartbeat, and optionally all messages of the other direction."""
+        self.send_heartbeat(sender, receiver, lane)
         while self.deliver(sender, receiver, lane):
             pass
         while back and self.deliver(receiver, sender, lane):
@@ -162,13 +164,13 @@
         while sum(self.deliver(*lane) for lane in list(self.lanes)):
             self.check()
             rounds += 1
-            assert rounds < 300, "messages answer each other without end"
+            assert rounds < 300, "nodes reply to each other without end"
 
     @rule(host=hosts, other=hosts)
     def lose_links(self, host, other):
         if host != other:
-            self.forget(self.runs[host], other)
-            self.forget(self.runs[other], host)
+            self.drop_links(self.runs[host], other)
+            self.drop_links(self.runs[other], host)
             self.connect(host, other)
 
     @rule(host=hosts)
@@ -176,14 +178,14 @@
         self.start(host)
 
     @rule(host=hosts, expected=st.sets(hosts, min_size=1))
-    def wake(self, host, expected):
-        """The process was paused: its buffers hold old messages."""
+    def resume(self, host, expected):
+        """Resume a paused process, whose buffers hold old messages."""
         self.sync(self.runs[host], expected)
 
     @rule(host=hosts)
-    def toggle_mute(self, host):
-        """The node claims its version but answers no request for it."""
-        self.runs[host].mute = not self.runs[host].mute
+    def toggle_unresponsive(self, host):
+        """Make a node answer no more requests for the version it claims, or undo it."""
+        self.runs[host].unresponsive = not self.runs[host].unresponsive
 
     @rule(cut=st.frozensets(hosts, max_size=3))
     def partition(self, cut):
@@ -196,13 +198,13 @@
             self.send(run, run.keeper.tick(self.now_ms))
 
     def teardown(self):
-        """Nothing new happens: each side agrees on the best that it can get."""
-        holders = [r for r in self.runs.values() if not r.mute]
+        """Check that each side of a partition converges on its best document."""
+        holders = [r for r in self.runs.values() if not r.unresponsive]
         before = [(r.node.host, r.keeper.stamp) for r in holders]
         for _ in range(25):
             self.wait(1_000)
             for sender, receiver, lane in list(self.lanes):
-                self.say(sender, receiver, lane)
+                self.send_heartbeat(sender, receiver, lane)
             self.deliver_all()
         for host, run in self.runs.items():
             side = [stamp for peer, stamp in before if self.connected(host, peer)]
@@ -224,12 +226,14 @@
 
     def check_first_serving(self, run, waited_ms):
         if waited_ms < SYNC_LIMIT_MS:
-            newer = [s for s in run.heard.values() if supersedes(s, run.keeper.stamp)]
-            assert not newer, "serves an older document than it heard of"
+            newer = [s for s in run.claims.values() if supersedes(s, run.keeper.stamp)]
+            assert not newer, "serves an older document than a peer claimed"
         if waited_ms < SYNC_WAIT_MS:
             at_sync = run.peers_at_sync.values()
             newer = [s for s in at_sync if supersedes(s, run.keeper.stamp)]
-            assert not newer, "serves early, older than a peer that it could hear"
+            assert not newer, (
+                "serves early, with an older document than a reachable peer"
+            )
 
 
 TestConfigMachine = ConfigMachine.TestCase
--- a/packages/sassafraswinch/tests/utils/__init__.py
+++ b/packages/sassafraswinch/tests/utils/__init__.py
@@ -1,1 +1,1 @@
-"""A fake backend server and figures, shared by tests and the bench of gates."""
+"""Fake backend server, fixtures and metrics shared by tests and benchmarks."""
--- a/packages/sassafraswinch/tests/utils/config_keepers.py
+++ b/packages/sassafraswinch/tests/utils/config_keepers.py
@@ -1,4 +1,4 @@
-"""Configuration keepers over documents whose text says what they are."""
+"""Document stores for tests, with documents of the form ``kind version salt``."""
 
 import hashlib
 import random
--- a/packages/sassafraswinch/tests/utils/routing_bench.py
+++ b/packages/sassafraswinch/tests/utils/routing_bench.py
@@ -1,4 +1,4 @@
-"""Compares ways to choose a host: python -m tests.utils.routing_bench."""
+"""Benchmark of host selection policies: python -m tests.utils.routing_bench."""
 
 import random
 import statistics
@@ -18,31 +18,31 @@
 
 
 class RandomRouter(Router):
-    """Any host, for comparison."""
+    """Baseline that chooses a random host."""
 
     def choose(self, candidates, *, excluded, now_ms):
         return self._rng.choice(candidates)
 
 
 class OwnZoneRouter(Router):
-    """Any host of the own availability zone, for comparison."""
+    """Baseline that chooses a random host of its own availability zone."""
 
     def choose(self, candidates, *, excluded, now_ms):
         zone = self._availability_zone
-        own = [host for host in candidates if host.availability_zone == zone]
-        return self._rng.choice(own)
+        same_zone = [host for host in candidates if host.availability_zone == zone]
+        return self._rng.choice(same_zone)
 
 
 @dataclass(slots=True, kw_only=True)
 class Fleet:
-    """Hosts, and a load given as share of the own zone's healthy capacity."""
+    """Simulated hosts, and a load as a share of the capacity of the routers' zone."""
 
     name: str
     own: int
     other: int
     load: float
     slowness: Callable[[float], float] = lambda now_ms: 1.0
-    """Of the first host."""
+    """Slow-down factor of the first host by time."""
 
     def run(self, routers: list[Router], seed: int) -> "FleetFigures":
         hosts = [self._host(number, seed) for number in range(self.own + self.other)]
@@ -98,7 +98,7 @@
 
 
 def routers(kind: type[Router], seed: int) -> list[Router]:
-    """Return the routers of as many owners, each of which sees its own calls."""
+    """Return one router per owner; each observes only the calls of its owner."""
     return [
         kind(availability_zone=OWN, rng=random.Random(seed * OWNERS + number))
         for number in range(OWNERS)
