--- a/packages/sassafraswinch/sassafraswinch/forwarding.py
+++ b/packages/sassafraswinch/sassafraswinch/forwarding.py
@@ -27,7 +27,7 @@
     request: Request
     owner: NodeId
     waiter: LocalWaiter
-    begun_at_ms: float
+    received_at_ms: float
     deadline_at_ms: float
     session: int | None = None
     """Session of the link it was last sent on; None while there is no link."""
@@ -77,7 +77,7 @@
             request=request,
             owner=owner,
             waiter=waiter,
-            begun_at_ms=now_ms,
+            received_at_ms=now_ms,
             deadline_at_ms=now_ms + deadline_ms,
         )
         if not self.is_known(owner.host):
@@ -143,7 +143,7 @@
         waiting for the link to be closed.
         """
         for forwarded in list(self.open.values()):
-            waited_ms = now_ms - forwarded.begun_at_ms
+            waited_ms = now_ms - forwarded.received_at_ms
             unsent = forwarded.session is None and waited_ms > UNREACHABLE_AFTER_MS
             late_ms = now_ms - forwarded.deadline_at_ms
             if unsent or late_ms > FORWARD_GRACE_MS:
@@ -155,10 +155,10 @@
             del self.open[forwarded.number]
             sent_reason = Reason.PEER_RESTARTED if forwarded.written else None
             reason = sent_reason or Reason.TICKET_OWNER_RESTARTED
-            self._respond_with_ticket(forwarded, unproved(reason), now_ms)
+            self._respond_with_ticket(forwarded, unknown_outcome(reason), now_ms)
             return
         remaining_ms = forwarded.deadline_at_ms - now_ms
-        message = forward_of(forwarded.request, forwarded.number, remaining_ms)
+        message = make_forward(forwarded.request, forwarded.number, remaining_ms)
         forwarded.session = self.links.send(forwarded.owner.host, message)
         forwarded.written |= forwarded.session is not None
 
@@ -172,7 +172,7 @@
         """
         sent_reason = Reason.LINK_LOST if forwarded.written else None
         reason = sent_reason or Reason.TICKET_OWNER_UNREACHABLE
-        self._respond_with_ticket(forwarded, unproved(reason), now_ms)
+        self._respond_with_ticket(forwarded, unknown_outcome(reason), now_ms)
 
     def _respond_with_ticket(
         self, forwarded: Forwarded, outcome: Outcome, now_ms: float
@@ -182,12 +182,12 @@
         self.respond(forwarded.waiter, replace(outcome, ticket=ticket))
 
 
-def unproved(reason: Reason) -> Outcome:
+def unknown_outcome(reason: Reason) -> Outcome:
     """Return the outcome of a request that may or may not have been executed."""
     return Outcome(verdict=Verdict.MAY_HAVE_RUN, reason=reason)
 
 
-def forward_of(request: Request, number: int, remaining_ms: float) -> Forward:
+def make_forward(request: Request, number: int, remaining_ms: float) -> Forward:
     """Return the message that forwards a request to the owner of its ticket.
 
     Args:
@@ -209,7 +209,7 @@
     )
 
 
-def request_of(forward: Forward) -> Request:
+def request_from_forward(forward: Forward) -> Request:
     """Return the request that a message forwards; it has no handle on this node."""
     return Request(
         handle=0,
--- a/packages/sassafraswinch/sassafraswinch/host_exchange.py
+++ b/packages/sassafraswinch/sassafraswinch/host_exchange.py
@@ -7,7 +7,7 @@
 from sassafraswinch.messages import HostsReply, HostsRequest, Message, NodeId
 from sassafraswinch.ports import LinkPort
 
-ASK_AGAIN_MS = 5_000.0
+HOSTS_REQUEST_RETRY_MS = 5_000.0
 """Time after which hosts are requested from the same peer again; it may have known
 none the first time."""
 
@@ -46,7 +46,7 @@
         self._requested_at_ms = {
             host: at_ms
             for host, at_ms in self._requested_at_ms.items()
-            if now_ms - at_ms < ASK_AGAIN_MS
+            if now_ms - at_ms < HOSTS_REQUEST_RETRY_MS
         }
         if (
             peer.host in self._requested_at_ms
--- a/packages/sassafraswinch/sassafraswinch/membership.py
+++ b/packages/sassafraswinch/sassafraswinch/membership.py
@@ -10,7 +10,7 @@
 
 __all__ = ["HostRecord", "HostState", "Membership"]
 
-FORGET_MS = 7_200_000
+HOST_RETENTION_MS = 7_200_000
 """Time for which a host that is off the list and silent is kept. Two regions may be
 partitioned for an hour while the list is wrong, and need each other's addresses
 afterwards."""
@@ -99,7 +99,7 @@
         Failures: an old list marks a leaving host as live again, or a restarted one
         as leaving; an empty or incomplete list removes hosts that work. Therefore
         only a newer version marks hosts, and no version removes a host that was
-        seen within ``FORGET_MS``.
+        seen within ``HOST_RETENTION_MS``.
 
         Args:
             records: all hosts of the list.
@@ -249,13 +249,13 @@
         return tuple(host.record for host in self._hosts.values())
 
     def tick(self, now_ms: float) -> None:
-        """Evict hosts that are off the list and silent for ``FORGET_MS``."""
+        """Evict hosts that are off the list and silent for ``HOST_RETENTION_MS``."""
         expired = [
             name
             for name, host in self._hosts.items()
             if not host.listed
             and not host.sessions
-            and now_ms - host.seen_ms >= FORGET_MS
+            and now_ms - host.seen_ms >= HOST_RETENTION_MS
         ]
         for name in expired:
             del self._hosts[name]
--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -15,7 +15,7 @@
 from sassafraswinch.entry_limits import EntryLimits
 from sassafraswinch.execution import ExecutionLedger
 from sassafraswinch.executor import Executor
-from sassafraswinch.forwarding import Forwarder, request_of
+from sassafraswinch.forwarding import Forwarder, request_from_forward
 from sassafraswinch.gate import Gate
 from sassafraswinch.host_exchange import HostExchange
 from sassafraswinch.levels import EntryShedder
@@ -351,7 +351,7 @@
 
     def _handle_forward(self, node: NodeId, forward: Forward, now_ms: float) -> None:
         waiter = RemoteWaiter(node=node, number=forward.number)
-        self.entry.submit(request_of(forward), waiter, now_ms)
+        self.entry.submit(request_from_forward(forward), waiter, now_ms)
 
     def _run_pending(self, now_ms: float) -> None:
         """Process replies, local messages and ended calls until none is left."""
--- a/packages/sassafraswinch/sassafraswinch/read_budget.py
+++ b/packages/sassafraswinch/sassafraswinch/read_budget.py
@@ -6,7 +6,7 @@
 READS_PER_S = 2_000
 """Total reads a second that the platform can serve to all readers."""
 
-WAIT_MS = 10_000
+WATCH_WAIT_MS = 10_000
 """Mean time that a watch waits at the platform for a change (long poll)."""
 
 DOCUMENT_WATCHES = 24
@@ -85,7 +85,7 @@
 
     def wait_ms(self) -> int:
         """Return the time for which the next watch waits at the platform."""
-        return round(self._rng.uniform(0.5, 1.5) * WAIT_MS)
+        return round(self._rng.uniform(0.5, 1.5) * WATCH_WAIT_MS)
 
     def next_delay_ms(self, outcome: WatchOutcome) -> float:
         """Return the pause between the end of a read and the next one."""
@@ -100,4 +100,4 @@
         """Return the mean pause that keeps ``watches`` of ``nodes`` watches open."""
         if self._isolated:
             return 0.0
-        return WAIT_MS * max(0.0, self._nodes / self._watches - 1)
+        return WATCH_WAIT_MS * max(0.0, self._nodes / self._watches - 1)
--- a/packages/sassafraswinch/sassafraswinch/version_claims.py
+++ b/packages/sassafraswinch/sassafraswinch/version_claims.py
@@ -72,7 +72,7 @@
     sent_at_ms: float
 
 
-class Claims:
+class VersionClaims:
     """Latest version claim of each linked peer, and the single open fetch request.
 
     A claim is only a hint: a peer may report a version and never deliver it. After a
--- a/packages/sassafraswinch/sassafraswinch/versions.py
+++ b/packages/sassafraswinch/sassafraswinch/versions.py
@@ -25,10 +25,10 @@
 from sassafraswinch.transfer import UnpackError, pack_document, unpack_document
 from sassafraswinch.version_claims import (
     NO_STAMP,
-    Claims,
     Fetch,
     ServeBudget,
     Stamp,
+    VersionClaims,
     supersedes,
 )
 
@@ -62,7 +62,7 @@
     ):
         self._parse = parse
         self._digest = digest
-        self._claims = Claims(rng=rng)
+        self._claims = VersionClaims(rng=rng)
         self._serve_budget = ServeBudget()
         self._known: OrderedDict[str, Candidate] = OrderedDict()
         self._document: Document | None = None
--- a/packages/sassafraswinch/tests/test_host_exchange.py
+++ b/packages/sassafraswinch/tests/test_host_exchange.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from sassafraswinch.host_exchange import ASK_AGAIN_MS, ENOUGH_PEERS, HostExchange
+from sassafraswinch.host_exchange import (
+    ENOUGH_PEERS,
+    HOSTS_REQUEST_RETRY_MS,
+    HostExchange,
+)
 from sassafraswinch.hosts import HostRecord, HostState
 from sassafraswinch.membership import Membership
 from sassafraswinch.messages import HostsReply, HostsRequest, NodeId
@@ -74,13 +78,15 @@
 
     for peer in peers[:ENOUGH_PEERS]:
         exchange.replied(peer, HostsReply(hosts=()), 1)
-        exchange.heard(peer, ASK_AGAIN_MS)
+        exchange.heard(peer, HOSTS_REQUEST_RETRY_MS)
     assert len(links.replies) == 2 * ENOUGH_PEERS
 
     for peer in peers[:ENOUGH_PEERS]:
-        exchange.replied(peer, HostsReply(hosts=(record("vydej-2"),)), ASK_AGAIN_MS)
+        exchange.replied(
+            peer, HostsReply(hosts=(record("vydej-2"),)), HOSTS_REQUEST_RETRY_MS
+        )
     for peer in peers:
-        exchange.heard(peer, 3 * ASK_AGAIN_MS)
+        exchange.heard(peer, 3 * HOSTS_REQUEST_RETRY_MS)
     assert len(links.replies) == 2 * ENOUGH_PEERS
 
 
--- a/packages/sassafraswinch/tests/test_lifecycle.py
+++ b/packages/sassafraswinch/tests/test_lifecycle.py
@@ -10,33 +10,33 @@
     The node refuses new calls at once, stays up until the notice period has ended
     and the call is answered, and never serves again.
     """
-    node = Lifecycle()
-    node.listening()
-    node.synced()
-    assert node.takes_calls
-    node.leave(1_000.0)
-    node.leave(9_000.0)
-    node.woke()
-    node.synced()
-    assert node.leaving and not node.takes_calls
-    node.tick(1_000.0 + LEAVE_NOTICE_MS - 1, in_flight=0)
-    node.tick(1_000.0 + LEAVE_NOTICE_MS, in_flight=1)
-    assert node.state is NodeState.LEAVING
-    node.tick(1_000.0 + LEAVE_NOTICE_MS, in_flight=0)
-    assert node.state is NodeState.STOPPED
+    lifecycle = Lifecycle()
+    lifecycle.listening()
+    lifecycle.synced()
+    assert lifecycle.takes_calls
+    lifecycle.leave(1_000.0)
+    lifecycle.leave(9_000.0)
+    lifecycle.woke()
+    lifecycle.synced()
+    assert lifecycle.leaving and not lifecycle.takes_calls
+    lifecycle.tick(1_000.0 + LEAVE_NOTICE_MS - 1, in_flight=0)
+    lifecycle.tick(1_000.0 + LEAVE_NOTICE_MS, in_flight=1)
+    assert lifecycle.state is NodeState.LEAVING
+    lifecycle.tick(1_000.0 + LEAVE_NOTICE_MS, in_flight=0)
+    assert lifecycle.state is NodeState.STOPPED
 
 
 def test_tick_before_leaving_does_not_stop_the_node():
-    node = Lifecycle()
-    node.tick(1e9, in_flight=0)
-    node.listening()
-    node.synced()
-    node.tick(1e9, in_flight=0)
-    assert node.state is NodeState.SERVING
-    node.woke()
-    assert not node.takes_calls
-    node.cut()
-    assert node.state is NodeState.STOPPED
+    lifecycle = Lifecycle()
+    lifecycle.tick(1e9, in_flight=0)
+    lifecycle.listening()
+    lifecycle.synced()
+    lifecycle.tick(1e9, in_flight=0)
+    assert lifecycle.state is NodeState.SERVING
+    lifecycle.woke()
+    assert not lifecycle.takes_calls
+    lifecycle.cut()
+    assert lifecycle.state is NodeState.STOPPED
 
 
 def test_process_pause_is_detected_by_the_first_event_after_it():
--- a/packages/sassafraswinch/tests/test_membership.py
+++ b/packages/sassafraswinch/tests/test_membership.py
@@ -6,7 +6,12 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sassafraswinch.membership import FORGET_MS, HostRecord, HostState, Membership
+from sassafraswinch.membership import (
+    HOST_RETENTION_MS,
+    HostRecord,
+    HostState,
+    Membership,
+)
 from sassafraswinch.messages import Load, NodeId
 from sassafraswinch.wake import WakeDetector
 
@@ -243,5 +248,5 @@
     members.link_lost("x", 1.0)
     members.tick(3_600_000.0)
     assert [peer.name for peer in members.peers(0.0)] == ["x"]
-    members.tick(FORGET_MS)
+    members.tick(HOST_RETENTION_MS)
     assert members.peers(0.0) == ()
--- a/packages/sassafraswinch/tests/test_spreading.py
+++ b/packages/sassafraswinch/tests/test_spreading.py
@@ -80,12 +80,12 @@
     idle_from_ms: dict = field(default_factory=lambda: defaultdict(float))
 
     def __post_init__(self):
-        self.keepers = {
+        self.document_stores = {
             name: ConfigKeeper(parse=parse, digest=digest, rng=self.rng)
             for name in self.records
         }
-        for name, keeper in self.keepers.items():
-            keeper.offer(body_of(1), Source.PLATFORM, 0.0)
+        for name, document_store in self.document_stores.items():
+            document_store.offer(body_of(1), Source.PLATFORM, 0.0)
             self.schedule(self.rng.uniform(0, 1_000), self.heartbeat, name)
 
     def schedule(self, ms, action, *args):
@@ -104,22 +104,24 @@
             self.schedule(arrives_ms, self.receive, sender, receiver, message)
 
     def receive(self, ms, sender, receiver, message):
-        keeper, peer = self.keepers[receiver], NodeId(sender, 1)
+        document_store, peer = self.document_stores[receiver], NodeId(sender, 1)
         if isinstance(message, tuple):
             near = one_way_ms(self.records[sender], self.records[receiver]) < 1
-            self.fetch(ms, receiver, keeper.heard(peer, *message, ms, near=near))
+            self.fetch(
+                ms, receiver, document_store.heard(peer, *message, ms, near=near)
+            )
         elif isinstance(message, DocumentRequest):
-            reply = keeper.answer(message, ms)
+            reply = document_store.answer(message, ms)
             size = len(reply.body) + REQUEST_BYTES + PACKET_BYTES
             self.send(ms, receiver, sender, reply, size)
         elif message.body:
             parsed_ms = ms + len(self.body) / PARSE_BYTES_PER_MS
             self.schedule(parsed_ms, self.apply_reply, receiver, peer, message)
         else:
-            keeper.reply(peer, message, ms)
+            document_store.reply(peer, message, ms)
 
     def apply_reply(self, ms, name, peer, reply):
-        self.record_offered(ms, name, self.keepers[name].reply(peer, reply, ms))
+        self.record_offered(ms, name, self.document_stores[name].reply(peer, reply, ms))
 
     def record_offered(self, ms, name, offered):
         if offered and offered.changed:
@@ -127,7 +129,7 @@
             self.announce(ms, name)
 
     def announce(self, ms, name):
-        stamp = self.keepers[name].stamp
+        stamp = self.document_stores[name].stamp
         for peer in self.links[name]:
             self.send(ms, name, peer, tuple(stamp), HEARTBEAT_BYTES + PACKET_BYTES)
 
@@ -143,7 +145,7 @@
         self.schedule(ms + 1_000, self.heartbeat, name)
 
     def tick(self, ms, name):
-        self.fetch(ms, name, self.keepers[name].tick(ms))
+        self.fetch(ms, name, self.document_stores[name].tick(ms))
 
     def publish(self, ms, readers):
         for name in readers:
@@ -151,7 +153,7 @@
             self.schedule(ms + self.rng.uniform(1, 10) + parse_ms, self.read, name)
 
     def read(self, ms, name):
-        offered = self.keepers[name].offer(self.body, Source.PLATFORM, ms)
+        offered = self.document_stores[name].offer(self.body, Source.PLATFORM, ms)
         self.record_offered(ms, name, offered)
 
     def run(self, until_ms):
--- a/packages/sassafraswinch/tests/test_versions_machine.py
+++ b/packages/sassafraswinch/tests/test_versions_machine.py
@@ -24,7 +24,7 @@
     """One incarnation of a node, and the events that the test recorded for it."""
 
     node: NodeId
-    keeper: ConfigKeeper
+    document_store: ConfigKeeper
     highest: Stamp = NO_STAMP
     claims: dict = field(default_factory=dict)
     synced_from_ms: float = 0.0
@@ -49,7 +49,9 @@
 
     def start(self, host):
         self.starts += 1
-        run = Run(node=NodeId(host, self.starts), keeper=new_keeper(self.starts))
+        run = Run(
+            node=NodeId(host, self.starts), document_store=new_keeper(self.starts)
+        )
         old, self.runs[host] = self.runs.get(host), run
         for peer in (p for p in self.runs.values() if old and p is not run):
             self.drop_links(peer, host)
@@ -66,23 +68,26 @@
     def drop_links(self, run, host):
         run.claims.pop(host, None)
         run.peers_at_sync.pop(host, None)
-        self.send(run, run.keeper.peer_lost(host, self.now_ms))
+        self.send(run, run.document_store.peer_lost(host, self.now_ms))
 
     def sync(self, run, expected=HOSTS):
         others = [self.runs[h] for h in expected if h in self.runs]
         run.peers_at_sync = {
-            r.node.host: r.keeper.stamp for r in others if r is not run
+            r.node.host: r.document_store.stamp for r in others if r is not run
         }
         run.synced_from_ms, run.serving = self.now_ms, False
-        run.keeper.start_sync(self.now_ms, expected=run.peers_at_sync)
+        run.document_store.start_sync(self.now_ms, expected=run.peers_at_sync)
 
     def send_heartbeat(self, sender, receiver, lane):
         if sender != receiver and {sender, receiver} <= self.runs.keys():
             run = self.runs[sender]
-            self.lanes[sender, receiver, lane] += (run.keeper.stamp, self.now_ms)
+            self.lanes[sender, receiver, lane] += (
+                run.document_store.stamp,
+                self.now_ms,
+            )
 
     def send(self, run, fetches):
-        if run.keeper.serving and not run.serving:
+        if run.document_store.serving and not run.serving:
             run.serving = True
             self.check_first_serving(run, self.now_ms - run.synced_from_ms)
         for fetch in fetches:
@@ -108,17 +113,19 @@
         if isinstance(message, Stamp):
             if not supersedes(run.claims.get(sender, NO_STAMP), message):
                 run.claims[sender] = message
-            self.send(run, run.keeper.heard(peer.node, *message, self.now_ms))
+            self.send(run, run.document_store.heard(peer.node, *message, self.now_ms))
         elif isinstance(message, float):
             self.lanes[receiver, sender, lane].append(("pong", message))
         elif isinstance(message, tuple):
-            fetches = run.keeper.confirmed(sender, message[1], self.now_ms)
+            fetches = run.document_store.confirmed(sender, message[1], self.now_ms)
             self.send(run, fetches)
         elif isinstance(message, DocumentRequest) and not run.unresponsive:
-            reply = run.keeper.answer(message, self.now_ms)
+            reply = run.document_store.answer(message, self.now_ms)
             self.lanes[receiver, sender, lane].append(reply)
         elif isinstance(message, DocumentReply):
-            self.record_offered(run, run.keeper.reply(peer.node, message, self.now_ms))
+            self.record_offered(
+                run, run.document_store.reply(peer.node, message, self.now_ms)
+            )
         return True
 
     @rule(kind=st.sampled_from(("good", "twin", "bad", "crash")), reader=hosts)
@@ -136,7 +143,7 @@
             body = self.published[max(0, len(self.published) - 1 - back)]
             run = self.runs[host]
             self.record_offered(
-                run, run.keeper.offer(body, Source.PLATFORM, self.now_ms)
+                run, run.document_store.offer(body, Source.PLATFORM, self.now_ms)
             )
 
     @rule(sender=hosts, receiver=hosts, lane=st.sampled_from(LANES), back=st.booleans())
@@ -195,12 +202,12 @@
     def wait(self, step_ms):
         self.now_ms += step_ms
         for run in self.runs.values():
-            self.send(run, run.keeper.tick(self.now_ms))
+            self.send(run, run.document_store.tick(self.now_ms))
 
     def teardown(self):
         """Check that each side of a partition converges on its best document."""
         holders = [r for r in self.runs.values() if not r.unresponsive]
-        before = [(r.node.host, r.keeper.stamp) for r in holders]
+        before = [(r.node.host, r.document_store.stamp) for r in holders]
         for _ in range(25):
             self.wait(1_000)
             for sender, receiver, lane in list(self.lanes):
@@ -208,29 +215,37 @@
             self.deliver_all()
         for host, run in self.runs.items():
             side = [stamp for peer, stamp in before if self.connected(host, peer)]
-            assert not any(supersedes(stamp, run.keeper.stamp) for stamp in side)
-            assert run.keeper.serving or not run.keeper.in_force
+            assert not any(
+                supersedes(stamp, run.document_store.stamp) for stamp in side
+            )
+            assert run.document_store.serving or not run.document_store.in_force
         if len(holders) == len(HOSTS):
-            sides = {(h in self.cut, r.keeper.stamp) for h, r in self.runs.items()}
+            sides = {
+                (h in self.cut, r.document_store.stamp) for h, r in self.runs.items()
+            }
             assert len(sides) == len({h in self.cut for h in HOSTS})
 
     @invariant()
     def check(self):
         for run in self.runs.values():
-            keeper, stamp = run.keeper, run.keeper.stamp
+            document_store, stamp = run.document_store, run.document_store.stamp
             assert not supersedes(run.highest, stamp), "version fell"
             run.highest = stamp
-            if keeper.in_force:
-                assert keeper.in_force.body.startswith(b"good")
-                assert stamp == stamp_of(keeper.in_force.body)
+            if document_store.in_force:
+                assert document_store.in_force.body.startswith(b"good")
+                assert stamp == stamp_of(document_store.in_force.body)
 
     def check_first_serving(self, run, waited_ms):
         if waited_ms < SYNC_LIMIT_MS:
-            newer = [s for s in run.claims.values() if supersedes(s, run.keeper.stamp)]
+            newer = [
+                s
+                for s in run.claims.values()
+                if supersedes(s, run.document_store.stamp)
+            ]
             assert not newer, "serves an older document than a peer claimed"
         if waited_ms < SYNC_WAIT_MS:
             at_sync = run.peers_at_sync.values()
-            newer = [s for s in at_sync if supersedes(s, run.keeper.stamp)]
+            newer = [s for s in at_sync if supersedes(s, run.document_store.stamp)]
             assert not newer, (
                 "serves early, with an older document than a reachable peer"
             )
