--- a/packages/sassafraswinch/sassafraswinch/membership.py
+++ b/packages/sassafraswinch/sassafraswinch/membership.py
@@ -60,13 +60,13 @@
 
     Args:
         self_host: name of the host that this node runs on.
-        own_mark_ms: time after the start of the node during which a leaving mark on
-            its own host is ignored; at least the lag of the list.
+        own_mark_ms: time after the start of the node during which a leaving
+            mark on its own host is ignored; at least the lag of the list.
     """
 
     def __init__(self, *, self_host: str, own_mark_ms: float = OWN_MARK_MS):
         self._self_host = self_host
-        self._own_mark_ms = own_mark_ms
+        self._self_leaving_grace_ms = own_mark_ms
         self._hosts: dict[str, _Host] = {}
         self._list_version = 0
         self._confirmed_since_ms = -math.inf
@@ -83,13 +83,13 @@
 
         Failure: a host is stopped and its node starts again before the list has
         caught up; when the list then marks the host, the new process would stop as
-        well. A mark that appears within ``own_mark_ms`` of the start is attributed
-        to the previous process; a host that has to leave that early gets a signal.
+        well. A mark that appears soon after the start is therefore attributed to the
+        previous process; a host that has to leave that early gets a signal.
         """
         own = self._hosts.get(self._self_host)
         if own is None or not own.list_leaving:
             return False
-        return own.marked_ms - own.known_since_ms >= self._own_mark_ms
+        return own.marked_ms - own.known_since_ms >= self._self_leaving_grace_ms
 
     def replace(
         self, records: Iterable[HostRecord], version: int, now_ms: float
--- a/packages/sassafraswinch/sassafraswinch/read_budget.py
+++ b/packages/sassafraswinch/sassafraswinch/read_budget.py
@@ -76,7 +76,7 @@
         self._nodes = max(1, nodes)
 
     def set_isolated(self, isolated: bool) -> None:
-        """Pause no longer than ``spread_ms`` while no peer can report changes."""
+        """Limit pauses to ``spread_ms`` while no peer can report changes."""
         self._isolated = isolated
 
     def first_delay_ms(self) -> float:
--- a/packages/sassafraswinch/sassafraswinch/versions.py
+++ b/packages/sassafraswinch/sassafraswinch/versions.py
@@ -127,7 +127,7 @@
         return self.take(self.read(body), source, now_ms)
 
     def take(self, candidate: Candidate, source: Source, now_ms: float) -> Offered:
-        """Put a document returned by ``read`` in force if it is valid and newer."""
+        """Put a parsed document in force if it is valid and newer."""
         self._remember(candidate)
         outcome = self._check_candidate(candidate)
         changed = candidate.document is not None and supersedes(
@@ -197,7 +197,7 @@
         return self.fetched(peer, self.read(body), now_ms)
 
     def fetched(self, peer: NodeId, candidate: Candidate, now_ms: float) -> Offered:
-        """Apply a peer's document that ``read`` has parsed."""
+        """Apply a parsed document that a peer delivered."""
         self._claims.delivered(peer, candidate.stamp, now_ms)
         return self.take(candidate, Source.PEER, now_ms)
 
@@ -296,6 +296,6 @@
     def _end_sync(self, now_ms: float) -> None:
         if self._sync is None or self._document is None:
             return
-        unmet = self._claims.is_unmet(self._stamp, self._is_refused)
-        if self._sync.is_over(now_ms, unmet=unmet):
+        newer_claimed = self._claims.is_unmet(self._stamp, self._is_refused)
+        if self._sync.is_over(now_ms, unmet=newer_claimed):
             self._sync = None
