--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -18,7 +18,7 @@
 from sassafraswinch.forwarding import Forwarder, request_from_forward
 from sassafraswinch.gate import Gate
 from sassafraswinch.host_exchange import HostExchange
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.lifecycle import LEAVE_NOTICE_MS, Lifecycle
 from sassafraswinch.local_links import LOCAL_SESSION, LocalLinks
 from sassafraswinch.membership import Membership
@@ -70,7 +70,7 @@
         router: Router,
         tickets: TicketLedger,
         ledger: ExecutionLedger,
-        shedder: EntryShedder,
+        shedder: IngressShedder,
         budget: CallerRetryBudget,
         keeper: ConfigKeeper,
         service: str,
