--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -9,15 +9,15 @@
 from sassafraswinch.classify import Classifier
 from sassafraswinch.configuration import UNASKED_SEQUENCE, Configuration
 from sassafraswinch.document import Document
-from sassafraswinch.early_repeats import EarlyRepeats
+from sassafraswinch.early_retries import EarlyRetries
 from sassafraswinch.egress import Egress
 from sassafraswinch.entry import Entry
-from sassafraswinch.entry_limits import EntryLimits
 from sassafraswinch.execution import ExecutionLedger
 from sassafraswinch.executor import Executor
 from sassafraswinch.forwarding import Forwarder, request_from_forward
 from sassafraswinch.gate import Gate
 from sassafraswinch.host_exchange import HostExchange
+from sassafraswinch.ingress_limits import IngressLimits
 from sassafraswinch.levels import IngressShedder
 from sassafraswinch.lifecycle import LEAVE_NOTICE_MS, Lifecycle
 from sassafraswinch.local_links import LOCAL_SESSION, LocalLinks
@@ -100,7 +100,7 @@
             links=self.links,
             next_number=self.owner.next_number,
             is_known=membership.knows,
-            fresh_ticket=lambda request, now_ms: self.entry.fresh_ticket(
+            fresh_ticket=lambda request, now_ms: self.entry.issue_ticket(
                 request, now_ms
             ),
             respond=self._respond,
@@ -110,8 +110,8 @@
             owner=self.owner,
             ledger=tickets,
             forwarder=self.forwarder,
-            limits=EntryLimits(
-                shedder=shedder, budget=budget, repeats=EarlyRepeats(), rng=rng
+            limits=IngressLimits(
+                shedder=shedder, budget=budget, early_retries=EarlyRetries(), rng=rng
             ),
             respond=self._respond,
             recorder=recorder,
@@ -309,7 +309,7 @@
             case Fence():
                 self.executor.fence(node, message, now_ms)
             case FenceReply():
-                self.owner.fenced(node, message, now_ms)
+                self.owner.handle_fence_reply(node, message, now_ms)
             case Forward():
                 self._handle_forward(node, message, now_ms)
             case Heartbeat():
@@ -332,7 +332,7 @@
     def _apply_document(self, document: Document | None) -> None:
         """Classify by ``document`` from now on; calls in flight keep their class."""
         classifier = Classifier(document=document) if document else None
-        self.entry.use(classifier)
+        self.entry.set_classifier(classifier)
         if document is None:
             return
         self.egress.classifier = classifier
@@ -347,7 +347,7 @@
         if answer.load is not None:
             self._record_load(node, answer.load, now_ms)
         if not self.forwarder.answered(node.host, answer, now_ms):
-            self.owner.answered(node, answer, now_ms)
+            self.owner.handle_answer(node, answer, now_ms)
 
     def _handle_forward(self, node: NodeId, forward: Forward, now_ms: float) -> None:
         waiter = RemoteWaiter(node=node, number=forward.number)
@@ -378,7 +378,7 @@
     def _end_parents(self, now_ms: float) -> bool:
         ended = self.executor.take_ended()
         for parent in ended:
-            self.egress.parent_ended(parent, now_ms)
+            self.egress.cancel_children(parent, now_ms)
         return bool(ended)
 
     def _finish_calls(self, now_ms: float) -> bool:
@@ -390,6 +390,6 @@
     def _finish_call(self, finished: Finished, now_ms: float) -> None:
         pending: Pending = finished.owned.context
         if pending.parent is not None:
-            self.egress.finished(finished, now_ms)
+            self.egress.handle_finished(finished, now_ms)
             return
-        self.entry.finished(finished, now_ms)
+        self.entry.handle_finished(finished, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/versions.py
+++ b/packages/sassafraswinch/sassafraswinch/versions.py
@@ -15,8 +15,8 @@
     Candidate,
     Conflict,
     Document,
-    KeeperReport,
-    Offered,
+    DocumentReport,
+    OfferResult,
     Outcome,
     Refusal,
     Source,
@@ -122,11 +122,11 @@
             return Candidate(stamp=Stamp(0, digest), errors=(fault,))
         return Candidate(stamp=Stamp(document.version, digest), document=document)
 
-    def offer(self, body: bytes, source: Source, now_ms: float) -> Offered:
+    def offer(self, body: bytes, source: Source, now_ms: float) -> OfferResult:
         """Parse a body and put it in force if it is valid and newer."""
         return self.take(self.read(body), source, now_ms)
 
-    def take(self, candidate: Candidate, source: Source, now_ms: float) -> Offered:
+    def take(self, candidate: Candidate, source: Source, now_ms: float) -> OfferResult:
         """Put a parsed document in force if it is valid and newer."""
         self._remember(candidate)
         outcome = self._check_candidate(candidate)
@@ -139,7 +139,7 @@
             self._record_conflict(candidate.stamp, now_ms)
         if changed:
             self._put_in_force(candidate, source, now_ms)
-        return Offered(
+        return OfferResult(
             outcome=outcome,
             stamp=candidate.stamp,
             errors=candidate.errors,
@@ -187,7 +187,7 @@
 
     def reply(
         self, peer: NodeId, reply: DocumentReply, now_ms: float
-    ) -> Offered | None:
+    ) -> OfferResult | None:
         """Handle a peer's reply to a fetch; return None if it holds no document."""
         try:
             body = unpack_document(reply.body)
@@ -196,7 +196,7 @@
             return None
         return self.fetched(peer, self.read(body), now_ms)
 
-    def fetched(self, peer: NodeId, candidate: Candidate, now_ms: float) -> Offered:
+    def fetched(self, peer: NodeId, candidate: Candidate, now_ms: float) -> OfferResult:
         """Apply a parsed document that a peer delivered."""
         self._claims.delivered(peer, candidate.stamp, now_ms)
         return self.take(candidate, Source.PEER, now_ms)
@@ -225,9 +225,9 @@
         self._end_sync(now_ms)
         return (fetch,) if fetch else ()
 
-    def report(self, now_ms: float) -> KeeperReport:
+    def report(self, now_ms: float) -> DocumentReport:
         """Return the report for the operators' status."""
-        return KeeperReport(
+        return DocumentReport(
             stamp=self._stamp,
             age_ms=now_ms - self._since_ms if self._document else 0.0,
             source=self._source,
--- a/packages/sassafraswinch/tests/utils/routing_bench.py
+++ b/packages/sassafraswinch/tests/utils/routing_bench.py
@@ -10,7 +10,7 @@
 from sassafraswinch.hosts import HostView
 from sassafraswinch.routing import WAY_ACROSS_MS, Router
 
-from .fake_server import FakeHost, FakeServer, Stream, Trial
+from .fake_server import FakeHost, FakeServer, GateSimulation, Stream
 
 RUN_MS, WARM_MS = 6_000.0, 2_000.0
 SLOTS, MEAN_MS, OWNERS = 30, 30.0, 12
@@ -49,7 +49,9 @@
         hosts[0].server.slowness = self.slowness
         rate = self.load * self.own * SLOTS / MEAN_MS * 1000
         stream = Stream(class_order=0, rate_per_s=lambda now_ms: rate)
-        trial = Trial(hosts=hosts, streams=[stream], seed=seed, routers=routers)
+        trial = GateSimulation(
+            hosts=hosts, streams=[stream], seed=seed, routers=routers
+        )
         trial.run(RUN_MS)
         done = [d for d in trial.done if d.call.offered_at_ms >= WARM_MS]
         good = [d for d in done if d.good]
@@ -73,7 +75,7 @@
                 service="archiv",
                 availability_zone=OWN if own else OTHER,
             ),
-            way_ms=0.0 if own else WAY_ACROSS_MS,
+            network_delay_ms=0.0 if own else WAY_ACROSS_MS,
         )
 
 
