--- a/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
@@ -100,12 +100,12 @@
 
     def connect(self, host: str) -> None:
         """Keep a link to ``host`` for a while."""
-        self.plan.need_host(host, _now_ms())
+        self.plan.record_host_demand(host, _now_ms())
         self._follow_plan_soon()
 
     def need_service(self, service: str) -> None:
         """Keep links to hosts of ``service`` for a while."""
-        if self.plan.need_service(service, _now_ms()):
+        if self.plan.record_service_demand(service, _now_ms()):
             self._follow_plan_soon()
 
     def _follow_plan_soon(self) -> None:
@@ -167,7 +167,7 @@
             self.receiver.link_proved(node, sent_at_ms)
 
     def _address(self, host: str) -> tuple[str, int] | None:
-        record = self.membership.record(host)
+        record = self.membership.host_record(host)
         if record is None:
             return None
         address = parse_address(record.link)
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
@@ -84,7 +84,7 @@
         nodes = len(self.membership.records())
         if nodes <= 1:
             nodes = 0  # Its own host alone: the fleet isn't known yet.
-        isolated = self.membership.isolated()
+        isolated = self.membership.is_isolated()
         for schedule in (self._document_schedule, self._host_schedule):
             schedule.set_isolated(isolated)
             schedule.set_nodes(nodes or FIRST_FLEET_SIZE)
@@ -112,7 +112,7 @@
             return False
         self._document_version = published.version
         keeper = self.configuration.keeper
-        candidate = await asyncio.to_thread(keeper.read, published.body)
+        candidate = await asyncio.to_thread(keeper.parse_body, published.body)
         offered = self.configuration.platform_read(candidate, self.now_ms())
         for error in offered.errors:
             log_event("document_refused", level="warning", reason=str(error))
@@ -125,5 +125,5 @@
         if published is None:
             return False
         now_ms = self.now_ms()
-        self.membership.replace(published.records, published.version, now_ms)
+        self.membership.apply_host_list(published.records, published.version, now_ms)
         return True
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -58,7 +58,7 @@
         self.rng = rng or random.Random(int.from_bytes(os.urandom(16), "big"))
         self.node_id = NodeId(settings.host, self.rng.getrandbits(63))
         self.membership = Membership(
-            self_host=settings.host, own_mark_ms=settings.list_leave_delay_ms
+            self_host=settings.host, self_leaving_grace_ms=settings.list_leave_delay_ms
         )
         self.wake = WakeDetector(tick_ms=IDLE_TICK_MS)
         self.stopped = asyncio.Event()
@@ -137,7 +137,7 @@
         for listener in self.http.values():
             await listener.start()
         link = await self.links.start(settings.link)
-        self.membership.learn([self._own_record(link)], self.now_ms())
+        self.membership.add_hosts([self._own_record(link)], self.now_ms())
         self.node.start(self.now_ms())
         self._run(self.watch.run())
         self._run(self._tick())
@@ -218,7 +218,7 @@
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
         """Pass on a message."""
-        self.node.message(node, session, message, self._observe())
+        self.node.handle_message(node, session, message, self._observe())
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
@@ -267,7 +267,7 @@
         now_ms = self.now_ms()
         if self.wake.observe(monotonic_ms=now_ms, wall_ms=time.time() * 1000):
             log_event("node_woke", host=self.settings.host)
-            self.node.woke(now_ms)
+            self.node.resume_after_pause(now_ms)
         return now_ms
 
     def _submit(self, request: Request) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/placement.py
@@ -41,7 +41,7 @@
 """Cost per unit of relative latency above 1: an instance that is twice as slow as the
 others is chosen when they are more than half fuller."""
 
-LATENCY_GAIN = 0.08
+LATENCY_EWMA_WEIGHT = 0.08
 """Weight of one request in an instance's relative latency: the last dozen requests."""
 
 LATENCY_BOUNDS = (0.2, 5.0)
@@ -148,7 +148,7 @@
         """Update the relative latency with a finished request."""
         low, high = LATENCY_BOUNDS
         current = self.recent_relative_latency(now_ms)
-        self.relative_latency = current + LATENCY_GAIN * (
+        self.relative_latency = current + LATENCY_EWMA_WEIGHT * (
             min(max(relative_latency, low), high) - current
         )
         self.relative_latency_at_ms = now_ms
--- a/packages/sassafraswinch/sassafraswinch/configuration.py
+++ b/packages/sassafraswinch/sassafraswinch/configuration.py
@@ -16,7 +16,7 @@
 from sassafraswinch.offers import Candidate, OfferResult, Source
 from sassafraswinch.ports import LinkPort
 from sassafraswinch.version_claims import Fetch
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
 UNASKED_SEQUENCE = 0
 """Sequence of a heartbeat sent out of turn, to spread news at once."""
@@ -28,7 +28,7 @@
     def __init__(
         self,
         *,
-        keeper: ConfigKeeper,
+        keeper: DocumentStore,
         lifecycle: Lifecycle,
         links: LinkPort,
         membership: Membership,
@@ -56,7 +56,7 @@
 
     def platform_read(self, candidate: Candidate, now_ms: float) -> OfferResult:
         """Take in a document that the platform published."""
-        offered = self.keeper.take(candidate, Source.PLATFORM, now_ms)
+        offered = self.keeper.apply_candidate(candidate, Source.PLATFORM, now_ms)
         self._after_offer(offered, now_ms)
         return offered
 
@@ -71,21 +71,21 @@
 
     def _hear(self, peer: NodeId, version: int, digest: str, now_ms: float) -> None:
         self._nodes[peer.host] = peer
-        self._fetch(self.keeper.heard(peer, version, digest, now_ms))
+        self._fetch(self.keeper.record_peer_version(peer, version, digest, now_ms))
         self._apply(now_ms)
 
     def confirmed(self, host: str, sent_at_ms: float, now_ms: float) -> None:
         """Note that all a peer said before it answered has been heard."""
-        self._fetch(self.keeper.confirmed(host, sent_at_ms, now_ms))
+        self._fetch(self.keeper.record_round_trip(host, sent_at_ms, now_ms))
         self._apply(now_ms)
 
     def requested(self, peer: NodeId, request: DocumentRequest, now_ms: float) -> None:
         """Send a peer the document that it asks for."""
-        self._send(peer.host, self.keeper.answer(request, now_ms))
+        self._send(peer.host, self.keeper.answer_request(request, now_ms))
 
     def replied(self, peer: NodeId, reply: DocumentReply, now_ms: float) -> None:
         """Take in a document that a peer sent."""
-        offered = self.keeper.reply(peer, reply, now_ms)
+        offered = self.keeper.apply_reply(peer, reply, now_ms)
         if offered is not None:
             self._after_offer(offered, now_ms)
 
--- a/packages/sassafraswinch/sassafraswinch/explanation.py
+++ b/packages/sassafraswinch/sassafraswinch/explanation.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from sassafraswinch.document import Document, Operation, ServiceClass
-from sassafraswinch.identities import Identified, IdentityState, identify
+from sassafraswinch.identities import IdentityState, RequestIdentity, identify
 from sassafraswinch.labels import Selector
 
 
@@ -92,7 +92,7 @@
 
 
 def _try_classes(
-    classes: Iterable[ServiceClass], known: Identified, operation: Operation
+    classes: Iterable[ServiceClass], known: RequestIdentity, operation: Operation
 ) -> Iterator[ClassTrial]:
     for entry in classes:
         organisations = _try(entry.organisations, known.organisation.labels)
--- a/packages/sassafraswinch/sassafraswinch/forwarding.py
+++ b/packages/sassafraswinch/sassafraswinch/forwarding.py
@@ -15,12 +15,12 @@
 50 ms for the executing node; the rest covers one round trip between availability
 zones and one tick."""
 
-UNREACHABLE_AFTER_MS = 1_000.0
+OWNER_LINK_TIMEOUT_MS = 1_000.0
 """Time limit for a link to the ticket's owner to come up."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Forwarded:
+class ForwardedRequest:
     """A request that was forwarded, or is about to be, to the owner of its ticket."""
 
     number: int
@@ -57,7 +57,7 @@
         self.is_known = is_known
         self.fresh_ticket = fresh_ticket
         self.respond = respond
-        self.open: dict[int, Forwarded] = {}
+        self.open: dict[int, ForwardedRequest] = {}
         self.forwarded = 0
         self._incarnations: dict[str, int] = {}
 
@@ -72,7 +72,7 @@
     ) -> None:
         """Forward a request to the node that issued its ticket."""
         self.forwarded += 1
-        forwarded = Forwarded(
+        forwarded = ForwardedRequest(
             number=self.next_number(),
             request=request,
             owner=owner,
@@ -88,7 +88,7 @@
         if owner.host in self._incarnations:
             self._send(forwarded, now_ms)
 
-    def answered(self, host: str, answer: Answer, now_ms: float) -> bool:
+    def handle_answer(self, host: str, answer: Answer, now_ms: float) -> bool:
         """Handle an owner's answer; return False if it matches no forwarded request."""
         forwarded = self.open.get(answer.number)
         if forwarded is None or forwarded.owner.host != host:
@@ -144,13 +144,13 @@
         """
         for forwarded in list(self.open.values()):
             waited_ms = now_ms - forwarded.received_at_ms
-            unsent = forwarded.session is None and waited_ms > UNREACHABLE_AFTER_MS
+            unsent = forwarded.session is None and waited_ms > OWNER_LINK_TIMEOUT_MS
             late_ms = now_ms - forwarded.deadline_at_ms
             if unsent or late_ms > FORWARD_GRACE_MS:
                 del self.open[forwarded.number]
                 self._respond_unreachable(forwarded, now_ms)
 
-    def _send(self, forwarded: Forwarded, now_ms: float) -> None:
+    def _send(self, forwarded: ForwardedRequest, now_ms: float) -> None:
         if self._incarnations[forwarded.owner.host] != forwarded.owner.incarnation:
             del self.open[forwarded.number]
             sent_reason = Reason.PEER_RESTARTED if forwarded.written else None
@@ -162,7 +162,7 @@
         forwarded.session = self.links.send(forwarded.owner.host, message)
         forwarded.written |= forwarded.session is not None
 
-    def _respond_unreachable(self, forwarded: Forwarded, now_ms: float) -> None:
+    def _respond_unreachable(self, forwarded: ForwardedRequest, now_ms: float) -> None:
         """Respond to a request whose owner did not answer.
 
         The fate of the ticket is unknown, because the request may also have arrived
@@ -175,7 +175,7 @@
         self._respond_with_ticket(forwarded, unknown_outcome(reason), now_ms)
 
     def _respond_with_ticket(
-        self, forwarded: Forwarded, outcome: Outcome, now_ms: float
+        self, forwarded: ForwardedRequest, outcome: Outcome, now_ms: float
     ) -> None:
         """Respond, with a fresh ticket of this node for further attempts."""
         ticket = self.fresh_ticket(forwarded.request, now_ms)
--- a/packages/sassafraswinch/sassafraswinch/host_exchange.py
+++ b/packages/sassafraswinch/sassafraswinch/host_exchange.py
@@ -11,7 +11,7 @@
 """Time after which hosts are requested from the same peer again; it may have known
 none the first time."""
 
-ENOUGH_PEERS = 3
+MAX_PEERS_REQUESTED = 3
 """Peers with an open request at a time, and peers whose replies suffice; more than one,
 because their views may differ."""
 
@@ -39,9 +39,12 @@
         self._requested_at_ms: dict[str, float] = {}
         self._useful_peers: set[str] = set()
 
-    def heard(self, peer: NodeId, now_ms: float) -> None:
+    def request_missing_hosts(self, peer: NodeId, now_ms: float) -> None:
         """Request hosts from a peer that sent a message or opened a link, if needed."""
-        if self.membership.list_version or len(self._useful_peers) >= ENOUGH_PEERS:
+        if (
+            self.membership.list_version
+            or len(self._useful_peers) >= MAX_PEERS_REQUESTED
+        ):
             return
         self._requested_at_ms = {
             host: at_ms
@@ -50,17 +53,17 @@
         }
         if (
             peer.host in self._requested_at_ms
-            or len(self._requested_at_ms) >= ENOUGH_PEERS
+            or len(self._requested_at_ms) >= MAX_PEERS_REQUESTED
         ):
             return
         self._requested_at_ms[peer.host] = now_ms
         self._send(peer, HostsRequest(list_version=self.membership.list_version))
 
-    def requested(self, peer: NodeId) -> None:
+    def send_hosts(self, peer: NodeId) -> None:
         """Reply to a peer with the hosts known to this node."""
         self._send(peer, HostsReply(hosts=self.membership.records()))
 
-    def replied(self, peer: NodeId, reply: HostsReply, now_ms: float) -> None:
+    def add_reply(self, peer: NodeId, reply: HostsReply, now_ms: float) -> None:
         """Add the hosts that a peer knows.
 
         Its record of this host stems from an earlier run, which may have been
@@ -74,7 +77,7 @@
             else record
             for record in reply.hosts
         ]
-        self.membership.learn(hosts, now_ms)
+        self.membership.add_hosts(hosts, now_ms)
 
     def _send(self, peer: NodeId, message: Message) -> None:
         """Send on the link dialled by this node, or else on the peer's link."""
--- a/packages/sassafraswinch/sassafraswinch/identities.py
+++ b/packages/sassafraswinch/sassafraswinch/identities.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Identified:
+class RequestIdentity:
     """Caller and organisation whose labels apply; their names are empty if none do."""
 
     caller: Caller = _NO_CALLER
@@ -32,7 +32,7 @@
 
 def identify(
     document: Document, *, caller: str, organisation: str | None
-) -> Identified:
+) -> RequestIdentity:
     """Return the caller and organisation whose labels apply.
 
     A listed caller can't gain the labels of another organisation by naming it: no
@@ -48,11 +48,11 @@
     known = document.callers.get(caller, _NO_CALLER)
     if known.organisation is not None:
         if organisation not in ("", known.organisation):
-            return Identified(state=IdentityState.MISMATCHED)
+            return RequestIdentity(state=IdentityState.MISMATCHED)
         organisation = known.organisation
     found = document.organisations.get(organisation or "", _NO_ORGANISATION)
     complete = known is not _NO_CALLER and found is not _NO_ORGANISATION
-    return Identified(
+    return RequestIdentity(
         caller=known,
         organisation=found,
         state=IdentityState.KNOWN if complete else IdentityState.UNKNOWN,
--- a/packages/sassafraswinch/sassafraswinch/lifecycle.py
+++ b/packages/sassafraswinch/sassafraswinch/lifecycle.py
@@ -72,7 +72,7 @@
         )
 
     @property
-    def takes_calls(self) -> bool:
+    def accepts_calls(self) -> bool:
         """Whether new calls are accepted; child calls of those in flight always are."""
         return self.state is NodeState.SERVING
 
--- a/packages/sassafraswinch/sassafraswinch/link_plan.py
+++ b/packages/sassafraswinch/sassafraswinch/link_plan.py
@@ -15,7 +15,7 @@
 GOSSIP_LINKS = 3
 """Links to random hosts, over which configuration spreads."""
 
-DEMAND_MS = 60_000.0
+DEMAND_RETENTION_MS = 60_000.0
 """Time for which the links to a service or host are kept after the last call."""
 
 
@@ -33,13 +33,13 @@
         self._service_demand_ms: dict[str, float] = {}
         self._host_demand_ms: dict[str, float] = {}
 
-    def need_service(self, service: str, now_ms: float) -> bool:
+    def record_service_demand(self, service: str, now_ms: float) -> bool:
         """Record a call to a service; return True if it had no links until now."""
         is_new = service not in self._service_demand_ms
         self._service_demand_ms[service] = now_ms
         return is_new
 
-    def need_host(self, host: str, now_ms: float) -> None:
+    def record_host_demand(self, host: str, now_ms: float) -> None:
         """Record a message to one host, such as the owner of a ticket."""
         self._host_demand_ms[host] = now_ms
 
@@ -78,5 +78,5 @@
     return {
         name: time_ms
         for name, time_ms in times_ms.items()
-        if now_ms - time_ms < DEMAND_MS
+        if now_ms - time_ms < DEMAND_RETENTION_MS
     }
--- a/packages/sassafraswinch/sassafraswinch/membership.py
+++ b/packages/sassafraswinch/sassafraswinch/membership.py
@@ -15,11 +15,11 @@
 partitioned for an hour while the list is wrong, and need each other's addresses
 afterwards."""
 
-OWN_MARK_MS = 60_000
+SELF_LEAVING_GRACE_MS = 60_000
 """Time after the start of a node during which a leaving mark on its own host in the
 list is attributed to its previous run: twice the lag of the list."""
 
-LEFT_INCARNATIONS = 4
+MAX_LEAVING_INCARNATIONS = 4
 """Incarnations of one host that are remembered as leaving."""
 
 
@@ -34,7 +34,7 @@
     list_leaving: bool = False
     incarnation: int | None = None
     leaving_incarnations: deque[int] = field(
-        default_factory=lambda: deque(maxlen=LEFT_INCARNATIONS)
+        default_factory=lambda: deque(maxlen=MAX_LEAVING_INCARNATIONS)
     )
     sessions: set[int] = field(default_factory=set)
     has_reported: bool = False
@@ -60,13 +60,15 @@
 
     Args:
         self_host: name of the host that this node runs on.
-        own_mark_ms: time after the start of the node during which a leaving
+        self_leaving_grace_ms: time after the start of the node during which a leaving
             mark on its own host is ignored; at least the lag of the list.
     """
 
-    def __init__(self, *, self_host: str, own_mark_ms: float = OWN_MARK_MS):
+    def __init__(
+        self, *, self_host: str, self_leaving_grace_ms: float = SELF_LEAVING_GRACE_MS
+    ):
         self._self_host = self_host
-        self._self_leaving_grace_ms = own_mark_ms
+        self._self_leaving_grace_ms = self_leaving_grace_ms
         self._hosts: dict[str, _Host] = {}
         self._list_version = 0
         self._confirmed_since_ms = -math.inf
@@ -91,7 +93,7 @@
             return False
         return own.marked_ms - own.known_since_ms >= self._self_leaving_grace_ms
 
-    def replace(
+    def apply_host_list(
         self, records: Iterable[HostRecord], version: int, now_ms: float
     ) -> None:
         """Apply a host list of the platform.
@@ -108,7 +110,7 @@
         """
         newer = version > self._list_version
         by_name = {record.name: record for record in records}
-        self.learn(by_name.values(), now_ms)
+        self.add_hosts(by_name.values(), now_ms)
         if newer:
             self._list_version = version
             for name, host in self._hosts.items():
@@ -120,7 +122,7 @@
                     )
         self._candidates.clear()
 
-    def learn(self, records: Iterable[HostRecord], now_ms: float) -> None:
+    def add_hosts(self, records: Iterable[HostRecord], now_ms: float) -> None:
         """Add unknown hosts, for example from a peer; known hosts stay unchanged."""
         for record in records:
             if record.name not in self._hosts:
@@ -163,11 +165,11 @@
             known.sessions.discard(session)
             self._candidates.clear()
 
-    def silent(self, host: str, now_ms: float, *, session: int = 0) -> None:
+    def record_silent_link(self, host: str, now_ms: float, *, session: int = 0) -> None:
         """Record that a link answers no heartbeats; no more calls are sent on it."""
         self.link_lost(host, now_ms, session=session)
 
-    def heard(self, node: NodeId, load: Load, now_ms: float) -> None:
+    def record_report(self, node: NodeId, load: Load, now_ms: float) -> None:
         """Record what a host reports of itself on a heartbeat or an answer.
 
         An incarnation that once reported itself as leaving stays so, because its
@@ -184,7 +186,7 @@
             host.has_reported = True
             self._candidates.clear()
 
-    def round_trip(self, host: str, sent_at_ms: float, now_ms: float) -> None:
+    def record_round_trip(self, host: str, sent_at_ms: float, now_ms: float) -> None:
         """Record that a host answered a heartbeat sent at ``sent_at_ms``."""
         known = self._hosts.get(host)
         if known is None:
@@ -195,7 +197,7 @@
         if was_unconfirmed and known.confirmed_ms >= self._confirmed_since_ms:
             self._candidates.clear()
 
-    def distrust(self, now_ms: float) -> None:
+    def require_fresh_round_trips(self, now_ms: float) -> None:
         """Send no calls to a host until it answers a heartbeat sent from now on.
 
         Failure: a process resumes after a long pause and, by its stale view, sends
@@ -206,7 +208,7 @@
         self._confirmed_since_ms = now_ms
         self._candidates.clear()
 
-    def isolated(self) -> bool:
+    def is_isolated(self) -> bool:
         """Return whether no other host is reachable over a link."""
         linked = (h for h in self._hosts.values() if h.sessions)
         return not any(self._view(host).linked for host in linked)
@@ -215,7 +217,7 @@
         """Return whether a host of this name is known."""
         return host in self._hosts
 
-    def record(self, host: str) -> HostRecord | None:
+    def host_record(self, host: str) -> HostRecord | None:
         """Return the newest record of a host."""
         known = self._hosts.get(host)
         return known.record if known else None
--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -48,7 +48,7 @@
 from sassafraswinch.retry import CallerRetryBudget
 from sassafraswinch.routing import Router
 from sassafraswinch.tickets import TicketLedger
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
 
 class Node:
@@ -72,7 +72,7 @@
         ledger: ExecutionLedger,
         shedder: IngressShedder,
         budget: CallerRetryBudget,
-        keeper: ConfigKeeper,
+        document_store: DocumentStore,
         service: str,
         rng: random.Random,
         recorder: Recorder | None = None,
@@ -127,7 +127,7 @@
             self_host=node.host, membership=membership, links=self.links
         )
         self.configuration = Configuration(
-            keeper=keeper,
+            keeper=document_store,
             lifecycle=self.lifecycle,
             links=self.links,
             membership=membership,
@@ -141,15 +141,15 @@
         self.lifecycle.listening()
         self.configuration.sync(now_ms)
 
-    def woke(self, now_ms: float) -> None:
+    def resume_after_pause(self, now_ms: float) -> None:
         """Synchronise again after a process pause, since the state held may be stale.
 
         The sync starts first because it expects an answer from each linked peer, and
-        no peer counts as linked once ``distrust`` was called.
+        no peer counts as linked once ``require_fresh_round_trips`` was called.
         """
         self.lifecycle.woke()
         self.configuration.sync(now_ms)
-        self.membership.distrust(now_ms)
+        self.membership.require_fresh_round_trips(now_ms)
 
     def heartbeat(self, sequence: int, now_ms: float) -> Heartbeat:
         """Return the heartbeat that this node sends on every link."""
@@ -195,7 +195,7 @@
         self, node: NodeId, session: int, *, dialled: bool, now_ms: float
     ) -> None:
         """Handle a new link, dialled by this node or by ``node``."""
-        self.host_exchange.heard(node, now_ms)
+        self.host_exchange.request_missing_hosts(node, now_ms)
         if dialled:
             self.membership.link_up(
                 node.host, node.incarnation, now_ms, session=session
@@ -226,7 +226,7 @@
             self.configuration.peer_lost(node.host, now_ms)
         self._run_pending(now_ms)
 
-    def message(
+    def handle_message(
         self, node: NodeId, session: int, message: Message, now_ms: float
     ) -> None:
         """Handle a message of another node."""
@@ -235,7 +235,7 @@
 
     def link_proved(self, node: NodeId, sent_at_ms: float, now_ms: float) -> None:
         """Record that ``node`` answered a heartbeat sent at ``sent_at_ms``."""
-        self.membership.round_trip(node.host, sent_at_ms, now_ms)
+        self.membership.record_round_trip(node.host, sent_at_ms, now_ms)
         self.configuration.confirmed(node.host, sent_at_ms, now_ms)
         self._run_pending(now_ms)
 
@@ -315,19 +315,19 @@
             case Heartbeat():
                 self._record_load(node, message.load, now_ms)
                 self.configuration.heard(node, message, now_ms)
-                self.host_exchange.heard(node, now_ms)
+                self.host_exchange.request_missing_hosts(node, now_ms)
             case DocumentRequest():
                 self.configuration.requested(node, message, now_ms)
             case DocumentReply():
                 self.configuration.replied(node, message, now_ms)
             case HostsRequest():
-                self.host_exchange.requested(node)
+                self.host_exchange.send_hosts(node)
             case HostsReply():
-                self.host_exchange.replied(node, message, now_ms)
+                self.host_exchange.add_reply(node, message, now_ms)
 
     def _record_load(self, node: NodeId, load: Load, now_ms: float) -> None:
-        self.membership.heard(node, load, now_ms)
-        self.router.heard(node.host, load, now_ms)
+        self.membership.record_report(node, load, now_ms)
+        self.router.record_load(node.host, load, now_ms)
 
     def _apply_document(self, document: Document | None) -> None:
         """Classify by ``document`` from now on; calls in flight keep their class."""
@@ -346,7 +346,7 @@
     def _handle_answer(self, node: NodeId, answer: Answer, now_ms: float) -> None:
         if answer.load is not None:
             self._record_load(node, answer.load, now_ms)
-        if not self.forwarder.answered(node.host, answer, now_ms):
+        if not self.forwarder.handle_answer(node.host, answer, now_ms):
             self.owner.handle_answer(node, answer, now_ms)
 
     def _handle_forward(self, node: NodeId, forward: Forward, now_ms: float) -> None:
--- a/packages/sassafraswinch/sassafraswinch/owner.py
+++ b/packages/sassafraswinch/sassafraswinch/owner.py
@@ -125,7 +125,7 @@
         del self.open[attempt.number]
         ran = answer.verdict is Verdict.ANSWERED
         latency_ms = now_ms - attempt.sent_at_ms if ran else None
-        self.router.answered(peer.host, latency_ms, answer.load, now_ms)
+        self.router.record_answer(peer.host, latency_ms, answer.load, now_ms)
         owned.allowance.reclaim(attempt.number, answer.unspent)
         if answer.verdict is Verdict.ANSWERED:
             self._finished.append(Finished(owned=owned, answer=answer))
@@ -176,7 +176,7 @@
         if peer is None or peer.session > session:
             return
         del self._peers[host]
-        self.router.failed(host, now_ms)
+        self.router.record_failure(host, now_ms)
         for owned in self._on_host(host):
             if owned.repeatable:
                 self._end_lost_attempt(owned, Reason.LINK_LOST, now_ms)
@@ -215,7 +215,7 @@
             if self._send(owned, view.name, now_ms):
                 return
             owned.failed_hosts |= {view.name}
-            self.router.failed(view.name, now_ms)
+            self.router.record_failure(view.name, now_ms)
 
     def _send(self, owned: OwnedCall, host: str, now_ms: float) -> bool:
         peer = self._peers.get(host)
@@ -234,14 +234,14 @@
             number=number, peer=peer.node, granted_retries=granted, sent_at_ms=now_ms
         )
         self.open[number] = owned
-        self.router.sent(host, now_ms)
+        self.router.record_sent(host, now_ms)
         return True
 
     def _close_attempt(self, attempt: Attempt) -> None:
         """Stop waiting for the answer of an attempt."""
         self._sent.settle(attempt.number)
         del self.open[attempt.number]
-        self.router.dropped(attempt.peer.host)
+        self.router.record_abandoned(attempt.peer.host)
 
     def _handle_failure(
         self, owned: OwnedCall, attempt: Attempt, answer: Answer, now_ms: float
@@ -277,7 +277,7 @@
         return frozenset(
             view.name
             for view in self.membership.candidates(owned.service, now_ms)
-            if not self.router.takes_below(view.name, owned.rank, now_ms)
+            if not self.router.admits_below(view.name, owned.rank, now_ms)
         )
 
     def _has_other_host(self, owned: OwnedCall, now_ms: float) -> bool:
@@ -302,7 +302,7 @@
         failed for the router.
         """
         attempt = owned.attempt
-        self.router.failed(attempt.peer.host, now_ms)
+        self.router.record_failure(attempt.peer.host, now_ms)
         self.links.send(attempt.peer.host, Cancel(number=attempt.number))
         if owned.repeatable or now_ms > owned.detached_wait_ends_ms:
             self._close_attempt(attempt)
--- a/packages/sassafraswinch/sassafraswinch/read_budget.py
+++ b/packages/sassafraswinch/sassafraswinch/read_budget.py
@@ -3,7 +3,7 @@
 import enum
 import random
 
-READS_PER_S = 2_000
+MAX_READS_PER_S = 2_000
 """Total reads a second that the platform can serve to all readers."""
 
 WATCH_WAIT_MS = 10_000
@@ -17,10 +17,10 @@
 """Open host list watches at any moment in a large fleet; the list is not passed
 between nodes, so each node reads it often."""
 
-STREAM_SHARE = 0.2
+MAX_STREAM_SHARE = 0.2
 """Maximum share of the read budget that one stream uses in its busiest second."""
 
-BACKOFF_DOUBLINGS = 3
+MAX_BACKOFF_DOUBLINGS = 3
 """Maximum number of doublings of the read interval while the platform is down."""
 
 
@@ -42,7 +42,7 @@
     Failure: the platform comes back after an outage, or drops all watches at once;
     every node reads it in the same second, and it goes down again. Each pause is
     therefore drawn uniformly from an interval in which one read per node takes
-    ``STREAM_SHARE`` of the budget, so that the budget holds at any moment.
+    ``MAX_STREAM_SHARE`` of the budget, so that the budget holds at any moment.
 
     Args:
         rng: source of all delays.
@@ -57,7 +57,7 @@
         rng: random.Random,
         nodes: int,
         watches: int = DOCUMENT_WATCHES,
-        budget_per_s: float = READS_PER_S,
+        budget_per_s: float = MAX_READS_PER_S,
     ):
         self._rng = rng
         self._nodes = max(1, nodes)
@@ -67,21 +67,21 @@
         self._isolated = False
 
     @property
-    def spread_ms(self) -> float:
+    def read_interval_ms(self) -> float:
         """Interval over which one read per node stays within the stream's share."""
-        return self._nodes * 1000 / (self._budget_per_s * STREAM_SHARE)
+        return self._nodes * 1000 / (self._budget_per_s * MAX_STREAM_SHARE)
 
     def set_nodes(self, nodes: int) -> None:
         """Update the size of the fleet."""
         self._nodes = max(1, nodes)
 
     def set_isolated(self, isolated: bool) -> None:
-        """Limit pauses to ``spread_ms`` while no peer can report changes."""
+        """Limit pauses to ``read_interval_ms`` while no peer can report changes."""
         self._isolated = isolated
 
     def first_delay_ms(self) -> float:
         """Return the pause before the first read; an entire fleet may start at once."""
-        return self._rng.uniform(0, self.spread_ms)
+        return self._rng.uniform(0, self.read_interval_ms)
 
     def wait_ms(self) -> int:
         """Return the time for which the next watch waits at the platform."""
@@ -90,11 +90,13 @@
     def next_delay_ms(self, outcome: WatchOutcome) -> float:
         """Return the pause between the end of a read and the next one."""
         if outcome is WatchOutcome.FAILED:
-            doublings = min(self._failures, BACKOFF_DOUBLINGS)
+            doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
             self._failures += 1
-            return self._rng.uniform(0, self.spread_ms * 2**doublings)
+            return self._rng.uniform(0, self.read_interval_ms * 2**doublings)
         self._failures = 0
-        return self._rng.uniform(0, max(self.spread_ms, 2 * self._mean_pause_ms()))
+        return self._rng.uniform(
+            0, max(self.read_interval_ms, 2 * self._mean_pause_ms())
+        )
 
     def _mean_pause_ms(self) -> float:
         """Return the mean pause that keeps ``watches`` of ``nodes`` watches open."""
--- a/packages/sassafraswinch/sassafraswinch/routing.py
+++ b/packages/sassafraswinch/sassafraswinch/routing.py
@@ -7,13 +7,13 @@
 from sassafraswinch.hosts import HostView
 from sassafraswinch.messages import Load, Rank
 
-WAY_ACROSS_MS = 1.5
+CROSS_ZONE_DELAY_MS = 1.5
 """One-way network delay between availability zones."""
 
-LOAD_FRESH_MS = 1_500.0
+MAX_LOAD_AGE_MS = 1_500.0
 """Age up to which a load report of a host is used: 1.5 heartbeat intervals."""
 
-LATENCY_GAIN = 0.1
+LATENCY_EWMA_WEIGHT = 0.1
 """Weight of a new latency in the exponential moving average (about ten calls)."""
 
 FIRST_BACKOFF_MS = 200.0
@@ -38,7 +38,7 @@
 
     def fresh_load(self, now_ms: float) -> Load | None:
         """Return the load last reported by the host, None if it is too old."""
-        fresh = now_ms - self.load_at_ms <= LOAD_FRESH_MS
+        fresh = now_ms - self.load_at_ms <= MAX_LOAD_AGE_MS
         return self.load if fresh else None
 
     def delay_ms(self, now_ms: float) -> float:
@@ -103,14 +103,14 @@
             return self._better_of_two(ready, now_ms)
         local = self._better_of_two(same_zone, now_ms)
         local_delay_ms = self._state_of(local).delay_ms(now_ms)
-        if local_delay_ms <= WAY_ACROSS_MS or len(same_zone) == len(ready):
+        if local_delay_ms <= CROSS_ZONE_DELAY_MS or len(same_zone) == len(ready):
             return local
         others = [h for h in ready if h.availability_zone != self._availability_zone]
         remote = self._better_of_two(others, now_ms)
-        remote_delay_ms = self._state_of(remote).delay_ms(now_ms) + WAY_ACROSS_MS
+        remote_delay_ms = self._state_of(remote).delay_ms(now_ms) + CROSS_ZONE_DELAY_MS
         return remote if remote_delay_ms < local_delay_ms else local
 
-    def sent(self, host: str, now_ms: float) -> None:
+    def record_sent(self, host: str, now_ms: float) -> None:
         """Record that a call was sent to the host."""
         state = self._hosts.setdefault(host, _HostState())
         state.outstanding += 1
@@ -118,7 +118,7 @@
         if state.failures:
             state.probing = True
 
-    def answered(
+    def record_answer(
         self, host: str, latency_ms: float | None, load: Load | None, now_ms: float
     ) -> None:
         """Record an answer of the host's node.
@@ -137,9 +137,9 @@
         if latency_ms is not None:
             state.latency_ms = _moving_average(state.latency_ms, latency_ms)
             self._mean_latency_ms = _moving_average(self._mean_latency_ms, latency_ms)
-        self.heard(host, load, now_ms)
+        self.record_load(host, load, now_ms)
 
-    def heard(self, host: str, load: Load | None, now_ms: float) -> None:
+    def record_load(self, host: str, load: Load | None, now_ms: float) -> None:
         """Record the load that a host reports on an answer or a heartbeat."""
         if load is None:
             return
@@ -152,7 +152,7 @@
         """Return the load last reported by a host, of whatever age."""
         return self._hosts[host].load if host in self._hosts else None
 
-    def takes_below(self, host: str, rank: Rank, now_ms: float) -> bool:
+    def admits_below(self, host: str, rank: Rank, now_ms: float) -> bool:
         """Return whether a host is known to admit classes below that of ``rank``."""
         state = self._hosts.get(host)
         load = state.fresh_load(now_ms) if state else None
@@ -162,7 +162,7 @@
             return load.queue_delay_ms <= 0
         return load.threshold.class_order > rank.class_order
 
-    def dropped(self, host: str) -> None:
+    def record_abandoned(self, host: str) -> None:
         """Record that the answer to a call is no longer awaited.
 
         If the call was the probe of a host in back-off, its answer will not end the
@@ -172,7 +172,7 @@
         state.outstanding = max(0, state.outstanding - 1)
         state.probing = False
 
-    def failed(self, host: str, now_ms: float) -> None:
+    def record_failure(self, host: str, now_ms: float) -> None:
         """Record that a host can't be reached, and start or extend its back-off."""
         state = self._hosts.setdefault(host, _HostState())
         state.probing = False
@@ -182,7 +182,7 @@
         jitter = 0.5 + self._rng.random()
         state.backoff_until_ms = now_ms + backoff_ms * jitter
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Discard the state of a removed host."""
         self._hosts.pop(host, None)
 
@@ -203,4 +203,4 @@
 
 
 def _moving_average(mean: float | None, value: float) -> float:
-    return value if mean is None else mean + LATENCY_GAIN * (value - mean)
+    return value if mean is None else mean + LATENCY_EWMA_WEIGHT * (value - mean)
--- a/packages/sassafraswinch/sassafraswinch/sync.py
+++ b/packages/sassafraswinch/sassafraswinch/sync.py
@@ -5,7 +5,7 @@
 SYNC_WAIT_MS = 3_000
 """Time that a node waits for its peers before it serves on the document it holds."""
 
-SYNC_LIMIT_MS = 15_000
+MAX_SYNC_WAIT_MS = 15_000
 """Time limit of the wait while a peer claims a newer version that none delivers."""
 
 
@@ -14,7 +14,7 @@
 
     The wait ends once every expected peer has answered and none claims a newer
     version, or after ``SYNC_WAIT_MS``. A newer version that is claimed but not yet
-    delivered extends it to at most ``SYNC_LIMIT_MS``, because a peer that never
+    delivered extends it to at most ``MAX_SYNC_WAIT_MS``, because a peer that never
     delivers must not stop a fleet that restarts host by host.
 
     Args:
@@ -27,7 +27,7 @@
         self._expected = set(expected)
         self._confirmed: set[str] = set()
 
-    def confirmed(self, host: str, sent_at_ms: float) -> None:
+    def record_answer(self, host: str, sent_at_ms: float) -> None:
         """Record that a host answered a heartbeat sent at ``sent_at_ms``.
 
         A link preserves order, so all earlier messages of the host have been
@@ -37,19 +37,19 @@
         if sent_at_ms >= self._started_ms:
             self._confirmed.add(host)
 
-    def lost(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Stop waiting for a host."""
         self._expected.discard(host)
 
-    def is_over(self, now_ms: float, *, unmet: bool) -> bool:
+    def is_over(self, now_ms: float, *, newer_claimed: bool) -> bool:
         """Return whether the node may serve.
 
         Args:
             now_ms: monotonic milliseconds.
-            unmet: whether a peer claims a newer document that isn't held yet.
+            newer_claimed: whether a peer claims a newer document that isn't held yet.
         """
         waited_ms = now_ms - self._started_ms
-        if unmet:
-            return waited_ms >= SYNC_LIMIT_MS
+        if newer_claimed:
+            return waited_ms >= MAX_SYNC_WAIT_MS
         all_answered = bool(self._expected) and self._expected <= self._confirmed
         return all_answered or waited_ms >= SYNC_WAIT_MS
--- a/packages/sassafraswinch/sassafraswinch/version_claims.py
+++ b/packages/sassafraswinch/sassafraswinch/version_claims.py
@@ -10,17 +10,17 @@
 FETCH_TIMEOUT_MS = 1_500
 """Time-out of a fetch request, after which another peer is tried."""
 
-RETRY_FIRST_MS = 250
+FIRST_FETCH_BACKOFF_MS = 250
 """Back-off of a peer that failed to deliver; doubled by each further failure."""
 
-RETRY_LIMIT_MS = 4_000
+MAX_FETCH_BACKOFF_MS = 4_000
 """Longest back-off of a peer that failed to deliver."""
 
-CLAIM_LIFE_MS = 30_000
+CLAIM_EXPIRY_MS = 30_000
 """Time after which a claim that is not renewed expires, because its peer is gone.
 Heartbeats renew it every 1 s."""
 
-SERVE_BYTES_PER_S = 1_000_000
+MAX_SERVED_BYTES_PER_S = 1_000_000
 """Maximum rate of packed document bytes sent to peers, with a burst of 1 s; less than a
 hundredth of the capacity of a 1 Gbit/s link."""
 
@@ -88,7 +88,7 @@
         self._claims: dict[NodeId, _Claim] = {}
         self._open: _OpenFetch | None = None
 
-    def heard(
+    def record_claim(
         self, peer: NodeId, stamp: Stamp, now_ms: float, *, near: bool = True
     ) -> None:
         """Record the claim of a peer; an unchanged one keeps its failure count.
@@ -104,28 +104,30 @@
         else:
             claim.received_ms = now_ms
 
-    def drop(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Discard the claims of all incarnations of the node on a host."""
         for peer in [peer for peer in self._claims if peer.host == host]:
             del self._claims[peer]
         if self._open and self._open.peer.host == host:
             self._open = None
 
-    def failed(self, peer: NodeId, now_ms: float) -> None:
+    def record_failure(self, peer: NodeId, now_ms: float) -> None:
         """Record that a peer didn't deliver, and close the request to it."""
         self._close(peer)
         claim = self._claims.get(peer)
         if claim is None:
             return
-        backoff_ms = min(RETRY_LIMIT_MS, RETRY_FIRST_MS * 2**claim.failures)
+        backoff_ms = min(
+            MAX_FETCH_BACKOFF_MS, FIRST_FETCH_BACKOFF_MS * 2**claim.failures
+        )
         claim.failures = min(claim.failures + 1, 16)
         claim.retry_at_ms = now_ms + backoff_ms * self._rng.uniform(0.5, 1.5)
 
-    def delivered(self, peer: NodeId, stamp: Stamp, now_ms: float) -> None:
+    def record_delivery(self, peer: NodeId, stamp: Stamp, now_ms: float) -> None:
         """Record what a peer delivered; an older document than claimed is a failure."""
         claim = self._claims.get(peer)
         if claim and supersedes(claim.stamp, stamp):
-            self.failed(peer, now_ms)
+            self.record_failure(peer, now_ms)
         else:
             self._close(peer)
 
@@ -140,7 +142,7 @@
             now_ms: monotonic milliseconds.
         """
         if self._open and now_ms - self._open.sent_at_ms >= FETCH_TIMEOUT_MS:
-            self.failed(self._open.peer, now_ms)
+            self.record_failure(self._open.peer, now_ms)
             self._expire(now_ms)
         if self._open:
             return None
@@ -157,7 +159,7 @@
             peer=peer.host, request=DocumentRequest(version=claim.stamp.version)
         )
 
-    def is_unmet(self, held: Stamp, is_refused: Callable[[Stamp], bool]) -> bool:
+    def has_newer_claim(self, held: Stamp, is_refused: Callable[[Stamp], bool]) -> bool:
         """Return whether a peer claims a document that supersedes ``held``."""
         return bool(self._wanted(held, is_refused))
 
@@ -173,7 +175,7 @@
         self._claims = {
             peer: claim
             for peer, claim in self._claims.items()
-            if now_ms - claim.received_ms < CLAIM_LIFE_MS
+            if now_ms - claim.received_ms < CLAIM_EXPIRY_MS
         }
 
     def _close(self, peer: NodeId) -> None:
@@ -216,13 +218,13 @@
     """
 
     def __init__(self):
-        self._bytes_left = float(SERVE_BYTES_PER_S)
+        self._bytes_left = float(MAX_SERVED_BYTES_PER_S)
         self._at_ms = 0.0
 
     def spend(self, size_bytes: int, now_ms: float) -> bool:
         """Return whether a document of this size may be sent now."""
-        earned = (now_ms - self._at_ms) * SERVE_BYTES_PER_S / 1000
-        self._bytes_left = min(SERVE_BYTES_PER_S, self._bytes_left + earned)
+        earned = (now_ms - self._at_ms) * MAX_SERVED_BYTES_PER_S / 1000
+        self._bytes_left = min(MAX_SERVED_BYTES_PER_S, self._bytes_left + earned)
         self._at_ms = now_ms
         if self._bytes_left <= 0:
             return False
--- a/packages/sassafraswinch/sassafraswinch/versions.py
+++ b/packages/sassafraswinch/sassafraswinch/versions.py
@@ -32,14 +32,14 @@
     supersedes,
 )
 
-KNOWN_CONTENTS = 64
+MAX_REMEMBERED_DOCUMENTS = 64
 """Documents remembered by digest, so that none is parsed or refused twice."""
 
-REPORTED_CONFLICTS = 8
+MAX_REPORTED_CONFLICTS = 8
 """Number of the latest conflicts kept for the report."""
 
 
-class ConfigKeeper:
+class DocumentStore:
     """Holds the configuration document in force on one node.
 
     Documents are ordered by version, and within one version by digest, where the
@@ -72,7 +72,7 @@
         self._since_ms = 0.0
         self._sync: PeerSync | None = PeerSync(started_ms=math.inf)
         self._refusal: Refusal | None = None
-        self._conflicts: deque[Conflict] = deque(maxlen=REPORTED_CONFLICTS)
+        self._conflicts: deque[Conflict] = deque(maxlen=MAX_REPORTED_CONFLICTS)
 
     @property
     def in_force(self) -> Document | None:
@@ -103,7 +103,7 @@
         """
         self._sync = PeerSync(started_ms=now_ms, expected=expected)
 
-    def read(self, body: bytes) -> Candidate:
+    def parse_body(self, body: bytes) -> Candidate:
         """Parse a body; changes no state, so that it may run in a thread."""
         digest = self._digest(body)
         known = self._known.get(digest)
@@ -124,9 +124,11 @@
 
     def offer(self, body: bytes, source: Source, now_ms: float) -> OfferResult:
         """Parse a body and put it in force if it is valid and newer."""
-        return self.take(self.read(body), source, now_ms)
+        return self.apply_candidate(self.parse_body(body), source, now_ms)
 
-    def take(self, candidate: Candidate, source: Source, now_ms: float) -> OfferResult:
+    def apply_candidate(
+        self, candidate: Candidate, source: Source, now_ms: float
+    ) -> OfferResult:
         """Put a parsed document in force if it is valid and newer."""
         self._remember(candidate)
         outcome = self._check_candidate(candidate)
@@ -147,7 +149,7 @@
             fetches=self.tick(now_ms),
         )
 
-    def heard(
+    def record_peer_version(
         self,
         peer: NodeId,
         version: int,
@@ -169,39 +171,41 @@
             Fetch requests to send; at most one is open at a time.
         """
         stamp = Stamp(version, digest)
-        self._claims.heard(peer, stamp, now_ms, near=near)
+        self._claims.record_claim(peer, stamp, now_ms, near=near)
         if version and version == self._stamp.version and stamp != self._stamp:
             self._record_conflict(stamp, now_ms)
         if self._sync is None and not supersedes(stamp, self._stamp):
             return ()
         return self.tick(now_ms)
 
-    def confirmed(
+    def record_round_trip(
         self, host: str, sent_at_ms: float, now_ms: float
     ) -> tuple[Fetch, ...]:
         """Record that a host answered a heartbeat sent at ``sent_at_ms``."""
         if self._sync is None:
             return ()
-        self._sync.confirmed(host, sent_at_ms)
+        self._sync.record_answer(host, sent_at_ms)
         return self.tick(now_ms)
 
-    def reply(
+    def apply_reply(
         self, peer: NodeId, reply: DocumentReply, now_ms: float
     ) -> OfferResult | None:
         """Handle a peer's reply to a fetch; return None if it holds no document."""
         try:
             body = unpack_document(reply.body)
         except UnpackError:
-            self._claims.failed(peer, now_ms)
+            self._claims.record_failure(peer, now_ms)
             return None
-        return self.fetched(peer, self.read(body), now_ms)
+        return self.apply_fetched(peer, self.parse_body(body), now_ms)
 
-    def fetched(self, peer: NodeId, candidate: Candidate, now_ms: float) -> OfferResult:
+    def apply_fetched(
+        self, peer: NodeId, candidate: Candidate, now_ms: float
+    ) -> OfferResult:
         """Apply a parsed document that a peer delivered."""
-        self._claims.delivered(peer, candidate.stamp, now_ms)
-        return self.take(candidate, Source.PEER, now_ms)
+        self._claims.record_delivery(peer, candidate.stamp, now_ms)
+        return self.apply_candidate(candidate, Source.PEER, now_ms)
 
-    def answer(self, request: DocumentRequest, now_ms: float) -> DocumentReply:
+    def answer_request(self, request: DocumentRequest, now_ms: float) -> DocumentReply:
         """Return the reply to a peer; an empty body makes it try another peer."""
         document = self._document
         if document is None or document.version < request.version:
@@ -214,9 +218,9 @@
 
     def peer_lost(self, host: str, now_ms: float) -> tuple[Fetch, ...]:
         """Discard the claims of a host whose last link is lost."""
-        self._claims.drop(host)
+        self._claims.remove_host(host)
         if self._sync:
-            self._sync.lost(host)
+            self._sync.remove_host(host)
         return self.tick(now_ms)
 
     def tick(self, now_ms: float) -> tuple[Fetch, ...]:
@@ -286,7 +290,7 @@
         digest = candidate.stamp.digest
         self._known[digest] = Candidate(stamp=candidate.stamp, errors=candidate.errors)
         self._known.move_to_end(digest)
-        if len(self._known) > KNOWN_CONTENTS:
+        if len(self._known) > MAX_REMEMBERED_DOCUMENTS:
             self._known.popitem(last=False)
 
     def _is_refused(self, stamp: Stamp) -> bool:
@@ -296,6 +300,6 @@
     def _end_sync(self, now_ms: float) -> None:
         if self._sync is None or self._document is None:
             return
-        newer_claimed = self._claims.is_unmet(self._stamp, self._is_refused)
-        if self._sync.is_over(now_ms, unmet=newer_claimed):
+        newer_claimed = self._claims.has_newer_claim(self._stamp, self._is_refused)
+        if self._sync.is_over(now_ms, newer_claimed=newer_claimed):
             self._sync = None
--- a/packages/sassafraswinch/tests/test_host_exchange.py
+++ b/packages/sassafraswinch/tests/test_host_exchange.py
@@ -3,8 +3,8 @@
 import pytest
 
 from sassafraswinch.host_exchange import (
-    ENOUGH_PEERS,
     HOSTS_REQUEST_RETRY_MS,
+    MAX_PEERS_REQUESTED,
     HostExchange,
 )
 from sassafraswinch.hosts import HostRecord, HostState
@@ -61,10 +61,10 @@
     The record stems from the earlier run of this host, so the new one must not stop.
     """
     peer = NodeId("vydej-2", 7)
-    exchange.heard(peer, 0)
+    exchange.request_missing_hosts(peer, 0)
     assert links.replies == [("vydej-2", HostsRequest(list_version=0))]
     hosts = (record(SELF, HostState.LEAVING), record("vydej-2"), record("vydej-3"))
-    exchange.replied(peer, HostsReply(hosts=hosts), 1)
+    exchange.add_reply(peer, HostsReply(hosts=hosts), 1)
 
     assert {view.name for view in membership.views(1)} == {SELF, "vydej-2", "vydej-3"}
     assert not membership.self_leaving
@@ -73,39 +73,39 @@
 def test_few_peers_get_a_request_and_those_with_an_empty_reply_another(exchange, links):
     peers = [NodeId(f"vydej-{number}", 1) for number in range(2, 12)]
     for peer in peers:
-        exchange.heard(peer, 0)
-    assert len(links.replies) == ENOUGH_PEERS
+        exchange.request_missing_hosts(peer, 0)
+    assert len(links.replies) == MAX_PEERS_REQUESTED
 
-    for peer in peers[:ENOUGH_PEERS]:
-        exchange.replied(peer, HostsReply(hosts=()), 1)
-        exchange.heard(peer, HOSTS_REQUEST_RETRY_MS)
-    assert len(links.replies) == 2 * ENOUGH_PEERS
+    for peer in peers[:MAX_PEERS_REQUESTED]:
+        exchange.add_reply(peer, HostsReply(hosts=()), 1)
+        exchange.request_missing_hosts(peer, HOSTS_REQUEST_RETRY_MS)
+    assert len(links.replies) == 2 * MAX_PEERS_REQUESTED
 
-    for peer in peers[:ENOUGH_PEERS]:
-        exchange.replied(
+    for peer in peers[:MAX_PEERS_REQUESTED]:
+        exchange.add_reply(
             peer, HostsReply(hosts=(record("vydej-2"),)), HOSTS_REQUEST_RETRY_MS
         )
     for peer in peers:
-        exchange.heard(peer, 3 * HOSTS_REQUEST_RETRY_MS)
-    assert len(links.replies) == 2 * ENOUGH_PEERS
+        exchange.request_missing_hosts(peer, 3 * HOSTS_REQUEST_RETRY_MS)
+    assert len(links.replies) == 2 * MAX_PEERS_REQUESTED
 
 
 def test_node_with_a_platform_list_requests_no_hosts(exchange, membership, links):
-    membership.replace([record(SELF)], 1, 0)
-    exchange.heard(NodeId("vydej-2", 1), 0)
+    membership.apply_host_list([record(SELF)], 1, 0)
+    exchange.request_missing_hosts(NodeId("vydej-2", 1), 0)
     assert not links.replies
 
 
 def test_known_host_is_not_changed_by_a_peer_record(exchange, membership):
-    membership.learn([record("vydej-2")], 0)
+    membership.add_hosts([record("vydej-2")], 0)
     leaving = HostsReply(hosts=(record("vydej-2", HostState.LEAVING),))
-    exchange.replied(NodeId("vydej-3", 1), leaving, 1)
+    exchange.add_reply(NodeId("vydej-3", 1), leaving, 1)
     assert [view.leaving for view in membership.views(1)] == [False]
 
 
 def test_reply_holds_all_known_hosts(exchange, membership, links):
-    membership.learn([record(SELF), record("vydej-2")], 0)
-    exchange.requested(NodeId("vydej-2", 1))
+    membership.add_hosts([record(SELF), record("vydej-2")], 0)
+    exchange.send_hosts(NodeId("vydej-2", 1))
     ((host, reply),) = links.replies
     assert host == "vydej-2"
     assert reply.hosts == (record(SELF), record("vydej-2"))
@@ -119,19 +119,19 @@
     It knows only its own host, so its callers and its backend server could reach no
     service. A peer that still has its address dials it.
     """
-    membership.learn([record(SELF)], 0)
+    membership.add_hosts([record(SELF)], 0)
     known = Membership(self_host="vydej-2")
-    known.replace([record(name) for name in (SELF, "vydej-2", "vydej-3")], 7, 0)
+    known.apply_host_list([record(name) for name in (SELF, "vydej-2", "vydej-3")], 7, 0)
     peer_links = AcceptedLinks()
     peer = HostExchange(self_host="vydej-2", membership=known, links=peer_links)
 
-    exchange.heard(NodeId("vydej-2", 1), 1)
+    exchange.request_missing_hosts(NodeId("vydej-2", 1), 1)
     assert links.replies == [("vydej-2", HostsRequest(list_version=0))]
-    peer.requested(NodeId(SELF, 2))
+    peer.send_hosts(NodeId(SELF, 2))
     ((_, reply),) = peer_links.replies
-    exchange.replied(NodeId("vydej-2", 1), reply, 3)
+    exchange.add_reply(NodeId("vydej-2", 1), reply, 3)
     names = {found.name for found in membership.peers(4)}
     assert names == {"vydej-2", "vydej-3"}
-    exchange.heard(NodeId("vydej-2", 1), 5)
+    exchange.request_missing_hosts(NodeId("vydej-2", 1), 5)
     assert len(links.replies) == 1
     assert membership.list_version == 0
--- a/packages/sassafraswinch/tests/test_lifecycle.py
+++ b/packages/sassafraswinch/tests/test_lifecycle.py
@@ -13,12 +13,12 @@
     lifecycle = Lifecycle()
     lifecycle.listening()
     lifecycle.synced()
-    assert lifecycle.takes_calls
+    assert lifecycle.accepts_calls
     lifecycle.leave(1_000.0)
     lifecycle.leave(9_000.0)
     lifecycle.woke()
     lifecycle.synced()
-    assert lifecycle.leaving and not lifecycle.takes_calls
+    assert lifecycle.leaving and not lifecycle.accepts_calls
     lifecycle.tick(1_000.0 + LEAVE_NOTICE_MS - 1, in_flight=0)
     lifecycle.tick(1_000.0 + LEAVE_NOTICE_MS, in_flight=1)
     assert lifecycle.state is NodeState.LEAVING
@@ -34,7 +34,7 @@
     lifecycle.tick(1e9, in_flight=0)
     assert lifecycle.state is NodeState.SERVING
     lifecycle.woke()
-    assert not lifecycle.takes_calls
+    assert not lifecycle.accepts_calls
     lifecycle.cut()
     assert lifecycle.state is NodeState.STOPPED
 
--- a/packages/sassafraswinch/tests/test_link_plan.py
+++ b/packages/sassafraswinch/tests/test_link_plan.py
@@ -1,7 +1,7 @@
 """Tests of the link plan: the hosts that a node links to, given its calls."""
 
 from sassafraswinch.link_plan import (
-    DEMAND_MS,
+    DEMAND_RETENTION_MS,
     GOSSIP_LINKS,
     LINKS_PER_SERVICE,
     LinkPlan,
@@ -35,8 +35,8 @@
 def test_called_services_get_links_in_own_availability_zone_first():
     plan, records = make_plan(), make_records()
     assert len(plan.choose(records, 0.0)) == GOSSIP_LINKS
-    assert plan.need_service("service-2", 0.0)
-    assert not plan.need_service("service-2", 1.0)
+    assert plan.record_service_demand("service-2", 0.0)
+    assert not plan.record_service_demand("service-2", 1.0)
     chosen = plan.choose(records, 1.0)
     of_service = [r for r in records if r.name in chosen and r.service == "service-2"]
     same_zone = [r for r in of_service if r.availability_zone == "zone-0"]
@@ -45,9 +45,9 @@
 
 def test_links_are_stable_until_the_demand_expires():
     plan, records = make_plan(), make_records()
-    plan.need_service("service-2", 0.0)
-    plan.need_host("host-50", 0.0)
+    plan.record_service_demand("service-2", 0.0)
+    plan.record_host_demand("host-50", 0.0)
     chosen = plan.choose(records, 0.0)
     assert "host-50" in chosen
-    assert plan.choose(records[::-1], DEMAND_MS - 1) == chosen
-    assert len(plan.choose(records, DEMAND_MS)) == GOSSIP_LINKS
+    assert plan.choose(records[::-1], DEMAND_RETENTION_MS - 1) == chosen
+    assert len(plan.choose(records, DEMAND_RETENTION_MS)) == GOSSIP_LINKS
--- a/packages/sassafraswinch/tests/test_membership.py
+++ b/packages/sassafraswinch/tests/test_membership.py
@@ -60,7 +60,7 @@
         self.detector = WakeDetector(tick_ms=250)
         self.detector.observe(monotonic_ms=0.0, wall_ms=0.0)
         self.lists = [{name: record(name) for name in HOSTS}]
-        self.members.replace(self.lists[0].values(), 1, 0.0)
+        self.members.apply_host_list(self.lists[0].values(), 1, 0.0)
         self.peers = {name: Peer(name) for name in HOSTS}
         for peer in self.peers.values():
             self.dial(peer)
@@ -87,10 +87,10 @@
             message = peer.queue.popleft()
             if isinstance(message, float):
                 peer.answered_ms = self.now_ms
-                self.members.round_trip(peer.name, message, self.now_ms)
+                self.members.record_round_trip(peer.name, message, self.now_ms)
             else:
                 peer.has_reported = True
-                self.members.heard(*message, self.now_ms)
+                self.members.record_report(*message, self.now_ms)
 
     def publish(self, name, state):
         self.lists.append(self.lists[-1] | {name: record(name, state)})
@@ -126,7 +126,7 @@
         if version > self.members.list_version:
             for name, shown_record in shown.items():
                 self.peers[name].marked = shown_record.state is HostState.LEAVING
-        self.members.replace(shown.values(), version, self.now_ms)
+        self.members.apply_host_list(shown.values(), version, self.now_ms)
 
     @rule(steps=st.integers(1, 8))
     def elapse(self, steps):
@@ -138,7 +138,9 @@
                 self.send_heartbeat(peer, self.now_ms)
                 self.deliver(peer)
                 if self.now_ms - peer.answered_ms >= SILENT_MS and peer.linked:
-                    self.members.silent(peer.name, self.now_ms, session=peer.session)
+                    self.members.record_silent_link(
+                        peer.name, self.now_ms, session=peer.session
+                    )
                     peer.linked = False
                 if not peer.linked:
                     self.dial(peer)
@@ -155,7 +157,7 @@
             if second == 0:
                 self.leave(leaver)
         assert self.detector.observe(monotonic_ms=self.now_ms, wall_ms=self.now_ms)
-        self.members.distrust(self.now_ms)
+        self.members.require_fresh_round_trips(self.now_ms)
         for peer in self.peers.values():
             self.send_heartbeat(peer, self.now_ms)
 
@@ -185,10 +187,10 @@
 
 def linked_members(*names):
     members = Membership(self_host="self")
-    members.replace([record(name) for name in names], 5, 0.0)
+    members.apply_host_list([record(name) for name in names], 5, 0.0)
     for name in names:
         members.link_up(name, 1, 0.0)
-        members.heard(NodeId(name, 1), Load(), 0.0)
+        members.record_report(NodeId(name, 1), Load(), 0.0)
     return members
 
 
@@ -204,9 +206,9 @@
     incarnation, delivered late by another link, may make it live again.
     """
     members = linked_members("x", "y")
-    members.heard(NodeId("x", 1), Load(leaving=True), 1.0)
-    members.heard(NodeId("x", 1), Load(leaving=False), 2.0)
-    members.replace([record("x"), record("y")], 6, 3.0)
+    members.record_report(NodeId("x", 1), Load(leaving=True), 1.0)
+    members.record_report(NodeId("x", 1), Load(leaving=False), 2.0)
+    members.apply_host_list([record("x"), record("y")], 6, 3.0)
     assert linked(members) == {"y"}
 
 
@@ -219,12 +221,12 @@
     """
     members = linked_members("x", "y")
     leaving = replace(record("x"), state=HostState.LEAVING)
-    members.replace([leaving, record("y")], 6, 1.0)
+    members.apply_host_list([leaving, record("y")], 6, 1.0)
     assert linked(members) == {"y"}
     members.link_up("x", 2, 2.0)
     assert linked(members) == {"y"}
-    members.heard(NodeId("x", 2), Load(), 3.0)
-    members.replace([leaving, record("y")], 6, 4.0)
+    members.record_report(NodeId("x", 2), Load(), 3.0)
+    members.apply_host_list([leaving, record("y")], 6, 4.0)
     assert linked(members) == {"x", "y"}
 
 
@@ -243,7 +245,7 @@
     is evicted.
     """
     members = linked_members("x")
-    members.replace([], 6, 0.0)
+    members.apply_host_list([], 6, 0.0)
     assert linked(members) == {"x"}
     members.link_lost("x", 1.0)
     members.tick(3_600_000.0)
--- a/packages/sassafraswinch/tests/test_read_budget.py
+++ b/packages/sassafraswinch/tests/test_read_budget.py
@@ -9,7 +9,7 @@
 
 from sassafraswinch.read_budget import (
     HOST_WATCHES,
-    READS_PER_S,
+    MAX_READS_PER_S,
     WatchOutcome,
     WatchSchedule,
 )
@@ -80,8 +80,8 @@
     """
     documents, lists = fleet(random.Random(seed))
     reads = simulate(documents + lists)
-    assert busiest_second(reads, waiting=False) < READS_PER_S / 2
-    assert busiest_second(reads, waiting=True) < READS_PER_S
+    assert busiest_second(reads, waiting=False) < MAX_READS_PER_S / 2
+    assert busiest_second(reads, waiting=True) < MAX_READS_PER_S
 
 
 def test_some_node_reads_a_change_or_ended_outage_within_a_second():
--- a/packages/sassafraswinch/tests/test_routing.py
+++ b/packages/sassafraswinch/tests/test_routing.py
@@ -9,8 +9,8 @@
 from sassafraswinch.messages import Load, Rank
 from sassafraswinch.routing import (
     FIRST_BACKOFF_MS,
-    LOAD_FRESH_MS,
     MAX_BACKOFF_MS,
+    MAX_LOAD_AGE_MS,
     Router,
 )
 
@@ -42,13 +42,13 @@
 def test_own_zone_is_preferred_until_its_queue_delay_exceeds_the_network_delay(router):
     hosts = [view("near"), view("far", "brno-b")]
     assert set(choices(router, hosts)) == {"near"}
-    router.heard("near", Load(queue_delay_ms=1.0), 0.0)
+    router.record_load("near", Load(queue_delay_ms=1.0), 0.0)
     assert set(choices(router, hosts)) == {"near"}
-    router.heard("near", Load(queue_delay_ms=20.0), 0.0)
+    router.record_load("near", Load(queue_delay_ms=20.0), 0.0)
     assert set(choices(router, hosts)) == {"far"}
-    router.heard("far", Load(queue_delay_ms=19.0), 0.0)
+    router.record_load("far", Load(queue_delay_ms=19.0), 0.0)
     assert set(choices(router, hosts)) == {"near"}
-    assert set(choices(router, hosts, now_ms=LOAD_FRESH_MS + 1)) == {"near"}
+    assert set(choices(router, hosts, now_ms=MAX_LOAD_AGE_MS + 1)) == {"near"}
 
 
 def test_failed_host_backs_off_and_is_probed_by_one_call_at_a_time(router):
@@ -58,42 +58,42 @@
     calls again after the answer to the probe.
     """
     hosts = [view("a"), view("b")]
-    router.answered("b", 10.0, None, 0.0)
-    router.sent("a", 0.0)
-    router.dropped("a")
-    router.failed("a", 0.0)
+    router.record_answer("b", 10.0, None, 0.0)
+    router.record_sent("a", 0.0)
+    router.record_abandoned("a")
+    router.record_failure("a", 0.0)
     assert set(choices(router, hosts)) == {"b"}
     later_ms = FIRST_BACKOFF_MS * 1.5
     assert choices(router, hosts, now_ms=later_ms)["a"] > 0
-    router.sent("a", later_ms)
+    router.record_sent("a", later_ms)
     assert set(choices(router, hosts, now_ms=later_ms)) == {"b"}
-    router.answered("a", 10.0, None, later_ms)
+    router.record_answer("a", 10.0, None, later_ms)
     assert choices(router, hosts, now_ms=later_ms)["a"] > 0
 
 
 def test_back_off_is_bounded_and_a_host_is_chosen_when_all_are_in_back_off(router):
     for _ in range(20):
-        router.failed("a", 0.0)
-    router.failed("b", 0.0)
+        router.record_failure("a", 0.0)
+    router.record_failure("b", 0.0)
     assert set(choices(router, [view("a"), view("b")])) == {"b"}
     late_ms = MAX_BACKOFF_MS * 1.5
     assert choices(router, [view("a"), view("b")], now_ms=late_ms)["a"] > 0
 
 
 def test_host_with_lower_latency_is_preferred_at_equal_load(router):
-    router.answered("slow", 150.0, Load(in_flight=10, limit=60), 0.0)
-    router.answered("fast", 30.0, Load(in_flight=10, limit=60), 0.0)
+    router.record_answer("slow", 150.0, Load(in_flight=10, limit=60), 0.0)
+    router.record_answer("fast", 30.0, Load(in_flight=10, limit=60), 0.0)
     assert set(choices(router, [view("slow"), view("fast")])) == {"fast"}
 
 
 def test_new_host_is_not_flooded_before_its_first_answer(router):
     """A new host without latency samples starts beside one that takes 100 ms."""
-    router.answered("known", 100.0, None, 0.0)
+    router.record_answer("known", 100.0, None, 0.0)
     for _ in range(100):
         host = router.choose(
             [view("known"), view("new")], excluded=frozenset(), now_ms=0.0
         )
-        router.sent(host.name, 0.0)
+        router.record_sent(host.name, 0.0)
     assert 40 <= router._hosts["new"].outstanding <= 60
 
 
@@ -103,10 +103,10 @@
     Counted as latency, its refusals would make it appear the fastest host, and it
     would get all calls.
     """
-    router.answered("full", 100.0, None, 0.0)
+    router.record_answer("full", 100.0, None, 0.0)
     for _ in range(50):
-        router.answered("full", None, Load(), 0.0)
-    router.answered("fine", 30.0, Load(), 0.0)
+        router.record_answer("full", None, Load(), 0.0)
+    router.record_answer("fine", 30.0, Load(), 0.0)
     assert set(choices(router, [view("full"), view("fine")])) == {"fine"}
 
 
@@ -126,13 +126,13 @@
     A host that reports no threshold has free capacity unless calls are queued.
     """
     paying = Rank(0, 5)
-    assert not router.takes_below("unheard", paying, 0.0)
-    router.heard("free", Load(), 0.0)
-    router.heard("full", Load(queue_delay_ms=5.0), 0.0)
-    router.heard("trial too", Load(threshold=Rank(1, 3)), 0.0)
-    router.heard("paying only", Load(threshold=Rank(0, 90)), 0.0)
+    assert not router.admits_below("unheard", paying, 0.0)
+    router.record_load("free", Load(), 0.0)
+    router.record_load("full", Load(queue_delay_ms=5.0), 0.0)
+    router.record_load("trial too", Load(threshold=Rank(1, 3)), 0.0)
+    router.record_load("paying only", Load(threshold=Rank(0, 90)), 0.0)
     admitting = {
-        host: router.takes_below(host, paying, 0.0)
+        host: router.admits_below(host, paying, 0.0)
         for host in ("free", "full", "trial too", "paying only")
     }
     assert admitting == {
@@ -141,4 +141,4 @@
         "trial too": True,
         "paying only": False,
     }
-    assert not router.takes_below("free", paying, LOAD_FRESH_MS + 1)
+    assert not router.admits_below("free", paying, MAX_LOAD_AGE_MS + 1)
--- a/packages/sassafraswinch/tests/test_spreading.py
+++ b/packages/sassafraswinch/tests/test_spreading.py
@@ -13,9 +13,9 @@
 from sassafraswinch.messages import DocumentRequest, NodeId
 from sassafraswinch.offers import Source
 from sassafraswinch.read_budget import DOCUMENT_WATCHES
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
-from .utils.config_keepers import body_of, digest, parse
+from .utils.document_fixtures import body_of, digest, parse
 
 NODES, SERVICES, ZONES, SERVICES_CALLED = 560, 50, 6, 4
 IN_FORCE_MS = 9_000
@@ -54,7 +54,7 @@
     for n, record in enumerate(records):
         plan = LinkPlan(host=record.name, availability_zone=record.availability_zone)
         for step in range(1, SERVICES_CALLED + 1):
-            plan.need_service(f"s{(n + 7 * step) % SERVICES}", 0.0)
+            plan.record_service_demand(f"s{(n + 7 * step) % SERVICES}", 0.0)
         pairs |= {frozenset((record.name, o)) for o in plan.choose(records, 0.0)}
     linked = defaultdict(list)
     for one, other in map(sorted, pairs):
@@ -81,7 +81,7 @@
 
     def __post_init__(self):
         self.document_stores = {
-            name: ConfigKeeper(parse=parse, digest=digest, rng=self.rng)
+            name: DocumentStore(parse=parse, digest=digest, rng=self.rng)
             for name in self.records
         }
         for name, document_store in self.document_stores.items():
@@ -108,20 +108,24 @@
         if isinstance(message, tuple):
             near = one_way_ms(self.records[sender], self.records[receiver]) < 1
             self.fetch(
-                ms, receiver, document_store.heard(peer, *message, ms, near=near)
+                ms,
+                receiver,
+                document_store.record_peer_version(peer, *message, ms, near=near),
             )
         elif isinstance(message, DocumentRequest):
-            reply = document_store.answer(message, ms)
+            reply = document_store.answer_request(message, ms)
             size = len(reply.body) + REQUEST_BYTES + PACKET_BYTES
             self.send(ms, receiver, sender, reply, size)
         elif message.body:
             parsed_ms = ms + len(self.body) / PARSE_BYTES_PER_MS
             self.schedule(parsed_ms, self.apply_reply, receiver, peer, message)
         else:
-            document_store.reply(peer, message, ms)
+            document_store.apply_reply(peer, message, ms)
 
     def apply_reply(self, ms, name, peer, reply):
-        self.record_offered(ms, name, self.document_stores[name].reply(peer, reply, ms))
+        self.record_offered(
+            ms, name, self.document_stores[name].apply_reply(peer, reply, ms)
+        )
 
     def record_offered(self, ms, name, offered):
         if offered and offered.changed:
--- a/packages/sassafraswinch/tests/test_versions.py
+++ b/packages/sassafraswinch/tests/test_versions.py
@@ -8,7 +8,7 @@
 from sassafraswinch.transfer import pack_document
 from sassafraswinch.version_claims import FETCH_TIMEOUT_MS
 
-from .utils.config_keepers import body_of, new_keeper, stamp_of
+from .utils.document_fixtures import body_of, new_document_store, stamp_of
 
 
 def test_invalid_document_is_superseded_by_a_valid_newer_one():
@@ -17,7 +17,7 @@
     Version 1 stays in force meanwhile, and the report names the field. Once version 3
     is in force the fault is no longer reported.
     """
-    document_store = new_keeper()
+    document_store = new_document_store()
     document_store.offer(body_of(1), Source.PLATFORM, 0.0)
     refused = document_store.offer(body_of(2, "bad"), Source.PLATFORM, 1.0)
     assert refused.outcome is Outcome.INVALID
@@ -34,17 +34,17 @@
     The node sends a request to the near one, times out, sends one to the far one, and
     reports the near peer as not delivering until it has the document.
     """
-    document_store = new_keeper()
+    document_store = new_document_store()
     mute, far = NodeId("mute", 1), NodeId("far", 1)
     stamp = stamp_of(body_of(2))
-    (first,) = document_store.heard(mute, *stamp, 0.0, near=True)
+    (first,) = document_store.record_peer_version(mute, *stamp, 0.0, near=True)
     assert (first.peer, first.request.version) == ("mute", 2)
-    assert document_store.heard(far, *stamp, 1.0, near=False) == ()
+    assert document_store.record_peer_version(far, *stamp, 1.0, near=False) == ()
     (second,) = document_store.tick(FETCH_TIMEOUT_MS)
     assert second.peer == "far"
     assert document_store.report(FETCH_TIMEOUT_MS).undelivered == ("mute",)
     reply = DocumentReply(version=2, body=pack_document(body_of(2)))
-    assert document_store.reply(far, reply, FETCH_TIMEOUT_MS).changed
+    assert document_store.apply_reply(far, reply, FETCH_TIMEOUT_MS).changed
     assert document_store.report(FETCH_TIMEOUT_MS).undelivered == ()
 
 
@@ -54,15 +54,15 @@
     Its buffers hold the peer's answer to a heartbeat sent before the pause, ahead of
     the peer's report of version 2. That answer must not end the wait.
     """
-    document_store, peer = new_keeper(), NodeId("peer", 1)
+    document_store, peer = new_document_store(), NodeId("peer", 1)
     document_store.offer(body_of(1), Source.PLATFORM, 0.0)
     document_store.start_sync(60_000.0, expected={"peer"})
-    document_store.confirmed("peer", 1_000.0, 60_001.0)
+    document_store.record_round_trip("peer", 1_000.0, 60_001.0)
     assert document_store.serving is None
-    document_store.heard(peer, *stamp_of(body_of(2)), 60_002.0)
-    document_store.confirmed("peer", 60_000.0, 60_003.0)
+    document_store.record_peer_version(peer, *stamp_of(body_of(2)), 60_002.0)
+    document_store.record_round_trip("peer", 60_000.0, 60_003.0)
     assert document_store.serving is None
-    document_store.reply(
+    document_store.apply_reply(
         peer, DocumentReply(version=2, body=pack_document(body_of(2))), 60_004.0
     )
     assert document_store.serving.version == 2
@@ -73,10 +73,10 @@
 
     Version 2 is better than none, but the node must not repeat the request in a loop.
     """
-    document_store, peer = new_keeper(), NodeId("peer", 1)
+    document_store, peer = new_document_store(), NodeId("peer", 1)
     reply = DocumentReply(version=2, body=pack_document(body_of(2)))
-    assert document_store.heard(peer, *stamp_of(body_of(3)), 0.0)
-    assert document_store.reply(peer, reply, 1.0).changed
+    assert document_store.record_peer_version(peer, *stamp_of(body_of(3)), 0.0)
+    assert document_store.apply_reply(peer, reply, 1.0).changed
     assert document_store.tick(2.0) == ()
     assert document_store.report(2.0).undelivered == ("peer",)
 
@@ -87,11 +87,11 @@
     An older report of that peer, version 1, arrives late over its other link. The
     node must go on waiting for version 2 until the peer is lost.
     """
-    document_store, peer = new_keeper(), NodeId("peer", 1)
+    document_store, peer = new_document_store(), NodeId("peer", 1)
     document_store.start_sync(0.0)
     document_store.offer(body_of(1), Source.PLATFORM, 0.0)
-    document_store.heard(peer, *stamp_of(body_of(2)), 1.0)
-    document_store.heard(peer, *stamp_of(body_of(1)), 2.0)
+    document_store.record_peer_version(peer, *stamp_of(body_of(2)), 1.0)
+    document_store.record_peer_version(peer, *stamp_of(body_of(1)), 2.0)
     document_store.tick(SYNC_WAIT_MS)
     assert document_store.serving is None
     document_store.peer_lost("peer", SYNC_WAIT_MS)
@@ -103,8 +103,8 @@
 
     No lost link is reported. The node sends a few requests, then the claim expires.
     """
-    document_store, peer = new_keeper(), NodeId("peer", 1)
-    document_store.heard(peer, *stamp_of(body_of(2)), 0.0)
+    document_store, peer = new_document_store(), NodeId("peer", 1)
+    document_store.record_peer_version(peer, *stamp_of(body_of(2)), 0.0)
     requested_ms = [ms for ms in range(0, 120_000, 500) if document_store.tick(ms)]
     assert requested_ms and max(requested_ms) < 40_000
     assert document_store.report(120_000.0).undelivered == ()
@@ -115,13 +115,17 @@
 
     The node must not fetch it again at each heartbeat of that peer.
     """
-    document_store, peer, body = new_keeper(), NodeId("peer", 1), body_of(2, "bad")
-    (fetch,) = document_store.heard(peer, *stamp_of(body), 0.0)
-    offered = document_store.reply(
+    document_store, peer, body = (
+        new_document_store(),
+        NodeId("peer", 1),
+        body_of(2, "bad"),
+    )
+    (fetch,) = document_store.record_peer_version(peer, *stamp_of(body), 0.0)
+    offered = document_store.apply_reply(
         peer, DocumentReply(version=2, body=pack_document(body)), 1.0
     )
     assert (offered.outcome, offered.fetches) == (Outcome.INVALID, ())
-    assert document_store.heard(peer, *stamp_of(body), 60_000.0) == ()
+    assert document_store.record_peer_version(peer, *stamp_of(body), 60_000.0) == ()
 
 
 def test_document_bytes_sent_to_peers_are_bounded():
@@ -130,23 +134,25 @@
     It sends the document to a few; the others get an empty reply at once, so that they
     try other nodes.
     """
-    document_store = new_keeper()
+    document_store = new_document_store()
     body = body_of(1) + random.Random(1).randbytes(300_000)
     document_store.offer(body, Source.PLATFORM, 0.0)
     replies = [
-        document_store.answer(DocumentRequest(version=1), 0.0) for _ in range(50)
+        document_store.answer_request(DocumentRequest(version=1), 0.0)
+        for _ in range(50)
     ]
     assert sum(bool(reply.body) for reply in replies) == 4
-    assert document_store.answer(DocumentRequest(version=1), 1_000.0).body
+    assert document_store.answer_request(DocumentRequest(version=1), 1_000.0).body
 
 
 def test_corrupt_or_oversized_transfer_is_a_failure_to_deliver():
     """A peer sends bytes that are not packed, are truncated or unpack to too many."""
     packed = pack_document(body_of(2))
     for sent in (b"", b"x", packed[:-1], pack_document(b" " * 1_000_001)):
-        document_store, peer = new_keeper(), NodeId("peer", 1)
-        document_store.heard(peer, *stamp_of(body_of(2)), 0.0)
+        document_store, peer = new_document_store(), NodeId("peer", 1)
+        document_store.record_peer_version(peer, *stamp_of(body_of(2)), 0.0)
         assert (
-            document_store.reply(peer, DocumentReply(version=2, body=sent), 1.0) is None
+            document_store.apply_reply(peer, DocumentReply(version=2, body=sent), 1.0)
+            is None
         )
         assert document_store.report(1.0).undelivered == ("peer",)
--- a/packages/sassafraswinch/tests/test_versions_machine.py
+++ b/packages/sassafraswinch/tests/test_versions_machine.py
@@ -8,11 +8,11 @@
 
 from sassafraswinch.messages import DocumentReply, DocumentRequest, NodeId
 from sassafraswinch.offers import Source
-from sassafraswinch.sync import SYNC_LIMIT_MS, SYNC_WAIT_MS
+from sassafraswinch.sync import MAX_SYNC_WAIT_MS, SYNC_WAIT_MS
 from sassafraswinch.version_claims import FETCH_TIMEOUT_MS, NO_STAMP, Stamp, supersedes
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
-from .utils.config_keepers import body_of, new_keeper, stamp_of
+from .utils.document_fixtures import body_of, new_document_store, stamp_of
 
 HOSTS = ("a", "b", "c", "d")
 LANES = (0, 1)
@@ -24,7 +24,7 @@
     """One incarnation of a node, and the events that the test recorded for it."""
 
     node: NodeId
-    document_store: ConfigKeeper
+    document_store: DocumentStore
     highest: Stamp = NO_STAMP
     claims: dict = field(default_factory=dict)
     synced_from_ms: float = 0.0
@@ -50,7 +50,8 @@
     def start(self, host):
         self.starts += 1
         run = Run(
-            node=NodeId(host, self.starts), document_store=new_keeper(self.starts)
+            node=NodeId(host, self.starts),
+            document_store=new_document_store(self.starts),
         )
         old, self.runs[host] = self.runs.get(host), run
         for peer in (p for p in self.runs.values() if old and p is not run):
@@ -113,18 +114,25 @@
         if isinstance(message, Stamp):
             if not supersedes(run.claims.get(sender, NO_STAMP), message):
                 run.claims[sender] = message
-            self.send(run, run.document_store.heard(peer.node, *message, self.now_ms))
+            self.send(
+                run,
+                run.document_store.record_peer_version(
+                    peer.node, *message, self.now_ms
+                ),
+            )
         elif isinstance(message, float):
             self.lanes[receiver, sender, lane].append(("pong", message))
         elif isinstance(message, tuple):
-            fetches = run.document_store.confirmed(sender, message[1], self.now_ms)
+            fetches = run.document_store.record_round_trip(
+                sender, message[1], self.now_ms
+            )
             self.send(run, fetches)
         elif isinstance(message, DocumentRequest) and not run.unresponsive:
-            reply = run.document_store.answer(message, self.now_ms)
+            reply = run.document_store.answer_request(message, self.now_ms)
             self.lanes[receiver, sender, lane].append(reply)
         elif isinstance(message, DocumentReply):
             self.record_offered(
-                run, run.document_store.reply(peer.node, message, self.now_ms)
+                run, run.document_store.apply_reply(peer.node, message, self.now_ms)
             )
         return True
 
@@ -236,7 +244,7 @@
                 assert stamp == stamp_of(document_store.in_force.body)
 
     def check_first_serving(self, run, waited_ms):
-        if waited_ms < SYNC_LIMIT_MS:
+        if waited_ms < MAX_SYNC_WAIT_MS:
             newer = [
                 s
                 for s in run.claims.values()
--- a/packages/sassafraswinch/tests/utils/config_keepers.py
+++ b/packages/sassafraswinch/tests/utils/document_fixtures.py
@@ -6,7 +6,7 @@
 
 from sassafraswinch.errors import InvalidFieldError, InvalidFieldsError
 from sassafraswinch.version_claims import Stamp
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
 
 @dataclass
@@ -37,5 +37,5 @@
     return f"{kind} {version} {salt}".encode()
 
 
-def new_keeper(seed=1):
-    return ConfigKeeper(parse=parse, digest=digest, rng=random.Random(seed))
+def new_document_store(seed=1):
+    return DocumentStore(parse=parse, digest=digest, rng=random.Random(seed))
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -176,7 +176,7 @@
         call.router = router = self.rng.choice(self.routers)
         views = [host.view for host in self.hosts.values()]
         view = router.choose(views, excluded=frozenset(), now_ms=self.now_ms)
-        router.sent(view.name, self.now_ms)
+        router.record_sent(view.name, self.now_ms)
         return self.hosts[view.name]
 
     def _offer_to(self, call: FakeCall) -> None:
@@ -274,7 +274,9 @@
             )
         if call.router is not None:
             latency_ms = None if refused else self.now_ms - call.offered_at_ms
-            call.router.answered(call.host.view.name, latency_ms, load, self.now_ms)
+            call.router.record_answer(
+                call.host.view.name, latency_ms, load, self.now_ms
+            )
 
     def _end(self, call: FakeCall, outcome, retry_after_ms: float) -> None:
         if call.parent is not None:
--- a/packages/sassafraswinch/tests/utils/routing_bench.py
+++ b/packages/sassafraswinch/tests/utils/routing_bench.py
@@ -8,7 +8,7 @@
 
 from sassafraswinch.admission import AdaptiveGate
 from sassafraswinch.hosts import HostView
-from sassafraswinch.routing import WAY_ACROSS_MS, Router
+from sassafraswinch.routing import CROSS_ZONE_DELAY_MS, Router
 
 from .fake_server import FakeHost, FakeServer, GateSimulation, Stream
 
@@ -75,7 +75,7 @@
                 service="archiv",
                 availability_zone=OWN if own else OTHER,
             ),
-            network_delay_ms=0.0 if own else WAY_ACROSS_MS,
+            network_delay_ms=0.0 if own else CROSS_ZONE_DELAY_MS,
         )
 
 
