--- a/packages/sassafraswinch-node/sassafraswinch_node/frames.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/frames.py
@@ -1,24 +1,24 @@
-"""Frames on a byte stream: a 4-byte length, then that many bytes."""
+"""Length-prefixed frames on a byte stream: a 4-byte length, then the payload."""
 
 from thrift.transport.TTransport import TMemoryBuffer
 
 from sassafraswinch.errors import SassafraswinchError
 
 MAX_FRAME_BYTES = 2 * 1024 * 1024
-"""Longest frame, without its length: a body of 1 MB with its header fields."""
+"""Longest payload of a frame: a request body of 1 MB with its header fields."""
 
 LENGTH_BYTES = 4
-"""Size of the length before each payload; most significant byte first."""
+"""Size of the length prefix of a frame, an unsigned big-endian integer."""
 
 MAX_HELLO_BYTES = 4096
-"""Longest first frame: a stranger on the port can't make a node buffer more."""
+"""Longest first frame, so that an unknown peer can't make a node buffer more."""
 
 
 class WireError(SassafraswinchError):
-    """Bytes aren't a message, or a message can't be coded.
+    """Raised when bytes can't be decoded as a message, or a message not encoded.
 
     Attributes:
-        reason: what is wrong, in words for a log line.
+        reason: description of the fault for a log line.
     """
 
     def __init__(self, *, reason: str):
@@ -27,26 +27,26 @@
 
 
 class FrameTooLargeError(WireError):
-    """A frame is longer than the bound.
+    """Raised when the payload of a frame is longer than allowed.
 
     Attributes:
-        size_bytes: length of the payload, as announced or as coded.
+        size_bytes: length of the payload, as received in the prefix or as encoded.
         bound_bytes: longest payload allowed.
     """
 
     def __init__(self, *, size_bytes: int, bound_bytes: int):
         super().__init__(
-            reason=f"a frame of {size_bytes} bytes exceeds {bound_bytes} bytes"
+            reason=f"frame of {size_bytes} bytes exceeds limit of {bound_bytes} bytes"
         )
         self.size_bytes = size_bytes
         self.bound_bytes = bound_bytes
 
 
 def frame_prefix(payload: bytes) -> bytes:
-    """Return the length to send before a payload.
+    """Return the length prefix of a payload.
 
     Raises:
-        FrameTooLargeError: the payload exceeds ``MAX_FRAME_BYTES``.
+        FrameTooLargeError: the payload is longer than ``MAX_FRAME_BYTES``.
     """
     if len(payload) > MAX_FRAME_BYTES:
         raise FrameTooLargeError(size_bytes=len(payload), bound_bytes=MAX_FRAME_BYTES)
@@ -54,7 +54,10 @@
 
 
 class FrameSplitter:
-    """Cuts what a connection delivers into payloads."""
+    """Splits the bytes received on a connection into payloads.
+
+    Frames up to ``MAX_HELLO_BYTES`` are accepted until the limit is raised.
+    """
 
     __slots__ = ("_bound_bytes", "_pending")
 
@@ -63,18 +66,18 @@
         self._pending = bytearray()
 
     def accept_long(self, bound_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Allow frames up to a bound: the peer has said hello."""
+        """Accept longer payloads, after the peer has sent its hello."""
         self._bound_bytes = bound_bytes
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Append received bytes."""
         self._pending += data
 
     def next_payload(self) -> bytes | None:
-        """Take the next whole payload, or None until more is fed.
+        """Remove and return the next complete payload, or None if there is none yet.
 
         Raises:
-            FrameTooLargeError: the announced length exceeds the bound.
+            FrameTooLargeError: the length in the prefix exceeds the limit.
         """
         pending = self._pending
         if len(pending) < LENGTH_BYTES:
@@ -93,9 +96,9 @@
 
 
 class FrameReader:
-    """What thrift's accelerated reader asks of a protocol object.
+    """Minimal protocol object for thrift's accelerated reader.
 
-    A whole ``TCompactProtocolAccelerated`` for each message costs 2 us more.
+    Creating a ``TCompactProtocolAccelerated`` for each message takes 2 us more.
     """
 
     __slots__ = ("trans",)
@@ -107,6 +110,6 @@
         self.trans = TMemoryBuffer(payload)
 
     def check_end(self, payload: bytes) -> None:
-        """Raise ``ValueError`` if the message didn't take the whole payload."""
+        """Raise ``ValueError`` if bytes follow the message in the payload."""
         if self.trans.cstringio_buf.tell() != len(payload):
-            raise ValueError("bytes after the message")
+            raise ValueError("unexpected bytes after the message")
--- a/packages/sassafraswinch-node/sassafraswinch_node/host_structs.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/host_structs.py
@@ -1,4 +1,4 @@
-"""Host records between nodes as thrift structs."""
+"""Conversion of host records to and from the thrift structs that nodes exchange."""
 
 from sassafraswinch.hosts import HostRecord, HostState
 from sassafraswinch.messages import HostsReply
@@ -6,12 +6,12 @@
 
 
 def serialize_hosts_reply(reply: HostsReply) -> ttypes.HostsReply:
-    """Return the struct of a reply."""
+    """Return the thrift struct of a reply."""
     return ttypes.HostsReply([_serialize_record(record) for record in reply.hosts])
 
 
 def parse_hosts_reply(struct: ttypes.HostsReply) -> HostsReply:
-    """Return the reply of a validated struct."""
+    """Return the reply that a validated thrift struct holds."""
     return HostsReply(hosts=tuple(_parse_record(record) for record in struct.hosts))
 
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/key_values.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/key_values.py
@@ -1,4 +1,4 @@
-"""Events as one line of key=value pairs."""
+"""Formatting of log events as one line of key=value pairs."""
 
 import enum
 import functools
@@ -8,12 +8,12 @@
 from datetime import UTC, datetime
 
 MAX_VALUE_CHARACTERS = 1_000
-"""Longer values are cut; an answer's body in a reason would fill the log."""
+"""Longer values are truncated: a response body in a reason would fill the log."""
 
-MAX_NAMES = 512
-"""Names of fields whose keys are remembered; a program has some dozens."""
+MAX_CACHED_NAMES = 512
+"""Size of the caches of field names; a program uses a few dozen names."""
 
-HIDDEN = "(hidden)"
+HIDDEN_VALUE = "(hidden)"
 
 SECRET_WORDS = frozenset(
     {
@@ -28,7 +28,7 @@
         "token",
     }
 )
-"""A field whose name has one of these words never shows its value."""
+"""Values of fields whose names contain one of these words are not logged."""
 
 LEVEL_NAMES = ("debug", "info", "warning", "error")
 
@@ -41,10 +41,10 @@
 
 
 def serialize_event(message: Mapping[str, object]) -> str:
-    """Return the line of an eliot message, without its line end.
+    """Return the log line of an eliot message, without its line end.
 
     Args:
-        message: fields as eliot hands them to a destination.
+        message: fields as eliot passes them to a destination.
     """
     return " ".join(f"{key}={value}" for key, value in _pairs(message))
 
@@ -59,47 +59,49 @@
     yield "event", format_value(event)
     for key, value in message.items():
         if key not in _ELIOT_FIELDS:
-            shown = HIDDEN if _is_secret_name(str(key)) else format_value(value)
-            yield _key_of_name(str(key)), shown
+            formatted = (
+                HIDDEN_VALUE if _is_secret_name(str(key)) else format_value(value)
+            )
+            yield _key_of_name(str(key)), formatted
 
 
 def format_moment(seconds: object) -> str:
-    """Return a time since the epoch in UTC, or ``unknown`` if it isn't one."""
+    """Return Unix time as ISO 8601 in UTC, or ``unknown`` if it isn't a valid time."""
     try:
-        moment = datetime.fromtimestamp(seconds, UTC)
+        utc_time = datetime.fromtimestamp(seconds, UTC)
     except (TypeError, ValueError, OverflowError, OSError):
         return "unknown"
-    return moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    return utc_time.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 def format_key(key: object) -> str:
-    """Return a key that can't be taken for a value or for one of the first three."""
+    """Return a key that holds no separator and differs from the first three keys."""
     name = _NOT_IN_KEYS.sub("_", str(key)) or "_"
     return f"field_{name}" if name in _FIRST_KEYS else name
 
 
 def is_secret(key: object) -> bool:
-    """Return whether a field's name says that its value is secret."""
+    """Return whether a field name contains a word of ``SECRET_WORDS``."""
     words = re.split(r"[^a-z0-9]+", str(key).lower())
     return not SECRET_WORDS.isdisjoint(words)
 
 
-@functools.lru_cache(maxsize=MAX_NAMES)
+@functools.lru_cache(maxsize=MAX_CACHED_NAMES)
 def _key_of_name(name: str) -> str:
     return format_key(name)
 
 
-@functools.lru_cache(maxsize=MAX_NAMES)
+@functools.lru_cache(maxsize=MAX_CACHED_NAMES)
 def _is_secret_name(name: str) -> bool:
     return is_secret(name)
 
 
 def format_value(value: object) -> str:
-    """Return a value without spaces, quoted as in JSON where it isn't plain.
+    """Return a value as text, quoted as a JSON string unless it is plain.
 
-    Failure: a reason taken from a caller's request holds a line break and forges a
-    line of its own. JSON in ASCII escapes every control character and every line
-    separator of Unicode, and a plain value has none.
+    Failure: a reason taken from a caller's request contains a line break and forges
+    a log line. ASCII JSON escapes all control characters and Unicode line
+    separators, and a plain value contains none.
     """
     if isinstance(value, bytes | bytearray | memoryview):
         return f"({len(value)}_bytes)"
--- a/packages/sassafraswinch-node/sassafraswinch_node/link.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two nodes that carries messages."""
+"""TCP connection between two nodes that carries framed messages."""
 
 import asyncio
 from collections import deque
@@ -27,46 +27,46 @@
 from sassafraswinch_node.wire import WireError, decode_frame, encode
 
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-"""Bytes that one link holds for a peer that reads slowly; four longest frames."""
+"""Limit of data queued on one link for a slow peer: four frames of maximum size."""
 
-MIN_DELAY_MS = 2.0
-"""Delays below this are the grain of the two millisecond clocks."""
+MIN_TRANSIT_DELAY_MS = 2.0
+"""Shorter transit delays are within the resolution of the two millisecond clocks."""
 
 
 class LinkEvents(Protocol):
-    """What the owner of links is told; called from the event loop, in order.
+    """Callbacks for events of links, called in order from the event loop.
 
-    For each session: ``link_up``, then its messages, then ``link_lost`` once. A
-    session is a number of the dialling node: on a link that this node dialled
-    (``dialled``) its own, otherwise the peer's.
+    Each session gets ``link_up``, then its messages, then ``link_lost`` once. The
+    dialling node numbers the sessions: this node on a link that it dialled
+    (``dialled``), otherwise the peer.
     """
 
     def link_up(self, host: str, hello: Hello, session: int, dialled: bool) -> None:
-        """A link to ``host`` is greeted on both sides."""
+        """Handle a link to ``host`` on which both sides have sent their hello."""
 
     def link_message(
         self, host: str, session: int, message: Message, dialled: bool
     ) -> None:
-        """A message arrived; the remaining time of a call counts from now."""
+        """Handle a received message; the remaining time of a call starts now."""
 
     def link_lost(self, host: str, session: int, dialled: bool) -> None:
-        """Nothing more is read from or written to this session here.
+        """Handle the end of a session; nothing more is read or written on it here.
 
-        What was written before may still arrive at the peer at any later time.
+        Data written before may still reach the peer at any later time.
         """
 
 
-def encode_now(message: Message) -> bytes:
-    """Code a message with the running loop's clock as its sending time."""
+def encode_with_timestamp(message: Message) -> bytes:
+    """Encode a message with the running event loop's time as its sending time."""
     return encode(message, sent_ms=int(asyncio.get_running_loop().time() * 1000))
 
 
 class LinkRefusedError(SassafraswinchError):
-    """A connection was closed because of what the peer said, or didn't say.
+    """Raised or reported when a connection is closed because of a peer's fault.
 
     Attributes:
-        peer: host name, or address of a peer that gave none.
-        reason: what was wrong, in words for an operator.
+        peer: host name, or the address of a peer that sent no hello.
+        reason: description of the fault for operators.
     """
 
     def __init__(self, *, peer: str, reason: str):
@@ -87,30 +87,30 @@
     HostsReply,
     HostsRequest,
 )
-"""Messages that carry no caller's request or answer."""
+"""Types of messages that carry neither a caller's request nor its response."""
 
 
 @dataclass(slots=True, kw_only=True)
 class LinkTraffic:
-    """Bytes written by all links of a node since its start."""
+    """Bytes sent on all links of a node since its start."""
 
     control_bytes: int = 0
-    """Frames of ``CONTROL_MESSAGES``, without TCP's own overhead."""
+    """Size of the frames of ``CONTROL_MESSAGES``, without TCP overhead."""
 
 
 class Link(asyncio.Protocol):
-    """Frames, coalesced writes and bounds of one connection.
+    """Connection with framing, coalesced writes and bounded buffers.
 
     Args:
-        receive: called with the link and each message, the hello included.
-        closed: called once with the link when the connection is gone.
-        session: number of the link where this node dialled it; 0 until the
-            peer's hello tells it otherwise.
-        traffic: counts what is written, together with other links.
+        on_message: called with the link and each message, the hello included.
+        on_closed: called once with the link when the connection is closed.
+        session: session number if this node dialled the link; otherwise 0 until
+            the peer's hello gives it.
+        traffic: byte counters, shared with other links.
 
     Attributes:
-        hello: the peer's greeting; None until it is accepted.
-        fault: what the peer did wrong, where this side closed for it.
+        hello: the peer's hello; None until it is accepted.
+        fault: the peer's fault for which this side closed the connection.
         opened_ms: loop time at which the connection was made.
         last_read_ms: loop time at which anything was last read.
     """
@@ -118,8 +118,8 @@
     def __init__(
         self,
         *,
-        receive: Callable[["Link", Message], None],
-        closed: Callable[["Link"], None],
+        on_message: Callable[["Link", Message], None],
+        on_closed: Callable[["Link"], None],
         session: int = 0,
         traffic: LinkTraffic | None = None,
     ):
@@ -127,119 +127,122 @@
         self.hello: Hello | None = None
         self.fault: str | None = None
         self._traffic = traffic or LinkTraffic()
-        self._receive = receive
-        self._closed = closed
+        self._on_message = on_message
+        self._on_closed = on_closed
         self._loop = asyncio.get_running_loop()
         self.opened_ms = self.last_read_ms = self._now_ms()
-        self._unanswered: deque[tuple[int, float]] = deque()
+        self._pending_heartbeats: deque[tuple[int, float]] = deque()
         self._transport: asyncio.Transport | None = None
         self._splitter = FrameSplitter()
         self._transit = TransitClock()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
-        self._flush_planned = False
+        self._flush_scheduled = False
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000
 
     @property
     def address(self) -> str:
-        """Address of the peer, for reports."""
+        """IP address and port of the peer, or ``unknown``."""
         peer = self._transport and self._transport.get_extra_info("peername")
         return f"{peer[0]}:{peer[1]}" if peer else "unknown"
 
     @property
     def is_open(self) -> bool:
-        """Whether messages may still be sent and received."""
+        """Whether messages can still be sent and received."""
         return self._transport is not None and not self._transport.is_closing()
 
-    def accept(self, hello: Hello) -> None:
-        """Take the peer's greeting as good."""
+    def accept_hello(self, hello: Hello) -> None:
+        """Accept the peer's hello, and longer frames from now on."""
         self.hello = hello
         self.session = hello.session
         self._splitter.accept_long()
 
     def send(self, message: Message) -> bool:
-        """Queue a message; False: refused, nothing of it is or will be written.
+        """Queue a message for sending.
+
+        Returns:
+            Whether it was queued. If False, no part of it is or will be written.
 
         Raises:
-            FrameTooLargeError: the message exceeds the bound of a frame.
+            FrameTooLargeError: the message is longer than a frame may be.
             WireError: a field doesn't fit its type on the wire.
         """
         control = isinstance(message, CONTROL_MESSAGES)
-        return self.send_payload(encode_now(message), control=control)
+        return self.send_payload(encode_with_timestamp(message), control=control)
 
     def send_payload(self, payload: bytes, *, control: bool) -> bool:
-        """Queue a coded message, as ``send`` does."""
+        """Queue an encoded message, like ``send``."""
         prefix = frame_prefix(payload)
         if not self.is_open:
             return False
-        held_bytes = self._unsent_bytes + self._transport.get_write_buffer_size()
-        if held_bytes + len(payload) > MAX_UNSENT_BYTES:
+        queued_bytes = self._unsent_bytes + self._transport.get_write_buffer_size()
+        if queued_bytes + len(payload) > MAX_UNSENT_BYTES:
             return False
         if control:
             self._traffic.control_bytes += len(prefix) + len(payload)
         self._unsent += (prefix, payload)
         self._unsent_bytes += len(payload)
-        if not self._flush_planned:
-            self._flush_planned = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
         return True
 
     def close(self) -> None:
-        """Write what is queued, then close."""
+        """Write the queued messages, then close the connection."""
         self._flush()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self, fault: str | None = None) -> None:
-        """Close at once and drop what is queued."""
+        """Close the connection at once and discard queued messages."""
         self.fault = self.fault or fault
         self._unsent.clear()
         if self._transport is not None:
             self._transport.abort()
 
-    def heartbeat_sent(self, sequence: int) -> None:
-        """Expect an answer to a heartbeat from now on."""
-        self._unanswered.append((sequence, self._now_ms()))
+    def record_heartbeat(self, sequence: int) -> None:
+        """Record that a heartbeat was sent now and awaits its reply."""
+        self._pending_heartbeats.append((sequence, self._now_ms()))
 
-    def heartbeat_answered(self, sequence: int) -> float | None:
-        """Note that the peer has read a heartbeat and all before it.
+    def record_heartbeat_reply(self, sequence: int) -> float | None:
+        """Record a reply: the peer has read that heartbeat and all data before it.
 
         Returns:
-            When that heartbeat was sent; None if none was open.
+            The time at which that heartbeat was sent; None if none was awaited.
         """
         sent_at_ms = None
-        while self._unanswered and self._unanswered[0][0] <= sequence:
-            _, sent_at_ms = self._unanswered.popleft()
+        while self._pending_heartbeats and self._pending_heartbeats[0][0] <= sequence:
+            _, sent_at_ms = self._pending_heartbeats.popleft()
         return sent_at_ms
 
     def forgive_silence(self) -> None:
-        """Start the watch for silence anew."""
+        """Measure the peer's silence from now on."""
         self.last_read_ms = self._now_ms()
-        self._unanswered.clear()
+        self._pending_heartbeats.clear()
 
     def open_for_ms(self) -> float:
         """Return the age of the connection."""
         return self._now_ms() - self.opened_ms
 
     def silent_for_ms(self) -> float:
-        """Return how long the peer has owed a sign of life.
+        """Return the time since the peer was last known to be reachable.
 
-        An unanswered heartbeat counts too: where only one direction is cut, the
-        peer's own frames still arrive while it reads nothing of ours.
+        An unanswered heartbeat counts as silence too: if only one direction of the
+        connection fails, the peer's frames still arrive but it reads none of ours.
         """
         silent_since_ms = self.last_read_ms
-        if self._unanswered:
-            silent_since_ms = min(silent_since_ms, self._unanswered[0][1])
+        if self._pending_heartbeats:
+            silent_since_ms = min(silent_since_ms, self._pending_heartbeats[0][1])
         return self._now_ms() - silent_since_ms
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Take over the transport (asyncio.Protocol)."""
+        """Store the transport (asyncio.Protocol)."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Decode and deliver whole frames (asyncio.Protocol)."""
+        """Decode and deliver complete frames (asyncio.Protocol)."""
         self.last_read_ms = self._now_ms()
         self._splitter.feed(data)
         try:
@@ -247,25 +250,25 @@
                 payload = self._splitter.next_payload()
                 if payload is None:
                     return
-                self._receive(self, self._decode(payload))
+                self._on_message(self, self._decode(payload))
         except WireError as error:
             self.abort(error.reason)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection (asyncio.Protocol)."""
+        """Discard queued messages and report the close (asyncio.Protocol)."""
         self._unsent.clear()
-        self._closed(self)
+        self._on_closed(self)
 
     def _decode(self, payload: bytes) -> Message:
         sent_ms, message = decode_frame(payload)
         delay_ms = self._transit.delay_ms(sent_ms=sent_ms, received_ms=self._now_ms())
-        if delay_ms >= MIN_DELAY_MS and isinstance(message, Call | Forward):
+        if delay_ms >= MIN_TRANSIT_DELAY_MS and isinstance(message, Call | Forward):
             remaining_ms = max(0, message.remaining_ms - int(delay_ms))
             return replace(message, remaining_ms=remaining_ms)
         return message
 
     def _flush(self) -> None:
-        self._flush_planned = False
+        self._flush_scheduled = False
         if self._unsent and self.is_open:
             self._transport.write(b"".join(self._unsent))
         self._unsent.clear()
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
@@ -1,4 +1,4 @@
-"""The link port of a node, over the links it dialled and those it accepted."""
+"""Link port of a node, which joins the links it dialled and those it accepted."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,36 +13,36 @@
 
 
 class LinkReceiver(Protocol):
-    """The node, as links report to it."""
+    """Callbacks of the node for events of its links."""
 
     def link_up(self, hello: Hello, session: int, *, dialled: bool) -> None:
-        """A link to or from another node is open."""
+        """Handle a link to or from another node that has opened."""
 
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
-        """A message of another node."""
+        """Handle a message of another node."""
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
     ) -> None:
-        """A link is gone."""
+        """Handle the loss of a link; ``replaced`` if a newer one is open."""
 
     def link_proved(self, node: NodeId, sent_at_ms: float) -> None:
-        """A heartbeat sent at this time was answered."""
+        """Handle the reply to a heartbeat that was sent at ``sent_at_ms``."""
 
 
 class LinkAdapter:
-    """Owns the links of a node; both its port and the receiver of their events.
+    """Link port of a node, which owns its links and receives their events.
 
     Args:
-        receiver: told of links and messages.
-        hello: makes the greeting for a session number.
-        heartbeat: makes the heartbeat of a sequence number.
-        membership: knows the addresses of hosts.
-        plan: says which hosts to keep links to.
-        refused: told of connections that aren't taken as links.
-        traffic: counts what is written.
+        receiver: notified of links and messages.
+        hello: returns the hello for a session number.
+        heartbeat: returns the heartbeat for a sequence number.
+        membership: host records, with the link address of each host.
+        plan: chooses the hosts to keep links to.
+        refused: called with the fault of each refused connection.
+        traffic: byte counters of all links.
     """
 
     def __init__(
@@ -59,16 +59,16 @@
         self.receiver = receiver
         self.membership = membership
         self.plan = plan
-        self._nodes: dict[tuple[str, int, bool], NodeId] = {}
-        self._accepted: dict[NodeId, list[int]] = {}
-        self._dialled: dict[str, int] = {}
+        self._node_by_link: dict[tuple[str, int, bool], NodeId] = {}
+        self._accepted_sessions: dict[NodeId, list[int]] = {}
+        self._dialled_sessions: dict[str, int] = {}
         self.pool = LinkPool(
             hello=hello,
-            addresses=self._address,
+            addresses=self._find_address,
             events=self,
             heartbeat=heartbeat,
             refused=refused,
-            proved=self._proved,
+            proved=self._on_heartbeat_reply,
             traffic=traffic,
         )
         self.server = LinkServer(
@@ -80,93 +80,93 @@
         )
 
     async def start(self, address: Address) -> Address:
-        """Listen for links and return the address bound."""
+        """Listen for links and return the bound address."""
         ip, port = await self.server.start(address.ip, address.port)
         return Address(ip=ip, port=port)
 
     async def stop(self) -> None:
-        """Close all links after what is queued on them."""
+        """Write the queued messages, then close all links."""
         await self.pool.close()
         await self.server.close()
 
     def follow_plan(self) -> None:
-        """Dial and drop hosts as the plan now has it."""
+        """Dial the hosts that the plan chooses now, and close links to all others."""
         now_ms = _now_ms()
         self.pool.want(self.plan.choose(self.membership.peers(now_ms), now_ms))
 
     def send(self, host: str, message: Message) -> int | None:
-        """Write on the dialled link; None proves that nothing was written."""
+        """Send on the dialled link; None proves that nothing was written."""
         return self.pool.send(host, message)
 
     def connect(self, host: str) -> None:
-        """Keep a link to ``host`` for a while."""
+        """Dial ``host`` and keep the link while the plan retains this demand."""
         self.plan.need_host(host, _now_ms())
-        self._follow_plan_soon()
+        self._schedule_plan()
 
     def need_service(self, service: str) -> None:
-        """Keep links to hosts of ``service`` for a while."""
+        """Keep links to hosts of ``service`` while the plan retains this demand."""
         if self.plan.need_service(service, _now_ms()):
-            self._follow_plan_soon()
+            self._schedule_plan()
 
-    def _follow_plan_soon(self) -> None:
-        """Follow the plan after the node's present step, which a lost link would enter.
+    def _schedule_plan(self) -> None:
+        """Apply the plan after the node's current step.
 
-        Failure guarded against: a new demand ends an old one, its link is closed, and
-        the node is told so in the middle of a step that still uses it.
+        Failure: a new demand displaces an old one, whose link is closed, and the node
+        is notified of the lost link during a step that still uses it.
         """
         asyncio.get_running_loop().call_soon(self.follow_plan)
 
     def announce(self, message: Message) -> None:
-        """Write on every open link."""
-        for host in self._dialled:
+        """Send a message on every open link."""
+        for host in self._dialled_sessions:
             self.pool.send(host, message)
-        for node in self._accepted:
+        for node in self._accepted_sessions:
             self.reply(node, message)
 
     def reply(self, node: NodeId, message: Message) -> bool:
-        """Write on the newest link that ``node`` dialled."""
-        sessions = self._accepted.get(node)
+        """Send on the newest link that ``node`` dialled; False if not queued."""
+        sessions = self._accepted_sessions.get(node)
         return bool(sessions) and self.server.send(node, max(sessions), message)
 
     def link_up(self, host: str, hello: Hello, session: int, dialled: bool) -> None:
-        """Take note of a link, then tell the node."""
-        self._nodes[host, session, dialled] = hello.node
+        """Record a link, then notify the node."""
+        self._node_by_link[host, session, dialled] = hello.node
         if dialled:
-            self._dialled[host] = session
+            self._dialled_sessions[host] = session
         else:
-            self._accepted.setdefault(hello.node, []).append(session)
+            self._accepted_sessions.setdefault(hello.node, []).append(session)
         self.receiver.link_up(hello, session, dialled=dialled)
 
     def link_message(
         self, host: str, session: int, message: Message, dialled: bool
     ) -> None:
-        """Pass a message to the node."""
-        node = self._nodes.get((host, session, dialled))
+        """Pass a message of a known link to the node."""
+        node = self._node_by_link.get((host, session, dialled))
         if node is not None:
             self.receiver.link_message(node, session, message, dialled=dialled)
 
     def link_lost(self, host: str, session: int, dialled: bool) -> None:
-        """Forget a link, then tell the node."""
-        node = self._nodes.pop((host, session, dialled))
+        """Remove a link, then notify the node."""
+        node = self._node_by_link.pop((host, session, dialled))
         replaced = False
         if dialled:
-            replaced = self._dialled.get(host) != session
+            replaced = self._dialled_sessions.get(host) != session
             if not replaced:
-                del self._dialled[host]
+                del self._dialled_sessions[host]
         else:
-            sessions = self._accepted[node]
+            sessions = self._accepted_sessions[node]
             sessions.remove(session)
             replaced = bool(sessions)
             if not sessions:
-                del self._accepted[node]
+                del self._accepted_sessions[node]
         self.receiver.link_lost(node, session, dialled=dialled, replaced=replaced)
 
-    def _proved(self, host: str, session: int, sent_at_ms: float) -> None:
-        node = self._nodes.get((host, session, True))
+    def _on_heartbeat_reply(self, host: str, session: int, sent_at_ms: float) -> None:
+        node = self._node_by_link.get((host, session, True))
         if node is not None:
             self.receiver.link_proved(node, sent_at_ms)
 
-    def _address(self, host: str) -> tuple[str, int] | None:
+    def _find_address(self, host: str) -> tuple[str, int] | None:
         record = self.membership.record(host)
         if record is None:
             return None
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
@@ -1,4 +1,4 @@
-"""The links that other nodes dial to this one."""
+"""Server side of links: accepts the connections that other nodes dial."""
 
 import asyncio
 import itertools
@@ -18,27 +18,27 @@
     LinkEvents,
     LinkRefusedError,
     LinkTraffic,
-    encode_now,
+    encode_with_timestamp,
 )
-from sassafraswinch_node.link_timing import LinkTiming, beats
+from sassafraswinch_node.link_timing import LinkTiming, heartbeat_intervals
 
 CLOSE_TIMEOUT_MS = 1_000
-"""Longest wait for queued messages to be written when the server closes."""
+"""Time allowed for writing queued messages when the server closes."""
 
 
 class LinkServer:
     """Accepts links and keeps those of one incarnation of each host.
 
-    A node that dials again keeps its older links here until they close or fall
-    silent: answers may still travel on them.
+    When a node dials again, its older links stay open here until they close or time
+    out, since responses may still be in transit on them.
 
     Args:
-        hello: makes this node's greeting for the session number of a peer.
-        events: told of links and messages.
-        heartbeat: makes the heartbeat of a sequence number.
-        refused: told of connections that aren't taken as links.
-        timing: time constants.
-        traffic: counts what is written.
+        hello: returns this node's hello for the session number of a peer.
+        events: callbacks for links and messages.
+        heartbeat: returns the heartbeat for a sequence number.
+        refused: called with the fault of each refused connection.
+        timing: intervals and timeouts.
+        traffic: byte counters of all links.
     """
 
     def __init__(
@@ -60,58 +60,65 @@
         self._sequences = itertools.count(1)
         self._links: dict[tuple[NodeId, int], Link] = {}
         self._connections: set[Link] = set()
-        self._closing = asyncio.Event()
+        self._connection_closed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._beating: asyncio.Task | None = None
+        self._heartbeat_task: asyncio.Task | None = None
 
     async def start(self, ip: str, port: int) -> tuple[str, int]:
-        """Listen, and return the address; port 0 takes any free one."""
+        """Listen and return the bound address; port 0 selects a free port."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._make_link, ip, port)
-        self._beating = asyncio.create_task(self._beat())
+        self._server = await loop.create_server(self._create_link, ip, port)
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return self._server.sockets[0].getsockname()[:2]
 
     def send(self, node: NodeId, session: int, message: Message) -> bool:
         """Send a message on a session that a node has dialled.
 
-        False: nothing was or will be written. A peer that doesn't read what is
-        queued for it loses the link, and so learns that it missed something.
+        The link is closed if the peer doesn't read what is queued for it, so that the
+        peer detects the missing message.
+
+        Returns:
+            Whether it was queued. If False, no part of it is or will be written.
 
         Raises:
-            FrameTooLargeError: the message exceeds the bound of a frame.
+            FrameTooLargeError: the message is longer than a frame may be.
         """
         link = self._links.get((node, session))
         if link is None:
             return False
         if link.send(message):
             return True
-        link.abort("it doesn't read what is sent")
+        link.abort("peer does not read: the queue of unsent messages is full")
         return False
 
     async def close(self) -> None:
-        """Stop listening and close the links after what is queued on them."""
+        """Stop listening, write the queued messages and close all links."""
         if self._server is None:
             return
         self._server.close()
-        self._beating.cancel()
+        self._heartbeat_task.cancel()
         for link in tuple(self._connections):
             link.close()
         with suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_MS / 1000):
                 while self._connections:
-                    self._closing.clear()
-                    await self._closing.wait()
+                    self._connection_closed.clear()
+                    await self._connection_closed.wait()
         for link in tuple(self._connections):
             link.abort()
 
-    def _make_link(self) -> Link:
-        link = Link(receive=self._receive, closed=self._closed, traffic=self._traffic)
+    def _create_link(self) -> Link:
+        link = Link(
+            on_message=self._handle_message,
+            on_closed=self._handle_close,
+            traffic=self._traffic,
+        )
         self._connections.add(link)
         return link
 
-    async def _beat(self) -> None:
-        async for paused in beats(self._timing.heartbeat_ms):
-            payload = encode_now(self._heartbeat(next(self._sequences)))
+    async def _send_heartbeats(self) -> None:
+        async for paused in heartbeat_intervals(self._timing.heartbeat_ms):
+            payload = encode_with_timestamp(self._heartbeat(next(self._sequences)))
             for link in tuple(self._connections):
                 if paused:
                     link.forgive_silence()
@@ -120,51 +127,52 @@
                     link.send_payload(payload, control=True)
 
     def _check_silence(self, link: Link) -> None:
-        greeting_ms = self._timing.greeting_timeout_ms
-        if link.hello is None and link.open_for_ms() > greeting_ms:
-            link.abort(f"no hello within {greeting_ms} ms")
+        timeout_ms = self._timing.greeting_timeout_ms
+        if link.hello is None and link.open_for_ms() > timeout_ms:
+            link.abort(f"no hello within {timeout_ms} ms")
         elif link.silent_for_ms() > self._timing.accepted_silence_ms:
             link.abort()
 
-    def _receive(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         if link.hello is None:
-            self._greeted(link, message)
+            self._handle_hello(link, message)
             return
         if isinstance(message, Heartbeat):
             link.send(HeartbeatReply(sequence=message.sequence))
         self._events.link_message(link.hello.node.host, link.session, message, False)
 
-    def _greeted(self, link: Link, message: Message) -> None:
-        reason = self._greeting_fault(message)
+    def _handle_hello(self, link: Link, message: Message) -> None:
+        reason = self._find_hello_fault(message)
         if isinstance(message, Hello):
             link.send(self._hello(message.session))
         if reason is not None:
             link.fault = reason
             link.close()
             return
-        link.accept(message)
-        self._lose_other_incarnations(message.node)
+        link.accept_hello(message)
+        self._close_other_incarnations(message.node)
         self._links[message.node, message.session] = link
         self._events.link_up(message.node.host, message, message.session, False)
 
-    def _greeting_fault(self, message: Message) -> str | None:
+    def _find_hello_fault(self, message: Message) -> str | None:
         if not isinstance(message, Hello):
-            return f"first message is {type(message).__name__}, not Hello"
+            return f"first message is {type(message).__name__}, expected Hello"
         if message.protocol_version != PROTOCOL_VERSION:
             return (
-                f"{message.node.host} speaks protocol version"
-                f" {message.protocol_version}, this node {PROTOCOL_VERSION}"
+                f"{message.node.host} uses protocol version"
+                f" {message.protocol_version}, this node uses {PROTOCOL_VERSION}"
             )
         newest = max((s for node, s in self._links if node == message.node), default=0)
         if message.session <= newest:
-            return f"session {message.session} was given up for session {newest}"
+            return f"session {message.session} is superseded by session {newest}"
         return None
 
-    def _lose_other_incarnations(self, node: NodeId) -> None:
-        """Lose the links of earlier runs of a host that has started anew.
+    def _close_other_incarnations(self, node: NodeId) -> None:
+        """Close the links of other incarnations of a host.
 
-        Their sessions may have the same numbers as those of the new run, and their
-        connections may stay silently open when the host was replaced.
+        After a restart their session numbers may be the same as those of the new
+        incarnation, and their connections may stay open without traffic if the host
+        was replaced.
         """
         others = [
             link
@@ -173,18 +181,18 @@
         ]
         for link in others:
             link.abort()
-            self._lose(link)
+            self._remove_link(link)
 
-    def _lose(self, link: Link) -> None:
+    def _remove_link(self, link: Link) -> None:
         key = link.hello and (link.hello.node, link.session)
         if key and self._links.get(key) is link:
             del self._links[key]
             self._events.link_lost(key[0].host, link.session, False)
 
-    def _closed(self, link: Link) -> None:
+    def _handle_close(self, link: Link) -> None:
         self._connections.discard(link)
-        self._lose(link)
+        self._remove_link(link)
         if link.fault is not None:
             peer = link.hello.node.host if link.hello else link.address
             self._refused(LinkRefusedError(peer=peer, reason=link.fault))
-        self._closing.set()
+        self._connection_closed.set()
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_timing.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_timing.py
@@ -1,4 +1,4 @@
-"""Time constants of links, and the beat that all links of a node share."""
+"""Intervals and timeouts of links, and the heartbeat timer that they share."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,28 +8,28 @@
 """Interval of heartbeats on each link."""
 
 SILENCE_MS = 3_000
-"""Silence after which the dialling node makes a new link beside the old one."""
+"""Silence after which the dialling node opens a new link beside the old one."""
 
 ACCEPTED_SILENCE_MS = 10_000
-"""Silence after which an accepted link is closed; the dialling node, which can
-make a new one, is given the time to do so first."""
+"""Silence after which an accepted link is closed. Longer than ``SILENCE_MS``, so that
+the dialling node, which alone can open a new link, does so first."""
 
 GREETING_TIMEOUT_MS = 2_000
-"""Longest wait for a connection and the peer's hello on it."""
+"""Time allowed for connecting and receiving the peer's hello."""
 
 REDIAL_MIN_MS = 100
-"""First wait after a failed dial; doubled each time, and jittered by half."""
+"""First delay after a failed dial; doubled each time. Jitter takes off up to half."""
 
 REDIAL_MAX_MS = 3_000
-"""Longest wait between two dials of a host."""
+"""Longest delay between two dials of a host."""
 
-LATE_BEATS = 2.5
-"""A beat that comes later than this many intervals shows a paused process."""
+PAUSE_THRESHOLD_INTERVALS = 2.5
+"""A timer that fires after more than this many intervals indicates a process pause."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LinkTiming:
-    """Time constants of links; tests shorten them."""
+    """Intervals and timeouts of links; tests use shorter ones."""
 
     heartbeat_ms: float = HEARTBEAT_MS
     silence_ms: float = SILENCE_MS
@@ -39,15 +39,15 @@
     redial_max_ms: float = REDIAL_MAX_MS
 
 
-async def beats(interval_ms: float) -> AsyncIterator[bool]:
-    """Yield once each interval, and whether the process was paused before it.
+async def heartbeat_intervals(interval_ms: float) -> AsyncIterator[bool]:
+    """Yield once per interval whether the process was paused during it.
 
-    A process that was stopped and wakes up has read nothing for long, though its
-    peers were well: it must not take their links for silent.
+    A process that resumes after a pause has read nothing for a long time although its
+    peers were reachable, so it must not treat their links as silent.
     """
     loop = asyncio.get_running_loop()
     while True:
         started_ms = loop.time() * 1000
         await asyncio.sleep(interval_ms / 1000)
-        took_ms = loop.time() * 1000 - started_ms
-        yield took_ms > LATE_BEATS * interval_ms
+        elapsed_ms = loop.time() * 1000 - started_ms
+        yield elapsed_ms > PAUSE_THRESHOLD_INTERVALS * interval_ms
--- a/packages/sassafraswinch-node/sassafraswinch_node/logs.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/logs.py
@@ -1,4 +1,4 @@
-"""Logs of a node: eliot's messages to stderr, one line for each event."""
+"""Event log of a node: eliot messages written to stderr, one line per event."""
 
 import enum
 import logging
@@ -12,16 +12,16 @@
 
 from sassafraswinch_node.key_values import serialize_event
 
-REPEAT_WINDOW_MS = 10_000
-"""Period over which lines of one event are counted."""
+RATE_WINDOW_MS = 10_000
+"""Period for which the number of lines of one event is limited."""
 
 LINES_PER_WINDOW = 10
-"""Lines of one event in a period; the rest is counted and told in one line.
-Sixty lines a minute of one kind are what a person can still follow."""
+"""Lines of one event written per period; the rest is counted and logged as one line.
+A reader can still follow sixty lines of one event per minute."""
 
 
 class Level(enum.IntEnum):
-    """How much an event matters; a line for each request is ``DEBUG``."""
+    """Severity of an event; events logged for each request are ``DEBUG``."""
 
     DEBUG = 10
     INFO = 20
@@ -42,22 +42,23 @@
     suppressed: int = 0
 
 
-class RepeatLimiter:
-    """Decides which events get a line, and counts those that get none.
+class EventRateLimiter:
+    """Limits the lines per event and level, and counts suppressed ones.
 
-    Failure: a fault that repeats for each request or peer writes thousands of lines
-    a second, which costs the node its time and hides every other event. The bound
-    holds for each event and level, whose names are constants of the program.
+    Failure: a fault that recurs for each request or peer writes thousands of lines a
+    second, which takes the node's processor time and hides all other events. The
+    limit applies per event and level, whose names are constants of the program, so
+    the number of counters is bounded.
     """
 
     def __init__(self) -> None:
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def admits(self, event: str, level: str, now_ms: float) -> bool:
-        """Return whether this event gets a line."""
+        """Count an event and return whether it may be logged."""
         window = self._windows.get((event, level))
         if window is None:
-            window = _Window(ends_at_ms=now_ms + REPEAT_WINDOW_MS)
+            window = _Window(ends_at_ms=now_ms + RATE_WINDOW_MS)
             self._windows[event, level] = window
         if window.lines < LINES_PER_WINDOW:
             window.lines += 1
@@ -65,14 +66,14 @@
         window.suppressed += 1
         return False
 
-    def ended(self, now_ms: float) -> list[tuple[str, str, int]]:
-        """Forget windows that are over; return those with suppressed events.
+    def pop_ended(self, now_ms: float) -> list[tuple[str, str, int]]:
+        """Remove the windows that have ended; return those with suppressed events.
 
         Returns:
-            Event, level and how many got no line.
+            Event, level and number of suppressed events of each such window.
         """
-        over = [key for key, w in self._windows.items() if w.ends_at_ms <= now_ms]
-        windows = [(key, self._windows.pop(key)) for key in over]
+        ended = [key for key, w in self._windows.items() if w.ends_at_ms <= now_ms]
+        windows = [(key, self._windows.pop(key)) for key in ended]
         return [
             (event, level, window.suppressed)
             for (event, level), window in windows
@@ -81,15 +82,15 @@
 
 
 class LineDestination:
-    """An eliot destination that writes lines of key=value pairs."""
+    """Eliot destination that writes each message as a line of key=value pairs."""
 
     def __init__(self, *, stream: TextIO):
         self._stream = stream
 
     def __call__(self, message: Mapping[str, object]) -> None:
         """Write one message."""
-        # Failure: whoever read the log is gone, and each line raises OSError or, for
-        # a closed stream, ValueError. The node serves on without its log.
+        # Failure: the reader of the log has exited, so that each write raises OSError,
+        # or ValueError for a closed stream. The node keeps serving without a log.
         try:
             self._stream.write(serialize_event(message) + "\n")
             self._stream.flush()
@@ -98,33 +99,33 @@
 
 
 class EventLog:
-    """Filters events by level and repeats, and hands the rest to eliot."""
+    """Filters events by level and rate, and passes the others to eliot."""
 
     def __init__(self, *, level: Level, now_ms: Callable[[], float]):
         self.level = level
         self._now_ms = now_ms
-        self._limiter = RepeatLimiter()
+        self._limiter = EventRateLimiter()
 
     def log(self, event: str, level: str, fields: Mapping[str, object]) -> None:
-        """Log one event, unless its level or its repeats forbid it."""
+        """Log one event, unless its level or the rate limit suppresses it."""
         if _LEVELS.get(level, Level.ERROR) < self.level:
             return
         now_ms = self._now_ms()
-        self.tell_suppressed(now_ms)
+        self.log_suppressed(now_ms)
         if self._limiter.admits(event, level, now_ms):
             write_event(event, level, fields)
 
-    def tell_suppressed(self, now_ms: float) -> None:
-        """Log how many events got no line in the windows that are over."""
-        for event, level, count in self._limiter.ended(now_ms):
+    def log_suppressed(self, now_ms: float) -> None:
+        """Log the number of events suppressed in windows that have ended."""
+        for event, level, count in self._limiter.pop_ended(now_ms):
             write_event("repeats", level, {"of": event, "count": count})
 
 
 def write_event(event: str, level: str, fields: Mapping[str, object]) -> None:
-    """Hand one event to eliot, whatever its level and repeats.
+    """Pass one event to eliot, without a check of its level and rate.
 
-    The library's own ``log_message`` opens a task with a random id for each message,
-    which no line shows; without it an event costs 32 us in place of 67.
+    Eliot's ``log_message`` opens a task with a random id for each message, which the
+    log lines don't contain; without it an event takes 32 us instead of 67.
     """
     _ELIOT.write(
         {
@@ -139,10 +140,10 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Passes what libraries log in the standard way on as events.
+    """Logs records of the standard ``logging`` module, used by libraries, as events.
 
-    Failure: uvicorn's and asyncio's warnings would reach stderr by themselves, as
-    tracebacks over many lines, and break whatever reads the log by lines.
+    Failure: uvicorn and asyncio write warnings to stderr themselves, with multi-line
+    tracebacks that break tools which parse the log line by line.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -178,12 +179,12 @@
     stream: TextIO | None = None,
     now_ms: Callable[[], float] = _monotonic_ms,
 ) -> None:
-    """Send events of ``level`` and above to a stream; replaces an earlier set-up.
+    """Write events of ``level`` and above to a stream; replaces an earlier set-up.
 
     Args:
         level: debug, info, warning or error.
-        stream: stderr where none is given.
-        now_ms: clock of the limit on repeats.
+        stream: destination; stderr by default.
+        now_ms: clock of the rate limit.
     """
     global _log
     while _installed:
@@ -199,16 +200,16 @@
 
 
 def log_event(event: str, /, level: str = "info", **fields: object) -> None:
-    """Log one event; at the default level none may be logged for each request.
+    """Log one event; events of each request must be below the default level.
 
     Args:
         event: constant name in snake case.
         level: debug, info, warning or error.
-        fields: facts, with their unit in the name; never a secret.
+        fields: values, with their unit in the name; never a secret.
     """
     _log.log(event, level, fields)
 
 
 def flush_logs() -> None:
-    """Tell all suppressed repeats now; for the end of the process."""
-    _log.tell_suppressed(float("inf"))
+    """Log the numbers of suppressed events now, at the end of the process."""
+    _log.log_suppressed(float("inf"))
--- a/packages/sassafraswinch-node/sassafraswinch_node/structs.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/structs.py
@@ -1,7 +1,7 @@
-"""Messages between nodes as the structs that thrift generates, and back.
+"""Conversion of messages between nodes to and from generated thrift structs.
 
-Fields of a struct are given in the order of ``link.thrift``. Thrift's accelerated
-reader leaves a missing field unset: ``validate`` of each struct finds it.
+Fields of a struct are passed in the order of ``link.thrift``. Thrift's accelerated
+reader leaves a missing field unset, which ``validate`` of each struct detects.
 """
 
 from sassafraswinch.messages import (
@@ -25,7 +25,7 @@
 
 
 def _codes(members, generated) -> tuple[dict, dict]:
-    """Map an enumeration to its numbers on the wire, and back."""
+    """Return maps from the members of an enumeration to wire numbers, and back."""
     numbers = {member: getattr(generated, member.name) for member in members}
     return numbers, {number: member for member, number in numbers.items()}
 
@@ -83,7 +83,7 @@
 
 
 def serialize_hello(hello: Hello) -> ttypes.Hello:
-    """Return the struct of a greeting."""
+    """Return the struct of a hello."""
     return ttypes.Hello(
         hello.protocol_version,
         hello.node.host,
@@ -97,7 +97,7 @@
 
 
 def parse_hello(struct: ttypes.Hello) -> Hello:
-    """Return the greeting of a validated struct."""
+    """Return the hello of a validated struct."""
     return Hello(
         protocol_version=struct.protocol_version,
         node=NodeId(struct.host, struct.incarnation),
@@ -156,7 +156,7 @@
 
 
 def serialize_answer(answer: Answer) -> ttypes.Answer:
-    """Return the struct of a answer."""
+    """Return the struct of an answer."""
     return ttypes.Answer(
         answer.number,
         _VERDICT_NUMBERS[answer.verdict],
--- a/packages/sassafraswinch-node/sassafraswinch_node/wire.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/wire.py
@@ -1,4 +1,4 @@
-"""Coding of messages between nodes: plain data to thrift bytes and back."""
+"""Encoding and decoding of messages between nodes in thrift's compact protocol."""
 
 from thrift.protocol import fastbinary
 from thrift.Thrift import TException
@@ -28,7 +28,7 @@
 
 
 def encode(message: Message, *, sent_ms: int = 0) -> bytes:
-    """Code a message as the payload of one frame.
+    """Encode a message as the payload of one frame.
 
     Args:
         message: any message of ``sassafraswinch.messages``.
@@ -37,17 +37,17 @@
     Raises:
         WireError: a field doesn't fit its type on the wire.
     """
-    slot, serialize = _SERIALIZERS[type(message)]
+    field, serialize = _SERIALIZERS[type(message)]
     frame = ttypes.Frame(sent_ms)
-    setattr(frame, slot, serialize(message))
+    setattr(frame, field, serialize(message))
     try:
         return fastbinary.encode_compact(frame, _FRAME_SPEC)
     except (TException, ValueError, OverflowError, TypeError) as error:
-        raise WireError(reason=f"{slot} can't be coded: {error}") from error
+        raise WireError(reason=f"{field} cannot be encoded: {error}") from error
 
 
 def decode(payload: bytes) -> Message:
-    """Read the message of one frame.
+    """Decode the message of one frame.
 
     Raises:
         WireError: the payload isn't exactly one message of this protocol.
@@ -56,7 +56,10 @@
 
 
 def decode_frame(payload: bytes) -> tuple[int, Message]:
-    """Read one frame: the sender's clock in milliseconds, and the message.
+    """Decode one frame.
+
+    Returns:
+        The sender's monotonic clock in milliseconds, and the message.
 
     Raises:
         WireError: the payload isn't exactly one message of this protocol.
@@ -66,16 +69,16 @@
     try:
         fastbinary.decode_compact(frame, reader, _FRAME_SPEC)
         frame.validate()
-        for slot, parse in _PARSERS:
-            struct = getattr(frame, slot)
+        for field, parse in _PARSERS:
+            struct = getattr(frame, field)
             if struct is not None:
                 struct.validate()
                 reader.check_end(payload)
                 return frame.sent_ms, parse(struct)
     except _DECODING_ERRORS as error:
         reason = f"{type(error).__name__}: {error}"
-        raise WireError(reason=f"not a frame: {reason}") from error
-    raise WireError(reason="a frame without a message of this protocol version")
+        raise WireError(reason=f"invalid frame: {reason}") from error
+    raise WireError(reason="frame without a message known to this protocol version")
 
 
 _DECODING_ERRORS = (
@@ -87,7 +90,7 @@
     AttributeError,
     KeyError,
 )
-"""What thrift's accelerated reader and the checks below raise on garbage."""
+"""Errors raised for invalid payloads by thrift's accelerated reader and the parsers."""
 
 
 _FRAME_SPEC = [ttypes.Frame, ttypes.Frame.thrift_spec]
@@ -144,4 +147,4 @@
     ),
     ("hosts_reply", host_structs.parse_hosts_reply),
 )
-"""Slots of a frame, the most frequent ones first."""
+"""Fields of a frame with their parsers, the most frequent messages first."""
--- a/packages/sassafraswinch-node/tests/test_logs.py
+++ b/packages/sassafraswinch-node/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the node's logs."""
+"""Tests of the event log of a node."""
 
 import io
 import logging
@@ -11,7 +11,7 @@
 from sassafraswinch_node.key_values import serialize_event
 from sassafraswinch_node.logs import (
     LINES_PER_WINDOW,
-    REPEAT_WINDOW_MS,
+    RATE_WINDOW_MS,
     configure_logs,
     flush_logs,
     log_event,
@@ -34,7 +34,7 @@
 def stream(clock):
     stream = io.StringIO()
     configure_logs(level="info", stream=stream, now_ms=clock)
-    # The log keeps what was told before it had a destination; other tests leave some.
+    # Eliot buffers messages until there is a destination; other tests leave some.
     stream.seek(0)
     stream.truncate()
     yield stream
@@ -45,7 +45,7 @@
     return stream.getvalue().splitlines()
 
 
-def test_event_is_one_line_of_pairs(stream):
+def test_event_is_logged_as_one_line_of_pairs(stream):
     log_event("link_lost", level="warning", peer="brno-a-2", reason=Reason.LINK_LOST)
     (line,) = lines(stream)
     assert line.startswith("time=20")
@@ -54,10 +54,10 @@
     )
 
 
-def test_a_forged_line_in_a_value_stays_inside_its_quotes(stream):
-    """A caller sends a header with a line break that looks like an event.
+def test_line_break_in_a_value_is_escaped(stream):
+    """Log injection: a caller's header contains a line break and a forged event.
 
-    Whoever reads the log must not take it for something that the node said.
+    Unescaped, it would appear in the log as a line of the node.
     """
     log_event("bad_request", reason="x\nlevel=error event=forged\u2028\x85 a=b")
     (line,) = lines(stream)
@@ -66,7 +66,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.dictionaries(st.text(), st.text() | st.binary() | st.floats(), max_size=5))
-def test_no_fields_can_break_a_line_or_take_the_first_places(fields):
+def test_fields_cannot_break_a_line_or_replace_the_first_keys(fields):
     line = serialize_event({"timestamp": 1.0, "message_type": "event"} | fields)
     assert len(line.splitlines()) == 1
     assert line.isascii() and line.isprintable()
@@ -81,40 +81,40 @@
     assert "=(hidden) monkey=kept" in stream.getvalue()
 
 
-def test_events_below_the_level_get_no_line(stream):
+def test_events_below_the_level_are_not_logged(stream):
     log_event("call_ended", level="debug", number=1)
     assert lines(stream) == []
 
 
-def test_repeats_are_counted_and_told_when_their_window_ends(stream, clock):
-    """Every peer's link breaks at once, over and over, while a switch is down.
+def test_suppressed_events_are_counted_and_logged_when_the_window_ends(stream, clock):
+    """The links to all peers fail again and again while a network switch is down.
 
-    The first lines say so; the rest is one line with a count, and other events
-    still get through.
+    Only the first events are logged, the others as one line with their number, and
+    events of other names are still logged.
     """
     for _ in range(LINES_PER_WINDOW + 25):
         log_event("link_lost", level="warning")
     log_event("document_in_force", version=3)
     assert len(lines(stream)) == LINES_PER_WINDOW + 1
-    clock.now_ms += REPEAT_WINDOW_MS
+    clock.now_ms += RATE_WINDOW_MS
     log_event("link_lost", level="warning")
     assert "event=repeats of=link_lost count=25" in lines(stream)[-2]
     assert "event=link_lost" in lines(stream)[-1]
 
 
-def test_flush_tells_what_was_suppressed_before_the_end(stream):
+def test_flush_logs_the_number_of_suppressed_events(stream):
     for _ in range(LINES_PER_WINDOW + 3):
         log_event("link_lost")
     flush_logs()
     assert "count=3" in lines(stream)[-1]
 
 
-def test_long_values_are_cut(stream):
+def test_long_values_are_truncated(stream):
     log_event("odd", reason="x" * 50_000)
     assert len(stream.getvalue()) < 1_200
 
 
-def test_messages_of_libraries_and_of_eliot_become_lines(stream):
+def test_messages_of_libraries_and_of_eliot_are_logged(stream):
     try:
         raise ValueError("two\nlines")
     except ValueError:
@@ -125,6 +125,6 @@
     assert "level=error event=eliot:traceback" in second
 
 
-def test_node_outlives_the_reader_of_its_log(stream):
+def test_logging_to_a_closed_stream_raises_nothing(stream):
     stream.close()
     log_event("node_started")
--- a/packages/sassafraswinch-node/tests/test_wire.py
+++ b/packages/sassafraswinch-node/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Every message survives the wire, and nothing else is taken for one."""
+"""Tests of the encoding of messages, and of the rejection of invalid payloads."""
 
 from dataclasses import replace
 
@@ -46,17 +46,19 @@
 BY_TYPE = {int: I32, str: TEXT}
 
 
-def built(message_type: type) -> SearchStrategy:
-    """Build a message with every field drawn, none left at its default."""
+def message_strategy(message_type: type) -> SearchStrategy:
+    """Return a strategy that draws every field, also those that have defaults."""
     hints = message_type.__annotations__
-    drawn = {
+    strategies = {
         name: FIELDS[name] if name in FIELDS else BY_TYPE.get(hint, st.from_type(hint))
         for name, hint in hints.items()
     }
-    return st.builds(message_type, **drawn)
+    return st.builds(message_type, **strategies)
 
 
-MESSAGES = st.one_of([built(kind) for kind in Message.__args__])
+MESSAGES = st.one_of(
+    [message_strategy(message_type) for message_type in Message.__args__]
+)
 
 
 def call(**changes) -> Call:
@@ -81,7 +83,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(message=MESSAGES, sent_ms=I64)
-def test_each_message_survives_the_wire(message, sent_ms):
+def test_each_message_is_decoded_as_encoded(message, sent_ms):
     payload = wire.encode(message, sent_ms=sent_ms)
     assert wire.decode(payload) == message
     assert wire.decode_frame(payload) == (sent_ms, message)
@@ -89,14 +91,14 @@
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(payload=st.binary(max_size=200))
-def test_garbage_raises_wire_error_only(payload):
+def test_random_bytes_raise_wire_error(payload):
     with pytest.raises(wire.WireError):
         wire.decode(payload)
 
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(data=st.data(), message=MESSAGES)
-def test_damaged_message_raises_wire_error_or_decodes(data, message):
+def test_corrupted_message_raises_wire_error_or_decodes(data, message):
     payload = bytearray(wire.encode(message))
     position = data.draw(st.integers(0, len(payload) - 1))
     payload[position] = data.draw(st.integers(0, 255))
@@ -114,8 +116,8 @@
             wire.decode(payload[:length])
 
 
-def test_broken_host_list_is_refused():
-    """A peer's list arrives cut off, or with a host that lacks its address."""
+def test_invalid_host_list_is_refused():
+    """A peer sends a host list that is truncated or has a host without an address."""
     record = HostRecord(
         name="vydej-1",
         service="vydej",
@@ -141,26 +143,26 @@
 
 
 def test_deeply_nested_unknown_fields_are_refused():
-    """A hostile or broken peer sends nested structs of an unknown field.
+    """A malicious or faulty peer sends nested structs in an unknown field.
 
-    A reader that skips them by unbounded recursion would overflow the stack and
-    the node process would die, with every call it owns.
+    Skipping them by unbounded recursion would overflow the stack and crash the node
+    process, which loses all calls that it owns.
     """
     with pytest.raises(wire.WireError):
         wire.decode(b"\x1c" * 600_000)
 
 
-def test_unknown_message_of_a_later_version_is_refused_by_name():
+def test_unknown_message_of_a_later_version_is_refused():
     with pytest.raises(wire.WireError, match="without a message"):
         wire.decode(b"\x16\x00\x00")
 
 
-def test_field_that_does_not_fit_is_refused_when_coded():
+def test_field_out_of_range_is_refused_by_encode():
     with pytest.raises(wire.WireError, match="cancel"):
         wire.encode(Cancel(number=2**70))
 
 
-def test_numbers_on_the_wire_cover_each_enumeration():
+def test_each_enumeration_member_has_a_wire_number():
     pairs = (
         (messages.Verdict, ttypes.Verdict),
         (messages.Reason, ttypes.Reason),
