--- a/packages/sassafraswinch-node/sassafraswinch_node/frames.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/frames.py
@@ -5,7 +5,7 @@
 from sassafraswinch.errors import SassafraswinchError
 
 MAX_FRAME_BYTES = 2 * 1024 * 1024
-"""Longest payload of a frame: a request body of 1 MB with its header fields."""
+"""Longest payload of a frame: a body of 1 MB with its header fields."""
 
 LENGTH_BYTES = 4
 """Size of the length prefix of a frame, an unsigned big-endian integer."""
@@ -15,7 +15,7 @@
 
 
 class WireError(SassafraswinchError):
-    """Raised when bytes can't be decoded as a message, or a message not encoded.
+    """Raised when a message can't be decoded or encoded.
 
     Attributes:
         reason: description of the fault for a log line.
--- a/packages/sassafraswinch-node/sassafraswinch_node/key_values.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/key_values.py
@@ -50,7 +50,7 @@
 
 
 def _pairs(message: Mapping[str, object]) -> Iterable[tuple[str, str]]:
-    yield "time", format_moment(message.get("timestamp"))
+    yield "time", format_timestamp(message.get("timestamp"))
     level = message.get("level")
     if level not in LEVEL_NAMES:
         level = "error" if "exception" in message else "info"
@@ -65,7 +65,7 @@
             yield _key_of_name(str(key)), formatted
 
 
-def format_moment(seconds: object) -> str:
+def format_timestamp(seconds: object) -> str:
     """Return Unix time as ISO 8601 in UTC, or ``unknown`` if it isn't a valid time."""
     try:
         utc_time = datetime.fromtimestamp(seconds, UTC)
@@ -75,7 +75,7 @@
 
 
 def format_key(key: object) -> str:
-    """Return a key that holds no separator and differs from the first three keys."""
+    """Return a key without separators that differs from the first three of a line."""
     name = _NOT_IN_KEYS.sub("_", str(key)) or "_"
     return f"field_{name}" if name in _FIRST_KEYS else name
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
@@ -51,10 +51,10 @@
         timing: LinkTiming | None = None,
         traffic: LinkTraffic | None = None,
     ):
-        self._hello = hello
+        self._build_hello = hello
         self._events = events
-        self._heartbeat = heartbeat
-        self._refused = refused
+        self._build_heartbeat = heartbeat
+        self._on_refused = refused
         self._timing = timing or LinkTiming()
         self._traffic = traffic or LinkTraffic()
         self._sequences = itertools.count(1)
@@ -118,7 +118,9 @@
 
     async def _send_heartbeats(self) -> None:
         async for paused in heartbeat_intervals(self._timing.heartbeat_ms):
-            payload = encode_with_timestamp(self._heartbeat(next(self._sequences)))
+            payload = encode_with_timestamp(
+                self._build_heartbeat(next(self._sequences))
+            )
             for link in tuple(self._connections):
                 if paused:
                     link.forgive_silence()
@@ -144,7 +146,7 @@
     def _handle_hello(self, link: Link, message: Message) -> None:
         reason = self._find_hello_fault(message)
         if isinstance(message, Hello):
-            link.send(self._hello(message.session))
+            link.send(self._build_hello(message.session))
         if reason is not None:
             link.fault = reason
             link.close()
@@ -194,5 +196,5 @@
         self._remove_link(link)
         if link.fault is not None:
             peer = link.hello.node.host if link.hello else link.address
-            self._refused(LinkRefusedError(peer=peer, reason=link.fault))
+            self._on_refused(LinkRefusedError(peer=peer, reason=link.fault))
         self._connection_closed.set()
--- a/packages/sassafraswinch-node/sassafraswinch_node/links.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/links.py
@@ -73,11 +73,11 @@
         timing: LinkTiming | None = None,
         traffic: LinkTraffic | None = None,
     ):
-        self._hello = hello
-        self._addresses = addresses
+        self._build_hello = hello
+        self._find_address = addresses
         self._events = events
-        self._heartbeat = heartbeat
-        self._refused = refused
+        self._build_heartbeat = heartbeat
+        self._on_refused = refused
         self._on_heartbeat_reply = proved
         self._rng = rng or random.Random()
         self._timing = timing or LinkTiming()
@@ -157,7 +157,7 @@
     async def _send_heartbeats(self) -> None:
         async for paused in heartbeat_intervals(self._timing.heartbeat_ms):
             sequence = next(self._sequences)
-            payload = encode_with_timestamp(self._heartbeat(sequence))
+            payload = encode_with_timestamp(self._build_heartbeat(sequence))
             for peer in self._peers.values():
                 if peer.link is None or peer.dialling is not None:
                     continue
@@ -192,7 +192,7 @@
             peer.error = f"no hello within {timeout_ms} ms"
         except LinkRefusedError as error:
             peer.error = error.reason
-            self._refused(error)
+            self._on_refused(error)
         except OSError as error:
             peer.error = str(error)
         finally:
@@ -201,7 +201,7 @@
         return link is not None and link.hello is not None
 
     async def _connect(self, peer: _Peer, handshake: asyncio.Future) -> Link:
-        address = self._addresses(peer.host)
+        address = self._find_address(peer.host)
         if address is None:
             raise ConnectionError("the link address of the host is not known")
         session = next(self._sessions)
@@ -214,7 +214,7 @@
         )
         loop = asyncio.get_running_loop()
         _, link = await loop.create_connection(create_link, *address)
-        link.send(self._hello(session))
+        link.send(self._build_hello(session))
         return link
 
     def _handle_message(
--- a/packages/sassafraswinch-node/tests/test_links.py
+++ b/packages/sassafraswinch-node/tests/test_links.py
@@ -296,8 +296,8 @@
 
 
 async def test_other_protocol_version_is_refused_on_both_sides(pair):
-    pair.pool._hello = make_hello(Pair.a, version=99)
-    pair.server._hello = make_hello(NodeId("b", 2), version=98)
+    pair.pool._build_hello = make_hello(Pair.a, version=99)
+    pair.server._build_hello = make_hello(NodeId("b", 2), version=98)
     pair.pool.want(["b"])
     await wait_until(lambda: len(pair.refused) >= 2)
     reasons = sorted(error.reason for error in pair.refused[:2])
