--- a/packages/sassafraswinch-node/sassafraswinch_node/links.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/links.py
@@ -53,8 +53,8 @@
         events: callbacks for links and messages.
         heartbeat: returns the heartbeat for a sequence number.
         refused: called with the fault of each peer that is refused.
-        proved: called with the host, session and sending time of each heartbeat that
-            was answered: the peer has read all data written before it.
+        proved: called with host, session and sending time of each answered
+            heartbeat: the peer has read all data written before it.
         rng: source of the jitter of redials.
         timing: intervals and timeouts.
         traffic: byte counters of all links.
