--- a/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
@@ -26,7 +26,7 @@
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
     ) -> None:
-        """Handle the loss of a link; ``replaced`` if a newer one is open."""
+        """Handle the loss of a link; ``replaced`` if another one took its place."""
 
     def link_proved(self, node: NodeId, sent_at_ms: float) -> None:
         """Handle the reply to a heartbeat that was sent at ``sent_at_ms``."""
