--- a/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
@@ -100,12 +100,12 @@
 
     def connect(self, host: str) -> None:
         """Dial ``host`` and keep the link while the plan retains this demand."""
-        self.plan.need_host(host, _now_ms())
+        self.plan.record_host_demand(host, _now_ms())
         self._schedule_plan()
 
     def need_service(self, service: str) -> None:
         """Keep links to hosts of ``service`` while the plan retains this demand."""
-        if self.plan.need_service(service, _now_ms()):
+        if self.plan.record_service_demand(service, _now_ms()):
             self._schedule_plan()
 
     def _schedule_plan(self) -> None:
@@ -167,7 +167,7 @@
             self.receiver.link_proved(node, sent_at_ms)
 
     def _find_address(self, host: str) -> tuple[str, int] | None:
-        record = self.membership.record(host)
+        record = self.membership.host_record(host)
         if record is None:
             return None
         address = parse_address(record.link)
