--- a/packages/sassafraswinch-node/sassafraswinch_node/frames.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/frames.py
@@ -65,7 +65,7 @@
         self._bound_bytes = MAX_HELLO_BYTES
         self._pending = bytearray()
 
-    def accept_long(self, bound_bytes: int = MAX_FRAME_BYTES) -> None:
+    def raise_frame_limit(self, bound_bytes: int = MAX_FRAME_BYTES) -> None:
         """Accept longer payloads, after the peer has sent its hello."""
         self._bound_bytes = bound_bytes
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/link.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link.py
@@ -157,7 +157,7 @@
         """Accept the peer's hello, and longer frames from now on."""
         self.hello = hello
         self.session = hello.session
-        self._splitter.accept_long()
+        self._splitter.raise_frame_limit()
 
     def send(self, message: Message) -> bool:
         """Queue a message for sending.
@@ -217,7 +217,7 @@
             _, sent_at_ms = self._pending_heartbeats.popleft()
         return sent_at_ms
 
-    def forgive_silence(self) -> None:
+    def restart_silence_timer(self) -> None:
         """Measure the peer's silence from now on."""
         self.last_read_ms = self._now_ms()
         self._pending_heartbeats.clear()
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_adapter.py
@@ -37,11 +37,11 @@
 
     Args:
         receiver: notified of links and messages.
-        hello: returns the hello for a session number.
-        heartbeat: returns the heartbeat for a sequence number.
+        build_hello: returns the hello for a session number.
+        build_heartbeat: returns the heartbeat for a sequence number.
         membership: host records, with the link address of each host.
         plan: chooses the hosts to keep links to.
-        refused: called with the fault of each refused connection.
+        on_refused: called with the fault of each refused connection.
         traffic: byte counters of all links.
     """
 
@@ -49,11 +49,11 @@
         self,
         *,
         receiver: LinkReceiver,
-        hello: Callable[[int], Hello],
-        heartbeat: Callable[[int], Heartbeat],
+        build_hello: Callable[[int], Hello],
+        build_heartbeat: Callable[[int], Heartbeat],
         membership: Membership,
         plan: LinkPlan,
-        refused: Callable[[LinkRefusedError], None],
+        on_refused: Callable[[LinkRefusedError], None],
         traffic: LinkTraffic,
     ):
         self.receiver = receiver
@@ -63,19 +63,19 @@
         self._accepted_sessions: dict[NodeId, list[int]] = {}
         self._dialled_sessions: dict[str, int] = {}
         self.pool = LinkPool(
-            hello=hello,
-            addresses=self._find_address,
+            build_hello=build_hello,
+            find_address=self._find_address,
             events=self,
-            heartbeat=heartbeat,
-            refused=refused,
-            proved=self._on_heartbeat_reply,
+            build_heartbeat=build_heartbeat,
+            on_refused=on_refused,
+            on_heartbeat_reply=self._on_heartbeat_reply,
             traffic=traffic,
         )
         self.server = LinkServer(
-            hello=hello,
+            build_hello=build_hello,
             events=self,
-            heartbeat=heartbeat,
-            refused=refused,
+            build_heartbeat=build_heartbeat,
+            on_refused=on_refused,
             traffic=traffic,
         )
 
@@ -89,10 +89,10 @@
         await self.pool.close()
         await self.server.close()
 
-    def follow_plan(self) -> None:
+    def apply_plan(self) -> None:
         """Dial the hosts that the plan chooses now, and close links to all others."""
         now_ms = _now_ms()
-        self.pool.want(self.plan.choose(self.membership.peers(now_ms), now_ms))
+        self.pool.set_hosts(self.plan.choose(self.membership.peers(now_ms), now_ms))
 
     def send(self, host: str, message: Message) -> int | None:
         """Send on the dialled link; None proves that nothing was written."""
@@ -103,7 +103,7 @@
         self.plan.record_host_demand(host, _now_ms())
         self._schedule_plan()
 
-    def need_service(self, service: str) -> None:
+    def record_service_demand(self, service: str) -> None:
         """Keep links to hosts of ``service`` while the plan retains this demand."""
         if self.plan.record_service_demand(service, _now_ms()):
             self._schedule_plan()
@@ -114,7 +114,7 @@
         Failure: a new demand displaces an old one, whose link is closed, and the node
         is notified of the lost link during a step that still uses it.
         """
-        asyncio.get_running_loop().call_soon(self.follow_plan)
+        asyncio.get_running_loop().call_soon(self.apply_plan)
 
     def announce(self, message: Message) -> None:
         """Send a message on every open link."""
--- a/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link_server.py
@@ -33,10 +33,10 @@
     out, since responses may still be in transit on them.
 
     Args:
-        hello: returns this node's hello for the session number of a peer.
+        build_hello: returns this node's hello for the session number of a peer.
         events: callbacks for links and messages.
-        heartbeat: returns the heartbeat for a sequence number.
-        refused: called with the fault of each refused connection.
+        build_heartbeat: returns the heartbeat for a sequence number.
+        on_refused: called with the fault of each refused connection.
         timing: intervals and timeouts.
         traffic: byte counters of all links.
     """
@@ -44,17 +44,17 @@
     def __init__(
         self,
         *,
-        hello: Callable[[int], Hello],
+        build_hello: Callable[[int], Hello],
         events: LinkEvents,
-        heartbeat: Callable[[int], Heartbeat],
-        refused: Callable[[LinkRefusedError], None] = lambda error: None,
+        build_heartbeat: Callable[[int], Heartbeat],
+        on_refused: Callable[[LinkRefusedError], None] = lambda error: None,
         timing: LinkTiming | None = None,
         traffic: LinkTraffic | None = None,
     ):
-        self._build_hello = hello
+        self._build_hello = build_hello
         self._events = events
-        self._build_heartbeat = heartbeat
-        self._on_refused = refused
+        self._build_heartbeat = build_heartbeat
+        self._on_refused = on_refused
         self._timing = timing or LinkTiming()
         self._traffic = traffic or LinkTraffic()
         self._sequences = itertools.count(1)
@@ -123,7 +123,7 @@
             )
             for link in tuple(self._connections):
                 if paused:
-                    link.forgive_silence()
+                    link.restart_silence_timer()
                 self._check_silence(link)
                 if link.hello is not None:
                     link.send_payload(payload, control=True)
--- a/packages/sassafraswinch-node/sassafraswinch_node/links.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/links.py
@@ -48,13 +48,13 @@
     then the pool sends nothing to that host.
 
     Args:
-        hello: returns this node's hello for a session number.
-        addresses: returns the link address of a host; None if it isn't known.
+        build_hello: returns this node's hello for a session number.
+        find_address: returns the link address of a host; None if it isn't known.
         events: callbacks for links and messages.
-        heartbeat: returns the heartbeat for a sequence number.
-        refused: called with the fault of each peer that is refused.
-        proved: called with host, session and sending time of each answered
-            heartbeat: the peer has read all data written before it.
+        build_heartbeat: returns the heartbeat for a sequence number.
+        on_refused: called with the fault of each peer that is refused.
+        on_heartbeat_reply: called with host, session and sending time of each answered
+            build_heartbeat: the peer has read all data written before it.
         rng: source of the jitter of redials.
         timing: intervals and timeouts.
         traffic: byte counters of all links.
@@ -63,22 +63,24 @@
     def __init__(
         self,
         *,
-        hello: Callable[[int], Hello],
-        addresses: Callable[[str], Address | None],
+        build_hello: Callable[[int], Hello],
+        find_address: Callable[[str], Address | None],
         events: LinkEvents,
-        heartbeat: Callable[[int], Heartbeat],
-        refused: Callable[[LinkRefusedError], None] = lambda error: None,
-        proved: Callable[[str, int, float], None] = lambda host, session, sent: None,
+        build_heartbeat: Callable[[int], Heartbeat],
+        on_refused: Callable[[LinkRefusedError], None] = lambda error: None,
+        on_heartbeat_reply: Callable[
+            [str, int, float], None
+        ] = lambda host, session, sent: None,
         rng: random.Random | None = None,
         timing: LinkTiming | None = None,
         traffic: LinkTraffic | None = None,
     ):
-        self._build_hello = hello
-        self._find_address = addresses
+        self._build_hello = build_hello
+        self._find_address = find_address
         self._events = events
-        self._build_heartbeat = heartbeat
-        self._on_refused = refused
-        self._on_heartbeat_reply = proved
+        self._build_heartbeat = build_heartbeat
+        self._on_refused = on_refused
+        self._on_heartbeat_reply = on_heartbeat_reply
         self._rng = rng or random.Random()
         self._timing = timing or LinkTiming()
         self._traffic = traffic or LinkTraffic()
@@ -87,7 +89,7 @@
         self._peers: dict[str, _Peer] = {}
         self._heartbeat_task: asyncio.Task | None = None
 
-    def want(self, hosts: Iterable[str]) -> None:
+    def set_hosts(self, hosts: Iterable[str]) -> None:
         """Set the hosts to keep links to: dial new ones, close links to all others.
 
         A host with outstanding calls must stay in the set until they have ended.
@@ -125,7 +127,7 @@
         """Return the open link to each host that has one."""
         return {peer.host: peer.link for peer in self._peers.values() if peer.link}
 
-    def errors(self) -> dict[str, str]:
+    def dial_errors(self) -> dict[str, str]:
         """Return the error of the last dial, for each host without a link."""
         return {
             peer.host: peer.error
@@ -135,7 +137,7 @@
 
     async def close(self) -> None:
         """Write the queued messages, then close all links."""
-        self.want(())
+        self.set_hosts(())
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
             self._heartbeat_task = None
@@ -162,7 +164,7 @@
                 if peer.link is None or peer.dialling is not None:
                     continue
                 if paused:
-                    peer.link.forgive_silence()
+                    peer.link.restart_silence_timer()
                 if peer.link.silent_for_ms() > self._timing.silence_ms:
                     self._start_dialling(peer)
                 peer.link.send_payload(payload, control=True)
--- a/packages/sassafraswinch-node/tests/test_links.py
+++ b/packages/sassafraswinch-node/tests/test_links.py
@@ -111,18 +111,18 @@
 async def pair():
     dialling, accepting, refused, addresses = Events(), Events(), [], {}
     server = links.LinkServer(
-        hello=make_hello(NodeId("b", 2)),
+        build_hello=make_hello(NodeId("b", 2)),
         events=accepting,
-        heartbeat=make_heartbeat,
-        refused=refused.append,
+        build_heartbeat=make_heartbeat,
+        on_refused=refused.append,
         timing=TIMING,
     )
     pool = links.LinkPool(
-        hello=make_hello(Pair.a),
-        addresses=addresses.get,
+        build_hello=make_hello(Pair.a),
+        find_address=addresses.get,
         events=dialling,
-        heartbeat=make_heartbeat,
-        refused=refused.append,
+        build_heartbeat=make_heartbeat,
+        on_refused=refused.append,
         timing=TIMING,
     )
     address = await server.start("127.0.0.1", 0)
@@ -139,7 +139,7 @@
 
 
 async def open_link(pair):
-    pair.pool.want(["b"])
+    pair.pool.set_hosts(["b"])
     await pair.dialling.wait_for("up", "b")
     await pair.accepting.wait_for("up", "a")
 
@@ -190,10 +190,10 @@
 async def test_nothing_is_sent_to_a_host_without_a_link(pair):
     assert pair.pool.send("b", Cancel(number=1)) is None
     assert not pair.server.send(Pair.a, 1, Cancel(number=1))
-    pair.pool.want(["nowhere"])
+    pair.pool.set_hosts(["nowhere"])
     await asyncio.sleep(0.02)
     assert pair.pool.send("nowhere", Cancel(number=1)) is None
-    assert pair.pool.errors() == {
+    assert pair.pool.dial_errors() == {
         "nowhere": "the link address of the host is not known"
     }
 
@@ -210,7 +210,7 @@
 async def test_link_to_removed_host_is_closed_after_queued_messages(pair):
     await open_link(pair)
     pair.pool.send("b", Cancel(number=1))
-    pair.pool.want([])
+    pair.pool.set_hosts([])
     await pair.accepting.wait_for("lost", "a", 1)
     assert ("message", 1, Cancel(number=1)) in pair.accepting.log
     assert pair.dialling.log[-1] == ("lost", "b", 1)
@@ -242,7 +242,7 @@
     route.set_fault(Fault.SILENT)
     await pair.dialling.wait_for("lost", "b", 1)
     assert pair.pool.send("b", make_call()) is None
-    assert "no hello within" in pair.pool.errors()["b"]
+    assert "no hello within" in pair.pool.dial_errors()["b"]
 
 
 async def test_one_way_silence_is_detected_by_unanswered_heartbeats(pair, route):
@@ -298,7 +298,7 @@
 async def test_other_protocol_version_is_refused_on_both_sides(pair):
     pair.pool._build_hello = make_hello(Pair.a, version=99)
     pair.server._build_hello = make_hello(NodeId("b", 2), version=98)
-    pair.pool.want(["b"])
+    pair.pool.set_hosts(["b"])
     await wait_until(lambda: len(pair.refused) >= 2)
     reasons = sorted(error.reason for error in pair.refused[:2])
     assert reasons == [
@@ -314,9 +314,9 @@
     Another host answers at its address, so a call would run on the wrong service.
     """
     pair.addresses["gone"] = pair.address
-    pair.pool.want(["gone"])
-    await wait_until(pair.pool.errors)
-    assert pair.pool.errors() == {"gone": "its address now belongs to host b"}
+    pair.pool.set_hosts(["gone"])
+    await wait_until(pair.pool.dial_errors)
+    assert pair.pool.dial_errors() == {"gone": "its address now belongs to host b"}
     assert pair.dialling.log == []
 
 
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_link.py
@@ -146,7 +146,7 @@
         if self._awaiting_reply_since_ms is None:
             self._awaiting_reply_since_ms = self._now_ms()
 
-    def forgive_silence(self) -> None:
+    def restart_silence_timer(self) -> None:
         """Restart the heartbeat timeout after this process was suspended."""
         if self._awaiting_reply_since_ms is not None:
             self._awaiting_reply_since_ms = self._now_ms()
@@ -228,7 +228,7 @@
         self.incarnation = message.incarnation
         self.availability_zone = message.availability_zone
         self.takes_suspects = message.takes_suspects
-        self._splitter.accept_long(MAX_FRAME_BYTES)
+        self._splitter.raise_frame_limit(MAX_FRAME_BYTES)
         self._on_handshake(self)
 
     def flush(self) -> None:
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/peer_links.py
@@ -404,7 +404,7 @@
 
     def _check(self, peer: Peer, link: PeerLink, was_suspended: bool) -> None:
         if was_suspended:
-            link.forgive_silence()
+            link.restart_silence_timer()
         if link.silent_ms() > LINK_TIMEOUT_MS:
             link.abort("silent")
             return
