--- a/packages/sassafraswinch/sassafraswinch/answer_store.py
+++ b/packages/sassafraswinch/sassafraswinch/answer_store.py
@@ -1,4 +1,4 @@
-"""Answers kept for repeats, bounded in bytes."""
+"""Answer store: answers kept for retries, bounded in bytes."""
 
 from collections import OrderedDict
 from collections.abc import Hashable
@@ -8,18 +8,18 @@
 from sassafraswinch.messages import Answer
 
 RECORD_OVERHEAD_BYTES = 512
-"""Counted for each kept answer besides its fields, so that small ones are bounded."""
-LARGEST_SHARE = 4
-"""One answer may take at most this fraction (1/4) of a store."""
+"""Overhead counted per answer besides its fields, so that small ones are bounded."""
+MIN_ANSWERS_PER_STORE = 4
+"""Least number of answers that fit a store: one may take at most 1/4 of its bytes."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LedgerSize:
-    """What a ledger holds in memory."""
+    """Memory use of a ledger."""
 
     records: int
     answer_bytes: int
-    """As counted by ``answer_bytes``."""
+    """Bytes of the kept answers, as counted by ``answer_bytes``."""
     state_bytes: int = 0
 
 
@@ -27,13 +27,13 @@
 
 
 def answer_bytes(answer: Answer) -> int:
-    """Return the bytes that an answer counts for in a store."""
+    """Return the size of an answer as counted by a store, in bytes."""
     headers_bytes = sum(len(name) + len(value) for name, value in answer.headers)
     return RECORD_OVERHEAD_BYTES + headers_bytes + len(answer.body)
 
 
 class AnswerStore(Generic[Key]):
-    """Keeps answers by key and drops the oldest ones when its bytes run out."""
+    """Bounded store of answers by key; drops the oldest answers when it is full."""
 
     def __init__(self, *, max_bytes: int):
         self._max_bytes = max_bytes
@@ -47,28 +47,28 @@
         """Keep an answer.
 
         Returns:
-            The keys whose answers had to be dropped: the oldest ones, or ``key``
-            itself where the answer alone is too large.
+            The keys whose answers were dropped: the oldest ones, or ``key`` itself if
+            its answer is too large.
         """
         size_bytes = answer_bytes(answer)
-        if size_bytes * LARGEST_SHARE > self._max_bytes:
+        if size_bytes * MIN_ANSWERS_PER_STORE > self._max_bytes:
             return (key,)
         self.drop(key)
         self._answers[key] = answer
         self.kept_bytes += size_bytes
         dropped = []
         while self.kept_bytes > self._max_bytes:
-            oldest, old_answer = self._answers.popitem(last=False)
-            self.kept_bytes -= answer_bytes(old_answer)
-            dropped.append(oldest)
+            oldest_key, oldest_answer = self._answers.popitem(last=False)
+            self.kept_bytes -= answer_bytes(oldest_answer)
+            dropped.append(oldest_key)
         return tuple(dropped)
 
     def get(self, key: Key) -> Answer | None:
-        """Return the kept answer, or None."""
+        """Return the answer kept for ``key``, or None."""
         return self._answers.get(key)
 
     def drop(self, key: Key) -> None:
-        """Drop an answer, if it is kept."""
+        """Drop the answer of ``key``, if there is one."""
         answer = self._answers.pop(key, None)
         if answer is not None:
             self.kept_bytes -= answer_bytes(answer)
--- a/packages/sassafraswinch/sassafraswinch/burn.py
+++ b/packages/sassafraswinch/sassafraswinch/burn.py
@@ -1,4 +1,4 @@
-"""Recording of outcomes for the service-level burn report."""
+"""Burn recorder: counts call outcomes of a node against service-level objectives."""
 
 from collections.abc import Mapping
 
@@ -22,20 +22,20 @@
 ]
 
 MAX_SERIES = 128
-"""Series that a node keeps; about 45 kB each when busy (docs/BURN.md)."""
+"""Series that a node retains; about 45 kB each under load (docs/BURN.md)."""
 
 OTHER = "(other)"
-"""Class and operation of what has no series of its own."""
+"""Class and operation of the series for calls without a series of their own."""
 
-IDLE_MS = BURN_WINDOWS_MS[-1]
-"""A series without calls for this long has nothing left to report."""
+SERIES_IDLE_MS = BURN_WINDOWS_MS[-1]
+"""Idle time after which a series has nothing to report and may be evicted."""
 
-FORGET_EVERY_MS = 60_000
-"""Least time between two searches for idle series when all places are taken."""
+EVICTION_INTERVAL_MS = 60_000
+"""Shortest time between two searches for idle series while the recorder is full."""
 
 
 class BurnRecorder:
-    """Outcomes of the calls of one node, by class and operation."""
+    """Records the outcomes of the calls of one node, by class and operation."""
 
     def __init__(
         self, *, host: str, now_ms: float, max_series: int = MAX_SERIES
@@ -45,17 +45,20 @@
         self._max_series = max_series
         self._objectives: dict[str, Objective] = {}
         self._document_version = 0
-        self._forget_at_ms = now_ms
+        self._evict_at_ms = now_ms
         self._series: dict[tuple[str, str], BurnSeries] = {}
 
     def set_objectives(
         self, objectives: Mapping[str, Objective], *, document_version: int
     ) -> None:
-        """Take the objectives of a new document; recorded calls keep their judgement.
+        """Apply the objectives of a new document to the calls recorded from now on.
+
+        Calls that are already recorded keep their result.
 
         Args:
-            objectives: by class name; a class without one is only counted.
-            document_version: version that they are from.
+            objectives: objectives by class name; calls of a class without one are
+                only counted.
+            document_version: version of the document that defines them.
         """
         self._objectives = dict(objectives)
         self._document_version = document_version
@@ -75,21 +78,22 @@
         """Count the outcome of one call.
 
         Args:
-            class_name: the class of the call; ``OTHER`` where it has none.
-            operation: name of the operation; ``OTHER`` where it is unknown.
-            verdict: what the caller was told.
-            reason: why there was no whole answer; None with an answer.
-            latency_ms: from the first byte of the call to the end of its outcome.
+            class_name: class of the call; ``OTHER`` if it has none.
+            operation: name of the operation; ``OTHER`` if it is unknown.
+            verdict: verdict that the caller received.
+            reason: why there was no complete answer; None with an answer.
+            latency_ms: time from the first byte of the call to the end of its
+                outcome.
             now_ms: monotonic time.
         """
         series = self._series.get((class_name, operation))
         if series is None:
-            series = self._open(class_name, operation, now_ms)
+            series = self._open_series(class_name, operation, now_ms)
         series.record(verdict, reason, latency_ms, now_ms)
 
     def report(self, now_ms: float) -> BurnReport:
-        """Return the burn of every series that had calls in the longest window."""
-        self._forget_idle(now_ms)
+        """Return the report over every series with calls in the longest window."""
+        self._evict_idle(now_ms)
         covered_ms = now_ms - self._started_ms
         return BurnReport(
             hosts=(self._host,),
@@ -100,13 +104,15 @@
             ),
         )
 
-    def _open(self, class_name: str, operation: str, now_ms: float) -> "BurnSeries":
-        # Failure: a new document, or callers of many classes, name ever new
-        # pairs; shows as memory that only grows. The last place is kept for OTHER,
-        # which takes all that find none.
-        if self._is_full() and now_ms >= self._forget_at_ms:
-            self._forget_at_ms = now_ms + FORGET_EVERY_MS
-            self._forget_idle(now_ms)
+    def _open_series(
+        self, class_name: str, operation: str, now_ms: float
+    ) -> "BurnSeries":
+        # Failure: new documents, or callers of many classes, keep adding pairs of
+        # class and operation, and memory only grows. So the number of series is
+        # bounded; the last one is reserved for OTHER, which counts all further calls.
+        if self._is_full() and now_ms >= self._evict_at_ms:
+            self._evict_at_ms = now_ms + EVICTION_INTERVAL_MS
+            self._evict_idle(now_ms)
         if self._is_full():
             class_name = operation = OTHER
         key = class_name, operation
@@ -122,9 +128,9 @@
     def _is_full(self) -> bool:
         return len(self._series) >= self._max_series - 1
 
-    def _forget_idle(self, now_ms: float) -> None:
+    def _evict_idle(self, now_ms: float) -> None:
         self._series = {
             key: series
             for key, series in self._series.items()
-            if now_ms - series.last_ms <= IDLE_MS
+            if now_ms - series.last_ms <= SERIES_IDLE_MS
         }
--- a/packages/sassafraswinch/sassafraswinch/burn_rates.py
+++ b/packages/sassafraswinch/sassafraswinch/burn_rates.py
@@ -1,4 +1,4 @@
-"""Burn rates, alerts, and sums of reports over nodes."""
+"""Burn rates, burn-rate alerts and the merging of burn reports of several nodes."""
 
 from dataclasses import dataclass
 from itertools import groupby
@@ -23,13 +23,17 @@
 
 QUANTILE_PERCENTS = (50.0, 90.0, 99.0, 100.0)
 
-SMALLEST_ALLOWED_PERCENT = 0.001
-"""What may fail under an objective of 100%: a rate over nothing can't be told."""
+MIN_ALLOWED_PERCENT = 0.001
+"""Error budget assumed for an objective of 100%, whose burn rate is undefined."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AlertRule:
-    """Two windows that must both burn at a rate: one for weight, one for freshness."""
+    """Multi-window alert rule: both windows must burn at least at ``burn_rate``.
+
+    The long window shows that the burn is significant, the short one that it is
+    still going on.
+    """
 
     severity: Severity
     short_ms: int
@@ -57,12 +61,12 @@
         burn_rate=6.0,
     ),
 )
-"""Rates at which 0.5% in 5 minutes, 2% in an hour and 5% in 6 hours of what the
-objective allows to fail in 30 days is used up: share * 30 days / long window."""
+"""Alert rules. Their rates consume 0.5% of the error budget of 30 days in 5 minutes,
+2% in an hour and 5% in 6 hours: share * 30 days / long window."""
 
-ALERT_BAD_CALLS = 5
-"""Fewer bad calls than this in the long window raise no alert: one failed call of an
-operation that runs twice an hour would otherwise burn at the highest rate."""
+MIN_ALERT_BAD_CALLS = 5
+"""Fewest bad calls in the long window that raise an alert. Without this limit, one
+failed call of an operation that runs twice an hour would burn at the highest rate."""
 
 
 def window_burn(
@@ -75,9 +79,7 @@
     """Return the burn of one window against an objective."""
     rate = None
     if objective is not None and counts.counted:
-        allowed_percent = max(
-            100.0 - objective.answered_percent, SMALLEST_ALLOWED_PERCENT
-        )
+        allowed_percent = max(100.0 - objective.answered_percent, MIN_ALLOWED_PERCENT)
         rate = 100.0 * counts.bad / counts.counted / allowed_percent
     return WindowBurn(
         window_ms=window_ms, covered_ms=covered_ms, counts=counts, burn_rate=rate
@@ -85,7 +87,7 @@
 
 
 def window_latency(*, window_ms: int, histogram: HdrHistogram) -> WindowLatency:
-    """Return the quantiles of one window."""
+    """Return the latency quantiles of one window."""
     p50_ms, p90_ms, p99_ms, max_ms = quantiles_ms(histogram, QUANTILE_PERCENTS)
     return WindowLatency(
         window_ms=window_ms,
@@ -100,15 +102,15 @@
 def find_alerts(windows: tuple[WindowBurn, ...]) -> tuple[Alert, ...]:
     """Return the alerts that the rules raise over these windows.
 
-    Failure: a fleet that started ten seconds ago meets its first overload, and as
-    its one-hour window holds nothing but that, it pages as if an hour had burnt. So
-    the part of a long window before the start counts as time without burn.
+    Failure: a fleet that started ten seconds ago has its first overload. Its one-hour
+    window holds only those calls, so it pages as if an hour had burnt. Therefore the
+    part of a long window before the start counts as time without burn.
     """
-    by_length = {window.window_ms: window for window in windows}
+    window_by_length = {window.window_ms: window for window in windows}
     pairs = [
-        (rule, by_length[rule.short_ms], by_length[rule.long_ms])
+        (rule, window_by_length[rule.short_ms], window_by_length[rule.long_ms])
         for rule in ALERT_RULES
-        if rule.short_ms in by_length and rule.long_ms in by_length
+        if rule.short_ms in window_by_length and rule.long_ms in window_by_length
     ]
     return tuple(
         Alert(
@@ -118,26 +120,27 @@
             burn_rate=rate,
         )
         for rule, short, long in pairs
-        if (rate := min(short.burn_rate or 0.0, _spread_rate(long))) >= rule.burn_rate
-        and long.counts.bad >= ALERT_BAD_CALLS
+        if (rate := min(short.burn_rate or 0.0, _rate_over_full_window(long)))
+        >= rule.burn_rate
+        and long.counts.bad >= MIN_ALERT_BAD_CALLS
     )
 
 
-def _spread_rate(window: WindowBurn) -> float:
+def _rate_over_full_window(window: WindowBurn) -> float:
     return (window.burn_rate or 0.0) * window.covered_ms / window.window_ms
 
 
 def merge_reports(reports: list[BurnReport]) -> BurnReport:
-    """Add the reports of several nodes up to one.
+    """Merge the reports of several nodes.
 
-    Where documents differ, the objective is the one of the highest version; calls
-    that were already judged keep their judgement.
+    If their documents differ, the objective of the highest version is used; calls
+    that were already counted keep their result.
 
     Args:
-        reports: of different nodes; may be empty.
+        reports: reports of different nodes; may be empty.
 
     Returns:
-        One report with a series for each class and operation that any node has.
+        One report with a series for each class and operation of any node.
     """
     newest_first = sorted(reports, key=lambda report: -report.document_version)
     series = sorted(
@@ -147,71 +150,72 @@
         hosts=tuple(sorted({host for report in reports for host in report.hosts})),
         document_version=max((r.document_version for r in reports), default=0),
         series=tuple(
-            _merge_series(list(same)) for _, same in groupby(series, key=series_key)
+            _merge_series(list(series_group))
+            for _, series_group in groupby(series, key=series_key)
         ),
     )
 
 
 def series_key(series: SeriesBurn) -> tuple[str, str]:
-    """Return what names a series: its class and operation."""
+    """Return the key of a series: its class and operation."""
     return series.class_name, series.operation
 
 
-def _merge_series(same: list[SeriesBurn]) -> SeriesBurn:
-    objective = same[0].objective
-    windows = _merge_windows(same, objective)
-    reasons = sorted({reason for series in same for reason in series.reasons})
+def _merge_series(series_group: list[SeriesBurn]) -> SeriesBurn:
+    objective = series_group[0].objective
+    windows = _merge_windows(series_group, objective)
+    reasons = sorted({reason for series in series_group for reason in series.reasons})
     return SeriesBurn(
-        class_name=same[0].class_name,
-        operation=same[0].operation,
+        class_name=series_group[0].class_name,
+        operation=series_group[0].operation,
         objective=objective,
         windows=windows,
-        latencies=_merge_latencies(same),
+        latencies=_merge_latencies(series_group),
         alerts=find_alerts(windows),
-        total=_add_counts([series.total for series in same]),
+        total=_add_counts([series.total for series in series_group]),
         reasons={
-            reason: sum(series.reasons.get(reason, 0) for series in same)
+            reason: sum(series.reasons.get(reason, 0) for series in series_group)
             for reason in reasons
         },
     )
 
 
 def _merge_windows(
-    same: list[SeriesBurn], objective: Objective | None
+    series_group: list[SeriesBurn], objective: Objective | None
 ) -> tuple[WindowBurn, ...]:
-    windows = [window for series in same for window in series.windows]
+    windows = [window for series in series_group for window in series.windows]
     return tuple(
         window_burn(
             window_ms=window_ms,
-            covered_ms=max(window.covered_ms for window in alike),
-            counts=_add_counts([window.counts for window in alike]),
+            covered_ms=max(window.covered_ms for window in window_group),
+            counts=_add_counts([window.counts for window in window_group]),
             objective=objective,
         )
-        for window_ms, alike in _by_length(windows)
+        for window_ms, window_group in _group_by_length(windows)
     )
 
 
-def _merge_latencies(same: list[SeriesBurn]) -> tuple[WindowLatency, ...]:
-    windows = [window for series in same for window in series.latencies]
+def _merge_latencies(series_group: list[SeriesBurn]) -> tuple[WindowLatency, ...]:
+    windows = [window for series in series_group for window in series.latencies]
     return tuple(
         window_latency(
             window_ms=window_ms,
-            histogram=add_histograms(window.histogram for window in alike),
+            histogram=add_histograms(window.histogram for window in window_group),
         )
-        for window_ms, alike in _by_length(windows)
+        for window_ms, window_group in _group_by_length(windows)
     )
 
 
-def _by_length(windows: list[Window]) -> list[tuple[int, list[Window]]]:
+def _group_by_length(windows: list[Window]) -> list[tuple[int, list[Window]]]:
     ordered = sorted(windows, key=attrgetter("window_ms"))
     return [
-        (window_ms, list(alike))
-        for window_ms, alike in groupby(ordered, key=attrgetter("window_ms"))
+        (window_ms, list(window_group))
+        for window_ms, window_group in groupby(ordered, key=attrgetter("window_ms"))
     ]
 
 
 def _add_counts(counts: list[OutcomeCounts]) -> OutcomeCounts:
     total = OutcomeCounts()
-    for item in counts:
-        total.add(item)
+    for added in counts:
+        total.add(added)
     return total
--- a/packages/sassafraswinch/sassafraswinch/burn_report.py
+++ b/packages/sassafraswinch/sassafraswinch/burn_report.py
@@ -1,4 +1,4 @@
-"""The service-level burn report: its data and JSON form."""
+"""Burn report: burn rates against service-level objectives, with its JSON form."""
 
 import enum
 from dataclasses import dataclass, field
@@ -20,13 +20,13 @@
 
 
 class Severity(enum.Enum):
-    """What an alert asks of the operators."""
+    """Urgency of an alert."""
 
     PAGE = "page"
-    """Somebody must look now."""
+    """An operator must respond now."""
 
     TICKET = "ticket"
-    """Somebody must look on the next working day."""
+    """An operator must respond on the next working day."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -35,16 +35,16 @@
 
     window_ms: int
     covered_ms: float
-    """Part of the window that the node has been running; the rest is unknown."""
+    """Part of the window in which the node was running; the rest is unknown."""
     counts: OutcomeCounts
     burn_rate: float | None
-    """Bad share over the share that may be bad; 1 just meets the objective. None
-    without an objective or without counted calls."""
+    """Share of bad calls over the share that the objective allows; 1 just meets the
+    objective. None without an objective or without counted calls."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WindowLatency:
-    """Latencies of the whole answers of one window."""
+    """Latencies of the complete answers of one window."""
 
     window_ms: int
     p50_ms: float
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Alert:
-    """A rule whose two windows both burn at its rate or above."""
+    """Alert of a rule whose windows both burn at its rate or above."""
 
     severity: Severity
     short_ms: int
     long_ms: int
     burn_rate: float
-    """The smaller rate of the two windows."""
+    """Smaller burn rate of the two windows."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -76,18 +76,18 @@
     latencies: tuple[WindowLatency, ...]
     alerts: tuple[Alert, ...]
     total: OutcomeCounts
-    """Since the start of the process."""
+    """Counts since the start of the process."""
     reasons: dict[str, int]
-    """Calls since the start that weren't answered, by reason."""
+    """Unanswered calls since the start of the process, by reason."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BurnReport:
-    """Burn of one node, or the sum over several."""
+    """Burn report of one node, or merged over several."""
 
     hosts: tuple[str, ...]
     document_version: int
-    """Version that the objectives are from; the highest one in a sum."""
+    """Document version of the objectives; the highest one in a merged report."""
     series: tuple[SeriesBurn, ...] = field(default=())
 
 
@@ -95,18 +95,18 @@
 
 
 def parse_report(body: bytes | str, *, source: str) -> BurnReport:
-    """Read the JSON of a node's ``/burn``.
+    """Parse the JSON response of a node's ``/burn``.
 
     Args:
         body: JSON text.
-        source: address of the node, for the errors.
+        source: address of the node, reported with errors.
 
     Raises:
-        InvalidFieldsError: names each field that is missing or wrong.
+        InvalidFieldsError: if fields are missing or invalid, with each of them.
     """
     return parse_record(_REPORT, body, source=source)
 
 
 def serialize_report(report: BurnReport) -> bytes:
-    """Write a report as JSON; histograms as compressed text."""
+    """Return a report as JSON, with histograms as compressed text."""
     return serialize_record(_REPORT, report)
--- a/packages/sassafraswinch/sassafraswinch/burn_series.py
+++ b/packages/sassafraswinch/sassafraswinch/burn_series.py
@@ -1,15 +1,15 @@
-"""Outcomes of one operation in one class, judged by the objective of the class.
+"""Burn series: outcomes of one operation in one class against the class objective.
 
-What is held against the objective of a class:
+The objective counts these outcomes:
 
-- good: the whole answer within the objective's latency, whatever its status;
-- late: the whole answer, but later;
+- good: a complete answer within the objective's latency, whatever its status;
+- late: a complete answer after that latency;
 - refused: proved not run, because the system couldn't serve it (overload, eviction,
   deadline, a leaving host, a backend server that shed it, no host, no document);
 - unknown: may have run.
 
-Not held against it: calls that the caller cancelled, and calls refused for the
-caller's own fault, such as a bad request or repeats beyond its share.
+It doesn't count calls that the caller cancelled, nor calls refused for a reason of
+the caller, such as a bad request or retries beyond the caller's share.
 """
 
 from collections import Counter
@@ -19,8 +19,8 @@
 from sassafraswinch.burn_report import SeriesBurn
 from sassafraswinch.burn_windows import (
     BURN_WINDOWS_MS,
-    FOLD_MS,
-    LATENCY_FOLD_MS,
+    COUNT_SLOT_MS,
+    LATENCY_SLOT_MS,
     LATENCY_WINDOWS_MS,
     CountWindow,
     LatencyWindow,
@@ -44,14 +44,14 @@
         Reason.REPEATABLE_PARENT,
     }
 )
-"""A call that wasn't run for one of these was refused for what its caller did."""
+"""Reasons of the caller: a NOT_RUN call with one of these isn't counted."""
 
 
 class BurnSeries:
-    """Outcomes of one operation in one class.
+    """Counts the outcomes of one operation in one class.
 
-    Calls are counted into ``_fresh`` and ``_live``; these are moved into the windows
-    when the shortest slot ends, so that a call costs two increments.
+    Calls are counted in ``_fresh`` and ``_live``, which are flushed to the windows when
+    the shortest slot ends, so that a call costs two increments.
     """
 
     __slots__ = (
@@ -86,22 +86,22 @@
         self._total = OutcomeCounts()
         self._reasons: Counter[Reason] = Counter()
         self._fresh = OutcomeCounts()
-        self._fold_at_ms = _end_of_slot(now_ms, FOLD_MS)
+        self._fold_at_ms = _end_of_slot(now_ms, COUNT_SLOT_MS)
         self._live: LatencyCounts = {}
-        self._live_fold_at_ms = _end_of_slot(now_ms, LATENCY_FOLD_MS)
+        self._live_fold_at_ms = _end_of_slot(now_ms, LATENCY_SLOT_MS)
         self.set_objective(objective)
 
     def set_objective(self, objective: Objective | None) -> None:
-        """Judge the next calls by this objective."""
+        """Apply ``objective`` to the calls recorded from now on."""
         self._objective = objective
         self._latency_limit_ms = objective.latency_ms if objective else float("inf")
 
     def record(
         self, verdict: Verdict, reason: Reason | None, latency_ms: float, now_ms: float
     ) -> None:
-        """Count one outcome."""
+        """Count the outcome of one call."""
         if now_ms >= self._fold_at_ms:
-            self._fold(now_ms)
+            self._flush(now_ms)
         self.last_ms = now_ms
         if verdict is Verdict.ANSWERED:
             if latency_ms <= self._latency_limit_ms:
@@ -123,8 +123,8 @@
 
     def report(self, covered_ms: float, now_ms: float) -> SeriesBurn:
         """Return the burn over all windows."""
-        self._fold(now_ms)
-        self._fold_latencies(now_ms)
+        self._flush(now_ms)
+        self._flush_latencies(now_ms)
         windows = tuple(
             window_burn(
                 window_ms=window.window_ms,
@@ -153,26 +153,27 @@
             },
         )
 
-    def _fold(self, now_ms: float) -> None:
-        # _fresh lies within one slot of every window, for it is moved before it
-        # takes a call of the next slot; so the time it began with is exact.
-        began_ms = self._fold_at_ms - FOLD_MS
+    def _flush(self, now_ms: float) -> None:
+        # The counts of ``_fresh`` belong to one slot of every window, as they are
+        # flushed before a call of the next slot is counted. So the start time of the
+        # slot is exact.
+        slot_start_ms = self._fold_at_ms - COUNT_SLOT_MS
         for window in self._windows:
-            window.add(self._fresh, began_ms)
+            window.add(self._fresh, slot_start_ms)
         self._total.add(self._fresh)
         self._fresh = OutcomeCounts()
-        self._fold_at_ms = _end_of_slot(now_ms, FOLD_MS)
+        self._fold_at_ms = _end_of_slot(now_ms, COUNT_SLOT_MS)
         if now_ms >= self._live_fold_at_ms:
-            self._fold_latencies(now_ms)
+            self._flush_latencies(now_ms)
 
-    def _fold_latencies(self, now_ms: float) -> None:
+    def _flush_latencies(self, now_ms: float) -> None:
         if self._live:
             histogram = histogram_of(self._live)
-            began_ms = self._live_fold_at_ms - LATENCY_FOLD_MS
+            slot_start_ms = self._live_fold_at_ms - LATENCY_SLOT_MS
             for window in self._latencies:
-                window.add(histogram, began_ms)
+                window.add(histogram, slot_start_ms)
             self._live = {}
-        self._live_fold_at_ms = _end_of_slot(now_ms, LATENCY_FOLD_MS)
+        self._live_fold_at_ms = _end_of_slot(now_ms, LATENCY_SLOT_MS)
 
 
 def _end_of_slot(now_ms: float, slot_ms: int) -> float:
--- a/packages/sassafraswinch/sassafraswinch/burn_windows.py
+++ b/packages/sassafraswinch/sassafraswinch/burn_windows.py
@@ -1,4 +1,4 @@
-"""Counts over sliding windows, in a fixed number of slots each."""
+"""Sliding windows of outcome counts and latencies, divided into fixed slots."""
 
 from dataclasses import dataclass
 
@@ -14,53 +14,54 @@
     60 * MINUTE_MS,
     360 * MINUTE_MS,
 )
-"""Windows of the counters, short ones first."""
+"""Lengths of the count windows, shortest first."""
 
 LATENCY_WINDOWS_MS = (5 * MINUTE_MS, 60 * MINUTE_MS)
-"""Windows of the latencies: few, since a histogram takes a hundred times the room."""
+"""Lengths of the latency windows: few, as a histogram takes a hundred times the
+memory of counts."""
 
 COUNT_SLOTS = 12
-"""Whole slots of a counter's window: it covers up to 1/12 more than its name says."""
+"""Full slots of a count window; it covers up to 1/12 more than its length."""
 
 LATENCY_SLOTS = 2
-"""Whole slots of a latency window: it covers up to 1/2 more than its name says."""
+"""Full slots of a latency window; it covers up to 1/2 more than its length."""
 
-FOLD_MS = BURN_WINDOWS_MS[0] // COUNT_SLOTS
-"""Shortest slot of counts; every other slot is a whole number of these."""
+COUNT_SLOT_MS = BURN_WINDOWS_MS[0] // COUNT_SLOTS
+"""Shortest slot of counts; all other slots are integer multiples of it."""
 
-LATENCY_FOLD_MS = LATENCY_WINDOWS_MS[0] // LATENCY_SLOTS
+LATENCY_SLOT_MS = LATENCY_WINDOWS_MS[0] // LATENCY_SLOTS
 """Shortest slot of latencies."""
 
 
 def window_name(window_ms: int) -> str:
-    """Return a window's short name, such as ``5m`` or ``6h``."""
+    """Return the short name of a window, such as ``5m`` or ``6h``."""
     minutes = window_ms // MINUTE_MS
     return f"{minutes // 60}h" if minutes % 60 == 0 else f"{minutes}m"
 
 
 @dataclass(slots=True, kw_only=True)
 class OutcomeCounts:
-    """How many calls ended in which way, as seen by the objective."""
+    """Numbers of calls by outcome, as counted by the objective."""
 
     good: int = 0
-    """Answered whole, within the objective's latency."""
+    """Answered completely within the objective's latency."""
     late: int = 0
-    """Answered whole, but later than that."""
+    """Answered completely, but after that latency."""
     refused: int = 0
     """Proved not run, for a reason that isn't the caller's."""
     unknown: int = 0
-    """May have run: the caller was told that nothing is proved."""
+    """May have run: the caller received the verdict MAY_HAVE_RUN."""
     not_counted: int = 0
-    """Cancelled by the caller, or refused for the caller's own fault."""
+    """Cancelled by the caller, or refused for a reason of the caller."""
 
     @property
     def counted(self) -> int:
-        """Calls that the objective is held against."""
+        """Calls that the objective counts."""
         return self.good + self.bad
 
     @property
     def bad(self) -> int:
-        """Calls that use up what the objective allows to fail."""
+        """Calls that consume the error budget of the objective."""
         return self.late + self.refused + self.unknown
 
     def add(self, other: "OutcomeCounts") -> None:
@@ -95,7 +96,7 @@
         self._slots[index].add(counts)
 
     def total(self, now_ms: float) -> OutcomeCounts:
-        """Return the sum over the window that ends at ``now_ms``."""
+        """Return the total over the window that ends at ``now_ms``."""
         newest = int(now_ms // self._slot_ms)
         total = OutcomeCounts()
         for number, slot in zip(self._numbers, self._slots, strict=True):
@@ -105,7 +106,7 @@
 
 
 class LatencyWindow:
-    """Latencies of the last ``window_ms``; a slot without calls takes no room."""
+    """Latencies of the last ``window_ms``; a slot without calls takes no memory."""
 
     __slots__ = ("window_ms", "_slot_ms", "_slots")
 
--- a/packages/sassafraswinch/sassafraswinch/classify.py
+++ b/packages/sassafraswinch/sassafraswinch/classify.py
@@ -1,4 +1,4 @@
-"""Which operation a request is, and which class it falls in."""
+"""Request classifier: finds the operation, service class and admission level."""
 
 import functools
 import hashlib
@@ -11,15 +11,15 @@
 from sassafraswinch.messages import LEVELS
 from sassafraswinch.paths import PathTable, parse_path_template, split_target
 
-MEMO_ENTRIES = 8_192
-"""Remembered combinations of listed caller, listed organisation and operation."""
+MAX_CACHED_CLASSIFICATIONS = 8_192
+"""Classifications cached, by listed caller, listed organisation and operation."""
 
 _HASH_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Classification:
-    """What the document says about one request."""
+    """Result of classifying one request under a document."""
 
     class_name: str
     class_order: int
@@ -28,15 +28,15 @@
     deadline_ms: int
     allowance: int
     organisation: str | None
-    """The listed organisation whose labels counted; None where none did."""
+    """Listed organisation whose labels were matched; None if there was none."""
     identity: IdentityState
 
 
 class Classifier:
-    """Finds operation and class of requests, under one document.
+    """Finds the operation and the class of requests under one document.
 
-    Names that the document doesn't list are treated alike, so callers with
-    made-up names can't fill the memory.
+    Names that the document doesn't list share their cache entries, so that requests
+    with invented caller names can't fill the cache.
     """
 
     def __init__(self, *, document: Document):
@@ -44,34 +44,36 @@
         self._operations = {
             operation.name: operation for operation in document.operations
         }
-        self._tables = _path_tables(document.operations)
-        self._decide = functools.lru_cache(maxsize=MEMO_ENTRIES)(self._classify)
+        self._tables_by_method = _build_path_tables(document.operations)
+        self._classify_cached = functools.lru_cache(maxsize=MAX_CACHED_CLASSIFICATIONS)(
+            self._classify
+        )
 
     def operation(self, service: str, method: str, target: str) -> Operation | None:
-        """Return the operation that a request asks for, or None.
+        """Return the operation of a request; None if the document has none for it.
 
         Args:
-            service: name of the service.
-            method: HTTP method; case counts.
-            target: path and query as the backend server would see them.
+            service: name of the requested service.
+            method: HTTP method; case-sensitive.
+            target: path and query as the backend server would receive them.
         """
-        table = self._tables.get((service, method))
+        table = self._tables_by_method.get((service, method))
         segments = split_target(target) if table is not None else None
         return table.find(segments) if segments is not None else None
 
     def classify(
         self, *, caller: str, organisation: str, operation: Operation
     ) -> Classification:
-        """Return what the document says about a request.
+        """Return the classification of a request.
 
         Args:
-            caller: name from the caller header; empty where there is none.
-            organisation: name from the organisation header; empty likewise.
+            caller: value of the caller header; empty if the header is missing.
+            organisation: value of the organisation header; empty if it is missing.
             operation: one of the document's operations.
         """
         document = self._document
         listed = not organisation or organisation in document.organisations
-        return self._decide(
+        return self._classify_cached(
             caller if caller in document.callers else "",
             organisation if listed else None,
             operation.name,
@@ -79,7 +81,7 @@
 
     def lowest(self, operation: Operation) -> Classification:
         """Return the last class without retries, for a call of unknown origin."""
-        return self._build(
+        return self._build_classification(
             class_index=-1,
             operation=operation,
             allowance=0,
@@ -90,7 +92,7 @@
     def explain(
         self, *, caller: str, organisation: str, operation: Operation
     ) -> Explanation:
-        """Return every selector tried on a request, with its result."""
+        """Return the result of every selector evaluated for a request."""
         return explain(
             self._document,
             caller=caller,
@@ -102,23 +104,23 @@
         self, caller: str, organisation: str | None, operation_name: str
     ) -> Classification:
         operation = self._operations[operation_name]
-        known = identify(self._document, caller=caller, organisation=organisation)
-        index = next(
-            entry.order
-            for entry in self._document.classes
-            if entry.organisations.matches(known.organisation.labels)
-            and entry.callers.matches(known.caller.labels)
-            and entry.operations.matches(operation.labels)
+        identified = identify(self._document, caller=caller, organisation=organisation)
+        class_index = next(
+            service_class.order
+            for service_class in self._document.classes
+            if service_class.organisations.matches(identified.organisation.labels)
+            and service_class.callers.matches(identified.caller.labels)
+            and service_class.operations.matches(operation.labels)
         )
-        return self._build(
-            class_index=index,
+        return self._build_classification(
+            class_index=class_index,
             operation=operation,
             allowance=self._document.retry.allowance,
-            organisation=known.organisation.name or None,
-            identity=known.state,
+            organisation=identified.organisation.name or None,
+            identity=identified.state,
         )
 
-    def _build(
+    def _build_classification(
         self,
         *,
         class_index: int,
@@ -127,23 +129,23 @@
         organisation: str | None,
         identity: IdentityState,
     ) -> Classification:
-        entry = self._document.classes[class_index]
+        service_class = self._document.classes[class_index]
         return Classification(
-            class_name=entry.name,
-            class_order=entry.order,
+            class_name=service_class.name,
+            class_order=service_class.order,
             operation=operation,
             repeatable=not any(
                 selector.matches(operation.labels)
                 for selector in self._document.non_repeatable
             ),
-            deadline_ms=entry.deadline_ms,
+            deadline_ms=service_class.deadline_ms,
             allowance=allowance,
             organisation=organisation,
             identity=identity,
         )
 
 
-def _path_tables(
+def _build_path_tables(
     operations: tuple[Operation, ...],
 ) -> dict[tuple[str, str], PathTable[Operation]]:
     tables: defaultdict[tuple[str, str], PathTable] = defaultdict(PathTable)
@@ -154,16 +156,16 @@
 
 
 def admission_level(organisation: str, root_id: str) -> int:
-    """Return the admission level of a whole request, 0 to ``LEVELS - 1``.
+    """Return the admission level of a root request, from 0 to ``LEVELS - 1``.
 
-    Every node computes the same level for the same request, so that hops that
-    shed load shed the same requests.
+    Every node computes the same level for the same root request, so that all hops
+    that shed load shed the same requests.
 
     Args:
-        organisation: name of the organisation; empty where there is none.
-        root_id: 32 hex digits that name the whole request.
+        organisation: name of the organisation; empty if there is none.
+        root_id: 32 hex digits that identify the root request.
     """
-    hashed = hashlib.blake2b(
+    level_hash = hashlib.blake2b(
         f"{organisation}\0{root_id}".encode(), digest_size=_HASH_BYTES
     )
-    return int.from_bytes(hashed.digest()) % LEVELS
+    return int.from_bytes(level_hash.digest()) % LEVELS
--- a/packages/sassafraswinch/sassafraswinch/configuration.py
+++ b/packages/sassafraswinch/sassafraswinch/configuration.py
@@ -1,4 +1,4 @@
-"""The exchange of documents with peers, around the keeper of the one in force."""
+"""Document exchange of a node: distributes document versions between its peers."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,11 +19,11 @@
 from sassafraswinch.versions import ConfigKeeper
 
 UNASKED_SEQUENCE = 0
-"""Sequence of a heartbeat sent out of turn, to spread news at once."""
+"""Sequence number of a heartbeat sent out of turn, to announce a change at once."""
 
 
 class Configuration:
-    """Moves documents between the platform, this node and its peers."""
+    """Exchanges documents between the platform, this node and its peers."""
 
     def __init__(
         self,
@@ -41,84 +41,91 @@
         self.membership = membership
         self.heartbeat = heartbeat
         self.use = use
-        self._used: Document | None = None
-        self._nodes: dict[str, NodeId] = {}
+        self._applied: Document | None = None
+        self._node_ids: dict[str, NodeId] = {}
 
     def sync(self, now_ms: float) -> None:
-        """Ask the linked peers before serving on what is held."""
+        """Start a sync: wait for the linked peers' versions before serving requests."""
         linked = {
             view.name
             for view in self.membership.views(now_ms)
             if view.linked and not view.local
         }
         self.keeper.start_sync(now_ms, expected=linked)
-        self._apply(now_ms)
+        self._apply_served_document(now_ms)
 
     def platform_read(self, candidate: Candidate, now_ms: float) -> Offered:
-        """Take in a document that the platform published."""
+        """Apply a document that was read from the platform, if it is newer."""
         offered = self.keeper.take(candidate, Source.PLATFORM, now_ms)
-        self._after_offer(offered, now_ms)
+        self._finish_offer(offered, now_ms)
         return offered
 
     def greeted(self, hello: Hello, now_ms: float) -> None:
-        """Take in the version that a peer names in its greeting."""
-        self._hear(hello.node, hello.document_version, hello.document_digest, now_ms)
+        """Record the document version in the hello message of a peer."""
+        self._record_version(
+            hello.node, hello.document_version, hello.document_digest, now_ms
+        )
 
     def heard(self, peer: NodeId, heartbeat: Heartbeat, now_ms: float) -> None:
-        """Take in the version that a peer holds."""
+        """Record the document version in a heartbeat of a peer."""
         version = heartbeat.document_version
-        self._hear(peer, version, heartbeat.document_digest, now_ms)
+        self._record_version(peer, version, heartbeat.document_digest, now_ms)
 
-    def _hear(self, peer: NodeId, version: int, digest: str, now_ms: float) -> None:
-        self._nodes[peer.host] = peer
-        self._fetch(self.keeper.heard(peer, version, digest, now_ms))
-        self._apply(now_ms)
+    def _record_version(
+        self, peer: NodeId, version: int, digest: str, now_ms: float
+    ) -> None:
+        self._node_ids[peer.host] = peer
+        self._send_fetches(self.keeper.heard(peer, version, digest, now_ms))
+        self._apply_served_document(now_ms)
 
     def confirmed(self, host: str, sent_at_ms: float, now_ms: float) -> None:
-        """Note that all a peer said before it answered has been heard."""
-        self._fetch(self.keeper.confirmed(host, sent_at_ms, now_ms))
-        self._apply(now_ms)
+        """Record that a peer answered a heartbeat sent at ``sent_at_ms``.
+
+        All messages that the peer sent before that answer have been received.
+        """
+        self._send_fetches(self.keeper.confirmed(host, sent_at_ms, now_ms))
+        self._apply_served_document(now_ms)
 
     def requested(self, peer: NodeId, request: DocumentRequest, now_ms: float) -> None:
-        """Send a peer the document that it asks for."""
+        """Send a peer the document that it requested."""
         self._send(peer.host, self.keeper.answer(request, now_ms))
 
     def replied(self, peer: NodeId, reply: DocumentReply, now_ms: float) -> None:
-        """Take in a document that a peer sent."""
+        """Apply the document in a peer's reply, if it is newer."""
         offered = self.keeper.reply(peer, reply, now_ms)
         if offered is not None:
-            self._after_offer(offered, now_ms)
+            self._finish_offer(offered, now_ms)
 
     def peer_lost(self, host: str, now_ms: float) -> None:
-        """Drop what a peer claimed whose last link is lost."""
-        self._nodes.pop(host, None)
-        self._fetch(self.keeper.peer_lost(host, now_ms))
+        """Discard the version that a peer claimed, as its last link is lost."""
+        self._node_ids.pop(host, None)
+        self._send_fetches(self.keeper.peer_lost(host, now_ms))
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass: fetches that are due, the end of a sync."""
-        self._fetch(self.keeper.tick(now_ms))
-        self._apply(now_ms)
+        """Send the fetches that are due and end a sync that is over."""
+        self._send_fetches(self.keeper.tick(now_ms))
+        self._apply_served_document(now_ms)
 
-    def _after_offer(self, offered: Offered, now_ms: float) -> None:
-        self._fetch(offered.fetches)
-        self._apply(now_ms)
+    def _finish_offer(self, offered: Offered, now_ms: float) -> None:
+        self._send_fetches(offered.fetches)
+        self._apply_served_document(now_ms)
         if offered.changed:
             self.links.announce(self.heartbeat(UNASKED_SEQUENCE, now_ms))
 
-    def _apply(self, now_ms: float) -> None:
+    def _apply_served_document(self, now_ms: float) -> None:
         serving = self.keeper.serving
-        if serving is self._used:
+        if serving is self._applied:
             return
-        self._used = serving
+        self._applied = serving
         self.use(serving)
         if serving is not None:
             self.lifecycle.synced()
 
-    def _fetch(self, fetches: Iterable[Fetch]) -> None:
+    def _send_fetches(self, fetches: Iterable[Fetch]) -> None:
         for fetch in fetches:
             self._send(fetch.peer, fetch.request)
 
     def _send(self, host: str, message: Message) -> None:
-        """Send on the link that this node dialled, else on the peer's own."""
-        if self.links.send(host, message) is None and host in self._nodes:
-            self.links.reply(self._nodes[host], message)
+        """Send on the link that this node opened, else on the one the peer opened."""
+        if self.links.send(host, message) is None and host in self._node_ids:
+            self.links.reply(self._node_ids[host], message)
--- a/packages/sassafraswinch/sassafraswinch/document.py
+++ b/packages/sassafraswinch/sassafraswinch/document.py
@@ -1,4 +1,4 @@
-"""The document that operators publish: who calls, what is served, which class."""
+"""Operators' document: organisations, callers, services, operations and classes."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -16,14 +16,14 @@
 from sassafraswinch.labels import Selector
 
 MAX_DOCUMENT_BYTES = 1_000_000
-"""Longest body; the platform holds values up to a megabyte."""
+"""Longest document body; the platform stores values of up to a megabyte."""
 
 Labels = Mapping[str, str]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """Request headers that carry who calls, in lower case."""
+    """Names of the request headers that identify the caller, in lower case."""
 
     caller_header: str = "x-caller-id"
     organisation_header: str = "x-organisation-id"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Organisation:
-    """A customer, paying or on trial."""
+    """Organisation that callers belong to, for example a paying or a trial one."""
 
     name: str
     labels: Labels = field(default_factory=dict)
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Caller:
-    """A person or device that sends requests."""
+    """Person or device that sends requests."""
 
     name: str
     organisation: str | None = None
-    """The only organisation it may name; None leaves it to the header."""
+    """Only organisation that its requests may name; None accepts the header's value."""
     labels: Labels = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A kind of backend server; slots and connections are those of one server."""
+    """Service that backend servers run; slots and connections are per server."""
 
     name: str
     slots: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Operation:
-    """What callers can ask of a service, found by method and path."""
+    """Operation of a service, identified by HTTP method and path template."""
 
     name: str
     service: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Objective:
-    """What a class is promised: a share answered, each within a latency."""
+    """Service-level objective: share of requests answered within a latency."""
 
     answered_percent: float
     latency_ms: float
@@ -77,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceClass:
-    """Requests that three selectors choose; a smaller order is refused later."""
+    """Class of requests that match three selectors.
+
+    Under load, classes with a greater order are refused before those with a smaller.
+    """
 
     name: str
     order: int
@@ -90,17 +93,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryPolicy:
-    """Bounds of retries."""
+    """Limits on retries."""
 
     allowance: int = 3
-    """Retries of a whole request, counted over its call chain."""
+    """Retries of a root request, counted over its call chain."""
     caller_share_percent: float = 10
-    """Repeats that an organisation's callers may send per 100 first attempts."""
+    """Retries that an organisation's callers may send per 100 first attempts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Document:
-    """One version of what operators publish, valid as a whole."""
+    """One valid version of the document that operators publish."""
 
     version: int
     body: bytes = field(repr=False)
@@ -111,26 +114,26 @@
     services: Mapping[str, Service]
     operations: tuple[Operation, ...]
     classes: tuple[ServiceClass, ...]
-    """Most important first; the last one matches every request."""
+    """Classes, most important first; the last one matches every request."""
     non_repeatable: tuple[Selector, ...]
-    """An operation whose labels match any of them runs at most once."""
+    """Selectors of operations that run at most once: those that match any of them."""
     retry: RetryPolicy
 
 
 def digest(body: bytes) -> str:
-    """Return 16 hex digits that tell one content of a version from another."""
+    """Return 16 hex digits that distinguish two contents of the same version."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
 def parse_document(body: bytes, *, source: str) -> Document:
-    """Parse and check a document.
+    """Parse and validate a document.
 
     Args:
         body: YAML or JSON text in UTF-8, at most ``MAX_DOCUMENT_BYTES``.
-        source: where it came from, for the faults.
+        source: origin of the document, reported with each fault.
 
     Raises:
-        InvalidFieldsError: every fault of the document.
+        InvalidFieldsError: if the document is invalid, with every fault.
     """
     faults = Faults(source=source)
     if len(body) > MAX_DOCUMENT_BYTES:
@@ -140,10 +143,10 @@
     sections = read_sections(raw, faults=faults)
     check_sections(raw, non_repeatable=sections.non_repeatable, faults=faults)
     faults.raise_any()
-    return _build(body, sections)
+    return _build_document(body, sections)
 
 
-def _build(body: bytes, sections: Sections) -> Document:
+def _build_document(body: bytes, sections: Sections) -> Document:
     top: DocumentFields = sections.top
     return Document(
         version=top.version,
@@ -162,26 +165,26 @@
             name: Service(name=name, **dict(fields))
             for name, fields in sections.services.items()
         },
-        operations=_operations(sections.operations.values()),
-        classes=_classes(sections.classes.values()),
+        operations=_build_operations(sections.operations.values()),
+        classes=_build_classes(sections.classes.values()),
         non_repeatable=tuple(sections.non_repeatable.values()),
         retry=RetryPolicy(**dict(top.retry)),
     )
 
 
-def _operations(entries: Iterable[OperationFields]) -> tuple[Operation, ...]:
+def _build_operations(entries: Iterable[OperationFields]) -> tuple[Operation, ...]:
     return tuple(Operation(**dict(fields)) for fields in entries)
 
 
-def _classes(entries: Iterable[ClassFields]) -> tuple[ServiceClass, ...]:
+def _build_classes(entries: Iterable[ClassFields]) -> tuple[ServiceClass, ...]:
     return tuple(
         ServiceClass(
             order=order,
-            **{**dict(fields), "objective": _objective(fields.objective)},
+            **{**dict(fields), "objective": _build_objective(fields.objective)},
         )
         for order, fields in enumerate(entries)
     )
 
 
-def _objective(fields: ObjectiveFields | None) -> Objective | None:
+def _build_objective(fields: ObjectiveFields | None) -> Objective | None:
     return Objective(**dict(fields)) if fields is not None else None
--- a/packages/sassafraswinch/sassafraswinch/document_checks.py
+++ b/packages/sassafraswinch/sassafraswinch/document_checks.py
@@ -1,7 +1,7 @@
-"""Checks of a document's entries against one another.
+"""Cross-entry validation of a document: references, unique names and class order.
 
-They read the plain data, so that an entry with a wrong field still takes part
-and all faults are reported in one go.
+The checks read the unvalidated data, so that an entry with an invalid field is still
+checked and all faults are reported together.
 """
 
 from collections import defaultdict
@@ -19,57 +19,59 @@
 def check_sections(
     raw: Raw, *, non_repeatable: Mapping[int, Selector], faults: Faults
 ) -> None:
-    """Record what is wrong between entries that may be right by themselves.
+    """Record the faults between entries that are valid on their own.
 
     Args:
-        raw: the whole document as plain data.
-        non_repeatable: those selectors of the section that could be parsed.
-        faults: gets the faults.
+        raw: full document as unvalidated data.
+        non_repeatable: valid selectors of the ``non_repeatable`` section, by index.
+        faults: receives the faults.
     """
-    _check_known(raw, ("callers", "organisation"), "organisations", faults)
-    _check_known(raw, ("operations", "service"), "services", faults)
-    _check_unique(raw, "operations", faults)
-    _check_unique(raw, "classes", faults)
+    _check_references(raw, ("callers", "organisation"), "organisations", faults)
+    _check_references(raw, ("operations", "service"), "services", faults)
+    _check_unique_names(raw, "operations", faults)
+    _check_unique_names(raw, "classes", faults)
     _check_paths(raw, faults)
     _check_classes(raw, faults)
     _check_non_repeatable(raw, non_repeatable, faults)
 
 
-def _entries(raw: Raw, section: str) -> Iterator[tuple[FieldPath, dict]]:
-    """Yield those entries of a map or list that have fields."""
+def _iter_entries(raw: Raw, section: str) -> Iterator[tuple[FieldPath, dict]]:
+    """Yield path and fields of each entry of a map or list that is itself a map."""
     value = raw.get(section)
     items = ()
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list):
         items = enumerate(value)
-    for place, entry in items:
+    for key, entry in items:
         if isinstance(entry, dict):
-            yield (section, place), entry
+            yield (section, key), entry
 
 
-def _texts(raw: Raw, section: str, name: str) -> Iterator[tuple[FieldPath, str]]:
-    """Yield one field of every entry where it is text."""
-    for path, entry in _entries(raw, section):
+def _iter_text_fields(
+    raw: Raw, section: str, name: str
+) -> Iterator[tuple[FieldPath, str]]:
+    """Yield path and value of one field, for each entry that has it as text."""
+    for path, entry in _iter_entries(raw, section):
         value = entry.get(name)
         if isinstance(value, str):
             yield (*path, name), value
 
 
-def _check_known(
+def _check_references(
     raw: Raw, reference: tuple[str, str], section: str, faults: Faults
 ) -> None:
     known = raw.get(section, {})
     if not isinstance(known, dict):
         return
-    for path, name in _texts(raw, *reference):
+    for path, name in _iter_text_fields(raw, *reference):
         if name not in known:
             faults.add(path, f"{name!r} is not in {section}")
 
 
-def _check_unique(raw: Raw, section: str, faults: Faults) -> None:
+def _check_unique_names(raw: Raw, section: str, faults: Faults) -> None:
     first_paths: dict[str, FieldPath] = {}
-    for path, name in _texts(raw, section, "name"):
+    for path, name in _iter_text_fields(raw, section, "name"):
         first = first_paths.setdefault(name, path)
         if first != path:
             faults.add(path, f"{name!r} is also the name of {section}.{first[1]}")
@@ -77,7 +79,7 @@
 
 def _check_paths(raw: Raw, faults: Faults) -> None:
     indexes: defaultdict[tuple, AmbiguityIndex] = defaultdict(AmbiguityIndex)
-    for path, entry in _entries(raw, "operations"):
+    for path, entry in _iter_entries(raw, "operations"):
         text = entry.get("path")
         key = (entry.get("service"), entry.get("method"))
         if not all(isinstance(value, str) for value in (text, *key)):
@@ -91,7 +93,7 @@
             faults.add(
                 (*path, "path"),
                 f"ambiguous with operations.{other}: some paths match both, and "
-                "neither template is the more specific one",
+                "neither template is more specific than the other",
             )
         indexes[key].add(segments, path[1])
 
@@ -99,29 +101,32 @@
 def _check_classes(raw: Raw, faults: Faults) -> None:
     classes = raw.get("classes")
     last = len(classes) - 1 if isinstance(classes, list) else -1
-    for path, entry in _entries(raw, "classes"):
-        place = path[1]
+    for path, entry in _iter_entries(raw, "classes"):
+        index = path[1]
         matches_all = all(
             isinstance(text := entry.get(name.value, ""), str) and not text.strip()
             for name in RequestSelectorField
         )
-        if place == last and not matches_all:
+        if index == last and not matches_all:
             faults.add(
-                path, "the last class must match every request: clear its selectors"
+                path, "the last class must match every request: remove its selectors"
             )
-        if place != last and matches_all:
-            faults.add(path, "matches every request, so no later class is reached")
+        if index != last and matches_all:
+            faults.add(path, "matches every request, so no later class can match")
 
 
 def _check_non_repeatable(
     raw: Raw, non_repeatable: Mapping[int, Selector], faults: Faults
 ) -> None:
-    """Refuse a selector without effect: a misspelt one lets approvals run twice."""
+    """Record selectors that match no operation.
+
+    A misspelt selector would have no effect, and approvals could run twice.
+    """
     label_sets = [
         labels
-        for _, entry in _entries(raw, "operations")
+        for _, entry in _iter_entries(raw, "operations")
         if isinstance(labels := entry.get("labels", {}), dict)
     ]
-    for place, selector in non_repeatable.items():
+    for index, selector in non_repeatable.items():
         if not any(map(selector.matches, label_sets)):
-            faults.add(("non_repeatable", place), "matches no operation")
+            faults.add(("non_repeatable", index), "selector matches no operation")
--- a/packages/sassafraswinch/sassafraswinch/document_fields.py
+++ b/packages/sassafraswinch/sassafraswinch/document_fields.py
@@ -1,4 +1,4 @@
-"""Validated models of a document's fields, as the platform publishes them."""
+"""Pydantic models of the fields of a published document."""
 
 import enum
 import re
@@ -19,13 +19,13 @@
 from sassafraswinch.paths import parse_path_template
 
 MAX_VERSION = 2**53
-"""Greatest version; JSON readers keep whole numbers exact up to here."""
+"""Greatest document version; JSON parsers represent integers exactly up to here."""
 
 MAX_DEADLINE_MS = 600_000
-"""Longest deadline of a class."""
+"""Longest deadline of a class, in milliseconds."""
 
 MAX_ALLOWANCE = 100
-"""Most retries of one whole request."""
+"""Greatest number of retries of one root request."""
 
 RESERVED_HEADERS = frozenset(
     (
@@ -45,19 +45,19 @@
         "x-not-run",
     )
 )
-"""Headers with a meaning of their own; none can carry an identity."""
+"""Headers with another meaning, which can't be configured to carry an identity."""
 
 _RESERVED_PREFIX = "sassafraswinch-"
 _HEADER = re.compile(r"[a-z0-9!#$%&'*+.^_`|~-]+", re.ASCII)
 
 
 def _check_header(name: str) -> str:
-    lowered = name.lower()
-    if not _HEADER.fullmatch(lowered):
-        raise ValueError("not the name of a header")
-    if lowered in RESERVED_HEADERS or lowered.startswith(_RESERVED_PREFIX):
-        raise ValueError(f"{lowered} has another meaning")
-    return lowered
+    lower_name = name.lower()
+    if not _HEADER.fullmatch(lower_name):
+        raise ValueError("not a valid header name")
+    if lower_name in RESERVED_HEADERS or lower_name.startswith(_RESERVED_PREFIX):
+        raise ValueError(f"{lower_name} is reserved and can't carry an identity")
+    return lower_name
 
 
 def _check_key(key: str) -> str:
@@ -74,9 +74,9 @@
     return value
 
 
-def _read_selector(text: object) -> Selector:
+def _parse_selector_field(text: object) -> Selector:
     if not isinstance(text, str):
-        raise ValueError("a selector is text; quote it")
+        raise ValueError("a selector must be text; quote it")
     try:
         return parse_selector(text)
     except SelectorSyntaxError as error:
@@ -93,27 +93,27 @@
     Annotated[str, AfterValidator(_check_key)],
     Annotated[str, AfterValidator(_check_value)],
 ]
-SelectorText = Annotated[Selector, PlainValidator(_read_selector)]
+SelectorText = Annotated[Selector, PlainValidator(_parse_selector_field)]
 PathText = Annotated[str, Field(max_length=1024), AfterValidator(_check_path)]
 
 ServiceName = Annotated[
     str, StringConstraints(pattern=r"^[a-z0-9]([-a-z0-9]{0,61}[a-z0-9])?$")
 ]
-"""First segment of a URL, so a DNS label."""
+"""Name of a service: the first segment of a URL path, so a DNS label."""
 
 ItemName = Annotated[
     str, StringConstraints(pattern=r"^[A-Za-z0-9]([-A-Za-z0-9_.]{0,61}[A-Za-z0-9])?$")
 ]
-"""Name of an operation or a class; a label value, as in metrics and reports."""
+"""Name of an operation or a class: a label value, for use in metrics and reports."""
 
 IdentityName = Annotated[str, StringConstraints(pattern=r"^[\x21-\x7e]{1,128}$")]
-"""Name of a caller or an organisation: a header's value, so visible ASCII."""
+"""Name of a caller or an organisation: a header value, so visible ASCII."""
 
 Method = Annotated[str, StringConstraints(pattern=r"^[A-Z]{1,16}$")]
 
 
 class Fields(BaseModel):
-    """Base of the models: no unknown fields, no conversion of types."""
+    """Base of the models: unknown fields and type conversions are refused."""
 
     model_config = ConfigDict(
         extra="forbid", strict=True, frozen=True, allow_inf_nan=False
@@ -121,7 +121,7 @@
 
 
 class IdentityFields(Fields):
-    """Headers that carry who calls."""
+    """Names of the headers that identify the caller."""
 
     caller_header: HeaderName = "x-caller-id"
     organisation_header: HeaderName = "x-organisation-id"
@@ -129,32 +129,32 @@
     @model_validator(mode="after")
     def _check_distinct(self) -> Self:
         if self.caller_header == self.organisation_header:
-            raise ValueError("the same header for caller and organisation")
+            raise ValueError("caller and organisation can't use the same header")
         return self
 
 
 class OrganisationFields(Fields):
-    """One organisation; its name is the key of the map."""
+    """Fields of an organisation; its name is the key of the map."""
 
     labels: Labels = {}
 
 
 class CallerFields(Fields):
-    """One caller; its name is the key of the map."""
+    """Fields of a caller; its name is the key of the map."""
 
     organisation: IdentityName | None = None
     labels: Labels = {}
 
 
 class ServiceFields(Fields):
-    """One service; its name is the key of the map."""
+    """Fields of a service; its name is the key of the map."""
 
     slots: int = Field(ge=1, le=1_000_000)
     connections: int = Field(ge=1, le=1_000_000)
 
 
 class OperationFields(Fields):
-    """One operation of a service."""
+    """Fields of an operation of a service."""
 
     name: ItemName
     service: ServiceName
@@ -164,14 +164,14 @@
 
 
 class ObjectiveFields(Fields):
-    """What a class is promised."""
+    """Service-level objective of a class."""
 
     answered_percent: float = Field(gt=0, lt=100)
     latency_ms: float = Field(gt=0, le=MAX_DEADLINE_MS)
 
 
 class ClassFields(Fields):
-    """One class of requests; its place in the list is its order."""
+    """Fields of a class of requests; its index in the list is its order."""
 
     name: ItemName
     organisations: SelectorText = Selector()
@@ -182,14 +182,14 @@
 
 
 class RetryFields(Fields):
-    """Bounds of retries."""
+    """Limits on retries."""
 
     allowance: int = Field(default=3, ge=0, le=MAX_ALLOWANCE)
     caller_share_percent: float = Field(default=10, ge=0, le=100)
 
 
 class RequestSelectorField(enum.Enum):
-    """Fields of a class that hold a selector."""
+    """Names of the fields of a class that hold a selector."""
 
     ORGANISATIONS = "organisations"
     OPERATIONS = "operations"
@@ -197,7 +197,7 @@
 
 
 class DocumentFields(Fields):
-    """The top level; the entries of each section are validated one by one."""
+    """Top level of a document; the entries of each section are validated separately."""
 
     version: int = Field(ge=1, le=MAX_VERSION)
     identity: IdentityFields = IdentityFields()
--- a/packages/sassafraswinch/sassafraswinch/document_sections.py
+++ b/packages/sassafraswinch/sassafraswinch/document_sections.py
@@ -1,4 +1,4 @@
-"""Validation of a document's sections, each entry by itself."""
+"""Validation of the sections of a document, entry by entry."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sections:
-    """The valid entries of each section, by their key or place in the file."""
+    """Valid entries of each section, by their key or index in the section."""
 
     top: DocumentFields | None = None
-    """None where a field of the top level is wrong or missing."""
+    """Top-level fields; None if one of them is invalid or missing."""
     organisations: Mapping[str, OrganisationFields] = field(default_factory=dict)
     callers: Mapping[str, CallerFields] = field(default_factory=dict)
     services: Mapping[str, ServiceFields] = field(default_factory=dict)
@@ -51,66 +51,68 @@
 def read_sections(raw: Mapping[str, Plain], *, faults: Faults) -> Sections:
     """Validate the sections of a document.
 
-    Entries are validated apart, so that a wrong field of one hides no fault of
-    another.
+    Each entry is validated separately, so that an invalid field in one entry doesn't
+    hide the faults of another.
     """
-    reader = _SectionReader(raw=raw, faults=faults)
+    validator = _SectionValidator(raw=raw, faults=faults)
     return Sections(
-        top=reader.validate(_TOP, raw, ()),
-        organisations=reader.by_name("organisations", _IDENTITY_NAME, _ORGANISATION),
-        callers=reader.by_name("callers", _IDENTITY_NAME, _CALLER),
-        services=reader.by_name("services", _SERVICE_NAME, _SERVICE),
-        operations=reader.by_place("operations", _OPERATION),
-        classes=reader.by_place("classes", _CLASS),
-        non_repeatable=reader.by_place("non_repeatable", _SELECTOR),
+        top=validator.validate(_TOP, raw, ()),
+        organisations=validator.by_name("organisations", _IDENTITY_NAME, _ORGANISATION),
+        callers=validator.by_name("callers", _IDENTITY_NAME, _CALLER),
+        services=validator.by_name("services", _SERVICE_NAME, _SERVICE),
+        operations=validator.by_index("operations", _OPERATION),
+        classes=validator.by_index("classes", _CLASS),
+        non_repeatable=validator.by_index("non_repeatable", _SELECTOR),
     )
 
 
-class _SectionReader:
+class _SectionValidator:
     def __init__(self, *, raw: Mapping[str, Plain], faults: Faults):
         self._raw = raw
         self._faults = faults
 
     def by_name(
-        self, section: str, names: TypeAdapter, adapter: TypeAdapter[Entry]
+        self, section: str, name_adapter: TypeAdapter, adapter: TypeAdapter[Entry]
     ) -> dict[str, Entry]:
-        """Return the valid entries of a map, by name."""
+        """Return the valid entries of a section that is a map, by name."""
         raw = self._raw.get(section)
         entries = raw if isinstance(raw, dict) else {}
         for name in entries:
-            self.validate(names, name, (section, name))
-        return self._valid(adapter, section, entries)
+            self.validate(name_adapter, name, (section, name))
+        return self._validate_entries(adapter, section, entries)
 
-    def by_place(self, section: str, adapter: TypeAdapter[Entry]) -> dict[int, Entry]:
-        """Return the valid entries of a list, by place."""
+    def by_index(self, section: str, adapter: TypeAdapter[Entry]) -> dict[int, Entry]:
+        """Return the valid entries of a section that is a list, by index."""
         raw = self._raw.get(section)
         entries = raw if isinstance(raw, list) else []
-        return self._valid(adapter, section, dict(enumerate(entries)))
+        return self._validate_entries(adapter, section, dict(enumerate(entries)))
 
-    def _valid(self, adapter: TypeAdapter[Entry], section: str, entries) -> dict:
+    def _validate_entries(
+        self, adapter: TypeAdapter[Entry], section: str, entries
+    ) -> dict:
         valid = {
-            place: self.validate(adapter, value, (section, place))
-            for place, value in entries.items()
+            key: self.validate(adapter, value, (section, key))
+            for key, value in entries.items()
         }
-        return {place: entry for place, entry in valid.items() if entry is not None}
+        return {key: entry for key, entry in valid.items() if entry is not None}
 
     def validate(
         self, adapter: TypeAdapter[Entry], value: Plain, path: FieldPath
     ) -> Entry | None:
-        """Return the validated value; None with the faults recorded."""
+        """Return the validated value, or record its faults and return None."""
         try:
             return adapter.validate_python(value)
         except ValidationError as error:
             for fault in error.errors(include_url=False, include_input=False):
-                self._faults.add((*path, *_location(fault)), _reason(fault))
+                self._faults.add((*path, *_fault_path(fault)), _fault_reason(fault))
         return None
 
 
-def _location(fault) -> FieldPath:
+def _fault_path(fault) -> FieldPath:
     return tuple(part for part in fault["loc"] if part != "[key]")
 
 
-def _reason(fault) -> str:
+def _fault_reason(fault) -> str:
     match fault["type"]:
         case "extra_forbidden":
             return "unknown field"
--- a/packages/sassafraswinch/sassafraswinch/document_text.py
+++ b/packages/sassafraswinch/sassafraswinch/document_text.py
@@ -1,4 +1,4 @@
-"""Reading the text of a YAML or JSON file into plain data, with all its faults."""
+"""Parser of YAML and JSON files that collects all faults of a file."""
 
 import json
 import re
@@ -11,34 +11,34 @@
 from sassafraswinch.yaml_events import Plain, read_yaml
 
 WHOLE_FILE = "(file)"
-"""Field that a fault of the whole text is reported under."""
+"""Field name reported for a fault that concerns the whole file."""
 
 MAX_FAULTS = 1_000
-"""Faults listed of one file; 1 MB of empty entries would give over a million."""
+"""Faults reported of one file; 1 MB of empty entries would give over a million."""
 
 _SURROGATE_ESCAPE = re.compile(r"\\u[dD][89a-fA-F]")
 
 
 def dotted(path: Iterable[str | int]) -> str:
-    """Return a field path as operators read it, such as ``classes.0.name``."""
+    """Return a field path in dotted form, such as ``classes.0.name``."""
     return ".".join(map(str, path)) or WHOLE_FILE
 
 
 @dataclass(slots=True, kw_only=True)
 class Faults:
-    """Faults of one file, gathered so that they are reported together."""
+    """Collector of the faults of one file, which are raised together."""
 
     source: str
     errors: list[InvalidFieldError] = field(default_factory=list)
 
     def add(self, path: Iterable[str | int], reason: str) -> None:
-        """Record that the field at ``path`` is wrong.
+        """Record that the field at ``path`` is invalid.
 
         Raises:
-            InvalidFieldsError: if more faults were found than are listed.
+            InvalidFieldsError: if there are more than ``MAX_FAULTS`` faults.
         """
         if len(self.errors) == MAX_FAULTS:
-            path, reason = (), f"more than {MAX_FAULTS} faults; the rest isn't listed"
+            path, reason = (), f"more than {MAX_FAULTS} faults; the rest is omitted"
         self.errors.append(
             InvalidFieldError(source=self.source, field=dotted(path), reason=reason)
         )
@@ -49,7 +49,7 @@
         """Raise all recorded faults, if there are any.
 
         Raises:
-            InvalidFieldsError: the faults, in the order they were found.
+            InvalidFieldsError: if there are faults, in the order of detection.
         """
         if self.errors:
             raise InvalidFieldsError(f"{self.source} is invalid", self.errors)
@@ -58,11 +58,11 @@
 def parse_fields(body: bytes, *, faults: Faults) -> dict[str, Plain]:
     """Parse YAML or JSON text whose top level is a map.
 
-    Duplicate keys, aliases, keys that are no text and deep nesting are recorded
-    as faults; what is sound beside them is still returned.
+    Duplicate keys, aliases, keys that aren't text and deep nesting are recorded as
+    faults; all other data is still returned.
 
     Raises:
-        InvalidFieldsError: if the text as a whole can't be read.
+        InvalidFieldsError: if the text can't be parsed or its top level isn't a map.
     """
     try:
         text = body.decode("utf-8-sig")
@@ -72,7 +72,7 @@
         faults.add((), f"not UTF-8 at byte {error.start}")
     except yaml.YAMLError as error:
         data = None
-        faults.add((), f"not YAML: {_describe(error)}")
+        faults.add((), f"not YAML: {_describe_yaml_error(error)}")
     if not isinstance(data, dict):
         if not faults.errors:
             faults.add((), "expected a map of fields")
@@ -81,32 +81,34 @@
 
 
 def _parse_json(text: str) -> dict | None:
-    """Return the data of plain JSON; None for all that YAML must look at.
+    """Return the data of valid JSON; None if the YAML parser must read the text.
 
-    JSON is YAML, but its own parser takes a fraction of the time.
+    JSON is a subset of YAML, but the JSON parser takes a fraction of the time.
     """
     if not text.startswith("{") or _SURROGATE_ESCAPE.search(text):
         return None
     try:
         return json.loads(
-            text, object_pairs_hook=_unique_pairs, parse_constant=_refuse_constant
+            text,
+            object_pairs_hook=_dict_of_unique_keys,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError):
         return None
 
 
-def _unique_pairs(pairs: list[tuple[str, Plain]]) -> dict[str, Plain]:
+def _dict_of_unique_keys(pairs: list[tuple[str, Plain]]) -> dict[str, Plain]:
     data = dict(pairs)
     if len(data) < len(pairs):
-        raise ValueError("a key stands twice")
+        raise ValueError("duplicate key in a JSON object")
     return data
 
 
-def _refuse_constant(text: str) -> None:
-    raise ValueError(f"{text} is no JSON")
+def _reject_constant(text: str) -> None:
+    raise ValueError(f"{text} is not valid JSON")
 
 
-def _describe(error: yaml.YAMLError) -> str:
+def _describe_yaml_error(error: yaml.YAMLError) -> str:
     mark = getattr(error, "problem_mark", None)
     problem = getattr(error, "problem", None) or str(error).replace("\n", " ")
     if mark is None:
--- a/packages/sassafraswinch/sassafraswinch/explanation.py
+++ b/packages/sassafraswinch/sassafraswinch/explanation.py
@@ -1,4 +1,4 @@
-"""How a classification came about: every selector tried, with its result."""
+"""Explanation of a classification: the result of every selector evaluated."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequirementTrial:
-    """One requirement of a selector, tried on labels."""
+    """Result of matching one requirement of a selector against labels."""
 
     requirement: str
     matched: bool
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SelectorTrial:
-    """One selector tried on one set of labels."""
+    """Result of matching a selector against one set of labels."""
 
     selector: str
     matched: bool
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClassTrial:
-    """One class tried on a request."""
+    """Result of matching a class against a request."""
 
     name: str
     order: int
@@ -40,22 +40,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Explanation:
-    """What the document says about one request, and why."""
+    """Classification of one request, with the selector results behind it."""
 
     document_version: int
     caller: str
-    """As the request names it; empty where it names none."""
+    """Caller that the request names; empty if it names none."""
     organisation: str
-    """As the request names it; empty where it names none."""
+    """Organisation that the request names; empty if it names none."""
     effective_organisation: str | None
-    """The listed one whose labels count; None where none do."""
+    """Listed organisation whose labels are matched; None if there is none."""
     operation: str
     identity: IdentityState
     caller_labels: Mapping[str, str]
     organisation_labels: Mapping[str, str]
     operation_labels: Mapping[str, str]
     classes: tuple[ClassTrial, ...]
-    """Classes in order, up to the first that matched."""
+    """Classes evaluated, in order, up to the first that matched."""
     non_repeatable: tuple[SelectorTrial, ...]
     class_name: str
     repeatable: bool
@@ -66,42 +66,45 @@
 def explain(
     document: Document, *, caller: str, organisation: str, operation: Operation
 ) -> Explanation:
-    """Return every selector tried on a request, with its result."""
-    known = identify(document, caller=caller, organisation=organisation)
-    classes = tuple(_try_classes(document.classes, known, operation))
+    """Return the result of every selector evaluated for a request."""
+    identified = identify(document, caller=caller, organisation=organisation)
+    classes = tuple(_match_classes(document.classes, identified, operation))
     non_repeatable = tuple(
-        _try(selector, operation.labels) for selector in document.non_repeatable
+        _match_selector(selector, operation.labels)
+        for selector in document.non_repeatable
     )
     return Explanation(
         document_version=document.version,
         caller=caller,
         organisation=organisation,
-        effective_organisation=known.organisation.name or None,
+        effective_organisation=identified.organisation.name or None,
         operation=operation.name,
-        identity=known.state,
-        caller_labels=known.caller.labels,
-        organisation_labels=known.organisation.labels,
+        identity=identified.state,
+        caller_labels=identified.caller.labels,
+        organisation_labels=identified.organisation.labels,
         operation_labels=operation.labels,
         classes=classes,
         non_repeatable=non_repeatable,
         class_name=classes[-1].name,
-        repeatable=not any(trial.matched for trial in non_repeatable),
+        repeatable=not any(result.matched for result in non_repeatable),
         deadline_ms=document.classes[classes[-1].order].deadline_ms,
         allowance=document.retry.allowance,
     )
 
 
-def _try_classes(
-    classes: Iterable[ServiceClass], known: Identified, operation: Operation
+def _match_classes(
+    classes: Iterable[ServiceClass], identified: Identified, operation: Operation
 ) -> Iterator[ClassTrial]:
-    for entry in classes:
-        organisations = _try(entry.organisations, known.organisation.labels)
-        callers = _try(entry.callers, known.caller.labels)
-        operations = _try(entry.operations, operation.labels)
+    for service_class in classes:
+        organisations = _match_selector(
+            service_class.organisations, identified.organisation.labels
+        )
+        callers = _match_selector(service_class.callers, identified.caller.labels)
+        operations = _match_selector(service_class.operations, operation.labels)
         matched = organisations.matched and callers.matched and operations.matched
         yield ClassTrial(
-            name=entry.name,
-            order=entry.order,
+            name=service_class.name,
+            order=service_class.order,
             matched=matched,
             organisations=organisations,
             callers=callers,
@@ -111,7 +114,7 @@
             return
 
 
-def _try(selector: Selector, labels: Mapping[str, str]) -> SelectorTrial:
+def _match_selector(selector: Selector, labels: Mapping[str, str]) -> SelectorTrial:
     return SelectorTrial(
         selector=str(selector),
         matched=selector.matches(labels),
--- a/packages/sassafraswinch/sassafraswinch/labels.py
+++ b/packages/sassafraswinch/sassafraswinch/labels.py
@@ -1,4 +1,4 @@
-"""Labels and the selectors over them, in the syntax of Kubernetes."""
+"""Label selectors in the syntax of Kubernetes: parsing, printing and matching."""
 
 import enum
 import re
@@ -8,10 +8,10 @@
 from sassafraswinch.errors import SelectorSyntaxError
 
 MAX_LABEL_LENGTH = 63
-"""Characters in a label's value, and in its key without the prefix."""
+"""Longest label value, and longest label key without its prefix, in characters."""
 
 MAX_PREFIX_LENGTH = 253
-"""Characters in the prefix of a label's key, before the slash."""
+"""Longest prefix of a label key (the part before the slash), in characters."""
 
 _WORD = r"[A-Za-z0-9]([-A-Za-z0-9_.]*[A-Za-z0-9])?"
 _KEY = re.compile(
@@ -25,7 +25,7 @@
 
 
 class Operator(enum.Enum):
-    """How a requirement compares a label with its values."""
+    """Comparison that a requirement makes between a label and its values."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Requirement:
-    """One condition on one label."""
+    """Condition on the label of one key."""
 
     key: str
     operator: Operator
@@ -44,8 +44,7 @@
     def matches(self, labels: Mapping[str, str]) -> bool:
         """Return whether ``labels`` meet the condition.
 
-        As in Kubernetes, ``!=`` and ``notin`` are also met by labels
-        without the key.
+        As in Kubernetes, a label set without the key meets ``!=`` and ``notin``.
         """
         value = labels.get(self.key)
         match self.operator:
@@ -72,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Selector:
-    """Requirements that must all be met; none at all matches everything."""
+    """Conjunction of requirements; an empty selector matches every label set."""
 
     requirements: tuple[Requirement, ...] = ()
 
@@ -88,55 +87,55 @@
     """Parse a selector such as ``tier=trial,action in (approval, release)``.
 
     Args:
-        text: the selector; empty or blank text matches everything.
+        text: selector; empty or blank text matches every label set.
 
     Returns:
-        The selector; equal texts give equal selectors.
+        The parsed selector; equal texts give equal selectors.
 
     Raises:
-        SelectorSyntaxError: if ``text`` is no selector.
+        SelectorSyntaxError: if ``text`` is not a valid selector.
     """
     return _SelectorParser(text=text).parse()
 
 
 def serialize_selector(selector: Selector) -> str:
-    """Return the text of a selector, which parses to an equal one."""
+    """Return the text of a selector; parsing it gives an equal selector."""
     return ",".join(map(str, selector.requirements))
 
 
 def key_fault(key: str) -> str | None:
-    """Return what is wrong with the key of a label, or None."""
+    """Return why ``key`` is not a valid label key; None if it is valid."""
     match = _KEY.fullmatch(key)
     if match is None:
         return (
-            "a label's key is letters, digits, '-', '_' and '.', with a letter or "
-            "digit at both ends, and may follow a DNS prefix and '/'"
+            "a label key consists of letters, digits, '-', '_' and '.', begins and "
+            "ends with a letter or digit, and may follow a DNS prefix and '/'"
         )
     if len(match["name"]) > MAX_LABEL_LENGTH:
-        return f"longer than {MAX_LABEL_LENGTH} characters"
+        return f"label key is longer than {MAX_LABEL_LENGTH} characters"
     if len(match["prefix"] or "") > MAX_PREFIX_LENGTH + 1:
-        return f"prefix longer than {MAX_PREFIX_LENGTH} characters"
+        return f"prefix of the label key is longer than {MAX_PREFIX_LENGTH} characters"
     if key in _SET_OPERATORS:
-        return f"{key!r} is an operator of selectors, so no selector could name it"
+        return f"{key!r} is a selector operator and can't be used as a label key"
     return None
 
 
 def value_fault(value: str) -> str | None:
-    """Return what is wrong with the value of a label, or None."""
+    """Return why ``value`` is not a valid label value; None if it is valid."""
     if _VALUE.fullmatch(value) is None:
         return (
-            "a label's value is letters, digits, '-', '_' and '.', with a letter or "
-            "digit at both ends, or empty"
+            "a label value is empty, or consists of letters, digits, '-', '_' and "
+            "'.', and begins and ends with a letter or digit"
         )
     if len(value) > MAX_LABEL_LENGTH:
-        return f"longer than {MAX_LABEL_LENGTH} characters"
+        return f"label value is longer than {MAX_LABEL_LENGTH} characters"
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class _Token:
     text: str
-    """Empty at the end of the selector."""
+    """Text of the token; empty at the end of the selector."""
     position: int
 
     @property
@@ -160,7 +159,7 @@
 
 
 class _SelectorParser:
-    """Recursive descent over the tokens of one selector."""
+    """Recursive-descent parser of one selector."""
 
     def __init__(self, *, text: str):
         self._text = text
@@ -170,78 +169,84 @@
     def parse(self) -> Selector:
         if not self._next.text:
             return Selector()
-        requirements = [self._requirement()]
+        requirements = [self._parse_requirement()]
         while self._next.text:
             self._expect(",")
-            requirements.append(self._requirement())
+            requirements.append(self._parse_requirement())
         return Selector(requirements=tuple(requirements))
 
     @property
     def _next(self) -> _Token:
         return self._tokens[self._index]
 
-    def _take(self) -> _Token:
+    def _advance(self) -> _Token:
         token = self._next
         self._index += 1
         return token
 
-    def _error(self, token: _Token, reason: str) -> SelectorSyntaxError:
+    def _syntax_error(self, token: _Token, reason: str) -> SelectorSyntaxError:
         return SelectorSyntaxError(
             selector=self._text, position=token.position, reason=reason
         )
 
     def _expect(self, text: str) -> None:
         if self._next.text != text:
-            found = repr(self._next.text) if self._next.text else "the end"
-            raise self._error(self._next, f"expected {text!r}, found {found}")
+            found = (
+                repr(self._next.text) if self._next.text else "the end of the selector"
+            )
+            raise self._syntax_error(self._next, f"expected {text!r}, found {found}")
         self._index += 1
 
-    def _requirement(self) -> Requirement:
+    def _parse_requirement(self) -> Requirement:
         if self._next.text == "!":
-            self._take()
-            return Requirement(key=self._key(), operator=Operator.ABSENT)
-        key = self._key()
+            self._advance()
+            return Requirement(key=self._parse_key(), operator=Operator.ABSENT)
+        key = self._parse_key()
         token = self._next
         match token.text:
             case "" | ",":
                 return Requirement(key=key, operator=Operator.EXISTS)
             case "=" | "==" | "!=":
-                self._take()
+                self._advance()
                 operator = Operator.NOT_IN if token.text == "!=" else Operator.IN
                 return Requirement(
-                    key=key, operator=operator, values=frozenset((self._value(),))
+                    key=key, operator=operator, values=frozenset((self._parse_value(),))
                 )
             case "in" | "notin":
-                self._take()
+                self._advance()
                 return Requirement(
-                    key=key, operator=Operator(token.text), values=self._value_set()
+                    key=key,
+                    operator=Operator(token.text),
+                    values=self._parse_value_set(),
                 )
-        raise self._error(token, "expected '=', '==', '!=', 'in', 'notin' or ','")
+        raise self._syntax_error(
+            token, "expected '=', '==', '!=', 'in', 'notin' or ','"
+        )
 
-    def _key(self) -> str:
+    def _parse_key(self) -> str:
         token = self._next
         if not token.is_word:
-            raise self._error(token, "expected the key of a label")
+            raise self._syntax_error(token, "expected a label key")
         fault = key_fault(token.text)
         if fault is not None:
-            raise self._error(token, fault)
-        return self._take().text
+            raise self._syntax_error(token, fault)
+        return self._advance().text
 
-    def _value(self) -> str:
+    def _parse_value(self) -> str:
         if not self._next.is_word:
             return ""
         fault = value_fault(self._next.text)
         if fault is not None:
-            raise self._error(self._next, fault)
-        return self._take().text
+            raise self._syntax_error(self._next, fault)
+        return self._advance().text
 
-    def _value_set(self) -> frozenset[str]:
+    def _parse_value_set(self) -> frozenset[str]:
         self._expect("(")
         if self._next.text == ")":
-            raise self._error(self._next, "expected at least one value")
-        values = {self._value()}
+            raise self._syntax_error(self._next, "expected at least one value")
+        values = {self._parse_value()}
         while self._next.text == ",":
-            self._take()
-            values.add(self._value())
+            self._advance()
+            values.add(self._parse_value())
         self._expect(")")
         return frozenset(values)
--- a/packages/sassafraswinch/sassafraswinch/ticket_states.py
+++ b/packages/sassafraswinch/sassafraswinch/ticket_states.py
@@ -1,15 +1,15 @@
-"""What has become of each ticket of one node: one byte a ticket, in segments."""
+"""Ticket state table of a node: one byte per ticket, in segments."""
 
 from sassafraswinch.claims import RunState
 
 SEGMENT_TICKETS = 4096
-"""Tickets in one segment; a segment none of whose tickets was used takes no bytes."""
+"""Tickets per segment; a segment without used tickets takes no memory."""
 MAX_SEGMENTS = 2048
-"""Segments remembered: at most 8 MiB, or 6,990 tickets a second over 20 minutes."""
+"""Segments retained: at most 8 MiB, or 6,990 tickets a second over 20 minutes."""
 
 
 class TicketStates:
-    """States by ticket number, forgotten from the lowest numbers upwards."""
+    """States by ticket number; the segments of the lowest numbers are evicted first."""
 
     def __init__(
         self,
@@ -23,24 +23,24 @@
         self._expires_at_ms: dict[int, int] = {}
         self._next_number = 1
         self.forgotten_below = 1
-        """Nothing is known of tickets of a lower number."""
+        """Lowest ticket number whose state is retained."""
 
     @property
     def size_bytes(self) -> int:
-        """Bytes that the states take now."""
+        """Memory that the states use now, in bytes."""
         return len(self._states) * self._segment_tickets
 
     def issue(self, expires_at_ms: int) -> int:
-        """Take the next number; expiries must not fall from number to number."""
+        """Return the next ticket number; expiry times must not decrease."""
         number = self._next_number
         self._next_number += 1
         self._expires_at_ms[number // self._segment_tickets] = expires_at_ms
         if len(self._expires_at_ms) > self._max_segments:
-            self._forget_oldest()
+            self._evict_oldest()
         return number
 
     def get(self, number: int) -> RunState | None:
-        """Return the state of an issued ticket; None: forgotten."""
+        """Return the state of an issued ticket; None if it was evicted."""
         if number < self.forgotten_below:
             return None
         segment = self._states.get(number // self._segment_tickets)
@@ -49,7 +49,7 @@
         return RunState(segment[number % self._segment_tickets])
 
     def set(self, number: int, state: RunState) -> None:
-        """Change the state of an issued ticket; no effect on a forgotten one."""
+        """Set the state of an issued ticket; no effect if the state was evicted."""
         if number < self.forgotten_below:
             return
         index = number // self._segment_tickets
@@ -58,15 +58,15 @@
             segment = self._states[index] = bytearray(self._segment_tickets)
         segment[number % self._segment_tickets] = state
 
-    def forget_expired(self, expired_at_ms: float) -> None:
-        """Forget the segments all of whose tickets had expired by then."""
+    def evict_expired(self, expired_at_ms: float) -> None:
+        """Evict the segments whose tickets had all expired at ``expired_at_ms``."""
         while self._expires_at_ms:
             index = next(iter(self._expires_at_ms))
             if self._expires_at_ms[index] > expired_at_ms:
                 return
-            self._forget_oldest()
+            self._evict_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         index = next(iter(self._expires_at_ms))
         del self._expires_at_ms[index]
         self._states.pop(index, None)
--- a/packages/sassafraswinch/sassafraswinch/tickets.py
+++ b/packages/sassafraswinch/sassafraswinch/tickets.py
@@ -1,7 +1,8 @@
-"""One-time tickets that name the node which alone may run a non-repeatable call.
+"""Ticket ledger: one-time tickets for requests that must run at most once.
 
-A ticket is final: once its request has an outcome, no later claim runs it again. A
-caller that was told NOT_RUN goes on with the fresh ticket of that answer.
+A ticket names its owner, the only node that may run the request. It is final: once
+its request has an outcome, no later claim of the ticket runs it again. A caller that
+received NOT_RUN retries with the fresh ticket in that answer.
 """
 
 import hashlib
@@ -26,13 +27,13 @@
 from sassafraswinch.verdict import Reason, Verdict
 
 MAC_BYTES = 16
-"""Length of the message authentication code of a ticket."""
+"""Length of the message authentication code (MAC) of a ticket."""
 FINGERPRINT_BYTES = 16
-"""Length of the digest that tells one request from another."""
+"""Length of the digest that distinguishes requests with the same ticket."""
 GRACE_MS = 60_000
-"""How long an expired ticket's state is still known, if memory allows."""
-MAX_RUNNING = 16_384
-"""Tickets whose request may run at a time: about 40 s of calls at 375 a second."""
+"""How long the state of a ticket is retained after expiry, if memory allows."""
+MAX_RUNNING_REQUESTS = 16_384
+"""Ticketed requests that may run at a time: about 40 s of calls at 375 a second."""
 
 _TICKET = re.compile(
     r"([0-9a-f]{1,16})-([0-9a-f]{1,16})-([0-9a-f]{1,16})-([0-9a-f]{32})"
@@ -42,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ticket:
-    """The parts of a ticket's text."""
+    """Parsed ticket."""
 
     owner: NodeId
-    """The only node that may run the request."""
+    """Only node that may run the request."""
     number: int
     expires_at_ms: int
-    """On the owner's monotonic clock."""
+    """Expiry time on the owner's monotonic clock."""
     mac: bytes
-    """Code by the owner's secret over all other parts, organisation and operation."""
+    """MAC with the owner's secret over the other fields, organisation and operation."""
 
 
 def parse_ticket(text: str) -> Ticket | None:
-    """Parse a ticket; None: no node can have issued this text."""
+    """Parse a ticket; return None if no node can have issued ``text``."""
     match = _TICKET.fullmatch(text)
     if match is None:
         return None
@@ -68,7 +69,7 @@
 
 
 def serialize_ticket(ticket: Ticket) -> str:
-    """Return the text that ``parse_ticket`` reads, fit for a header field."""
+    """Return the text of a ticket, as ``parse_ticket`` reads it, for a header field."""
     return (
         f"{ticket.number:x}-{ticket.expires_at_ms:x}-{ticket.owner.incarnation:x}"
         f"-{ticket.mac.hex()}-{ticket.owner.host}"
@@ -76,27 +77,27 @@
 
 
 def fingerprint(method: str, target: str, body: bytes) -> bytes:
-    """Return a digest that is the same only for the same method, target and body."""
+    """Return a digest that identifies the combination of method, target and body."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     digest.update(f"{len(method)} {len(target)} {method}{target}".encode())
     digest.update(body)
     return digest.digest()
 
 
-_NO_TICKET = Refused(verdict=Verdict.NOT_RUN, reason=Reason.TICKET_INVALID)
+_INVALID_TICKET = Refused(verdict=Verdict.NOT_RUN, reason=Reason.TICKET_INVALID)
 _WRONG_MAC = Refused(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_INVALID)
 _OTHER_HOST = Refused(
     verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_OWNER_UNREACHABLE
 )
 _RESTARTED = Refused(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_OWNER_RESTARTED)
-_FORGOTTEN = Refused(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_EXPIRED)
+_STATE_EVICTED = Refused(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_EXPIRED)
 _EXPIRED = Refused(verdict=Verdict.NOT_RUN, reason=Reason.TICKET_EXPIRED)
-_FULL = Refused(verdict=Verdict.NOT_RUN, reason=Reason.OVERLOADED)
+_OVERLOADED = Refused(verdict=Verdict.NOT_RUN, reason=Reason.OVERLOADED)
 _OTHER_REQUEST = Refused(
     verdict=Verdict.MAY_HAVE_RUN, reason=Reason.TICKET_OTHER_REQUEST
 )
-_OUTCOMES = {
-    None: _FORGOTTEN,
+_REFUSALS = {
+    None: _STATE_EVICTED,
     RunState.NOT_RUN: _EXPIRED,
     RunState.ANSWER_DROPPED: NOT_KEPT,
     RunState.MAY_HAVE_RUN: NOT_KEPT,
@@ -104,7 +105,7 @@
 
 
 class TicketLedger:
-    """The tickets of one node: issues them, and lets each run one request once."""
+    """Issues the tickets of one node and lets each ticket run one request once."""
 
     def __init__(
         self,
@@ -114,7 +115,7 @@
         lifetime_ms: int,
         max_answer_bytes: int,
         grace_ms: int = GRACE_MS,
-        max_running: int = MAX_RUNNING,
+        max_running: int = MAX_RUNNING_REQUESTS,
         states: TicketStates | None = None,
     ):
         self._node = node
@@ -127,11 +128,11 @@
         self._running: dict[int, bytes] = {}
         self._answered: dict[int, bytes] = {}
         self._now_ms = 0.0
-        self._dropped_below = 0
+        self._evicted_below = 0
 
     @property
     def size(self) -> LedgerSize:
-        """What the ledger holds: running and answered requests, and ticket states."""
+        """Memory use of the ledger: running and answered requests, ticket states."""
         return LedgerSize(
             records=len(self._running) + len(self._answered),
             answer_bytes=self._answers.kept_bytes,
@@ -139,10 +140,10 @@
         )
 
     def issue(self, organisation: str, operation: str, now_ms: float) -> str:
-        """Return the text of a fresh ticket for one request of this operation."""
-        expires_at_ms = int(self._advance(now_ms)) + self._lifetime_ms
+        """Issue a ticket for one request of this operation and return its text."""
+        expires_at_ms = int(self._advance_clock(now_ms)) + self._lifetime_ms
         number = self._states.issue(expires_at_ms)
-        self._drop_forgotten()
+        self._drop_evicted()
         mac = self._mac(number, expires_at_ms, organisation, operation)
         return serialize_ticket(
             Ticket(
@@ -158,10 +159,10 @@
         fingerprint: bytes,
         now_ms: float,
     ) -> Claim:
-        """Decide what a request that carries this ticket gets."""
+        """Return how to handle a request that carries this ticket."""
         ticket = parse_ticket(text)
         if ticket is None:
-            return _NO_TICKET
+            return _INVALID_TICKET
         if ticket.owner != self._node:
             same_host = ticket.owner.host == self._node.host
             return _RESTARTED if same_host else _OTHER_HOST
@@ -169,9 +170,9 @@
             return _WRONG_MAC
         state = self._states.get(ticket.number)
         if state is RunState.UNUSED:
-            return self._first_claim(ticket, fingerprint, self._advance(now_ms))
-        if state in _OUTCOMES:
-            return _OUTCOMES[state]
+            return self._claim_unused(ticket, fingerprint, self._advance_clock(now_ms))
+        if state in _REFUSALS:
+            return _REFUSALS[state]
         running = state is RunState.RUNNING
         first = (self._running if running else self._answered)[ticket.number]
         if first != fingerprint:
@@ -189,14 +190,16 @@
         reason: Reason,
         now_ms: float,
     ) -> Claim:
-        """Decide what a request gets that the node won't run now.
+        """Return how to handle a request with a ticket that the node won't run now.
 
-        Admission has to refuse through here. A NOT_RUN that it told by itself would
-        be untrue for a repeat of a request that has run, and would not hold for a
-        first try if another try of it still is on its way through another node.
+        Admission control must refuse such requests through this method. If it sent
+        NOT_RUN by itself, that would be false for a retry of a request that has run,
+        and would not stay true for a first attempt if another attempt is still on its
+        way through another node.
 
         Returns:
-            As ``claim``, but for a ticket that isn't used yet: NOT_RUN, for good.
+            The result of ``claim``, except for an unused ticket: that one becomes
+            NOT_RUN permanently.
         """
         claim = self.claim(text, organisation, operation, fingerprint, now_ms)
         if not isinstance(claim, Dispatch):
@@ -206,13 +209,13 @@
         return Refused(verdict=Verdict.NOT_RUN, reason=reason)
 
     def finish(self, ticket_number: int, answer: Answer, now_ms: float) -> None:
-        """Record the outcome of a dispatched request; it is final.
+        """Record the final outcome of a dispatched request.
 
         Raises:
-            InvariantError: the request has an outcome already, or was never
+            InvariantError: if the request already has an outcome or was never
                 dispatched.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         state = self._states.get(ticket_number)
         if state is None:
             return
@@ -223,48 +226,48 @@
             )
         fingerprint = self._running.pop(ticket_number)
         if answer.verdict is Verdict.ANSWERED:
-            self._keep(ticket_number, fingerprint, answer)
+            self._store_answer(ticket_number, fingerprint, answer)
         else:
             self._states.set(ticket_number, final_state(answer.verdict))
 
     def tick(self, now_ms: float) -> None:
-        """Forget what is older than expiry and grace."""
-        self._states.forget_expired(self._advance(now_ms) - self._grace_ms)
-        self._drop_forgotten()
+        """Evict the state of tickets that expired more than the grace time ago."""
+        self._states.evict_expired(self._advance_clock(now_ms) - self._grace_ms)
+        self._drop_evicted()
 
-    def _first_claim(self, ticket: Ticket, fingerprint: bytes, now_ms: float) -> Claim:
+    def _claim_unused(self, ticket: Ticket, fingerprint: bytes, now_ms: float) -> Claim:
         if now_ms >= ticket.expires_at_ms:
             return _EXPIRED
         if len(self._running) >= self._max_running:
             self._states.set(ticket.number, RunState.NOT_RUN)
-            return _FULL
+            return _OVERLOADED
         self._states.set(ticket.number, RunState.RUNNING)
         self._running[ticket.number] = fingerprint
         return Dispatch(number=ticket.number)
 
-    def _keep(self, number: int, fingerprint: bytes, answer: Answer) -> None:
+    def _store_answer(self, number: int, fingerprint: bytes, answer: Answer) -> None:
         self._states.set(number, RunState.ANSWERED)
         self._answered[number] = fingerprint
         for dropped in self._answers.keep(number, answer):
             self._states.set(dropped, RunState.ANSWER_DROPPED)
             self._answered.pop(dropped, None)
 
-    def _drop_forgotten(self) -> None:
+    def _drop_evicted(self) -> None:
         below = self._states.forgotten_below
-        if below == self._dropped_below:
+        if below == self._evicted_below:
             return
-        self._dropped_below = below
+        self._evicted_below = below
         for number in [number for number in self._running if number < below]:
             del self._running[number]
         for number in [number for number in self._answered if number < below]:
             del self._answered[number]
             self._answers.drop(number)
 
-    def _advance(self, now_ms: float) -> float:
-        """Return the latest time seen.
+    def _advance_clock(self, now_ms: float) -> float:
+        """Return the latest time seen, so that time never goes backwards.
 
-        A process that was paused may hand in an old time. Were it believed, a ticket
-        refused as expired, NOT_RUN, could be dispatched after that.
+        A process that was paused may pass an old time. If that time were used, a
+        ticket that was refused as expired, with NOT_RUN, could still be dispatched.
         """
         self._now_ms = max(self._now_ms, now_ms)
         return self._now_ms
@@ -276,9 +279,9 @@
     def _mac(
         self, number: int, expires_at_ms: int, organisation: str, operation: str
     ) -> bytes:
-        bound = (
+        signed_text = (
             f"{number} {expires_at_ms} {len(organisation)} {organisation}{operation}"
         )
         return hashlib.blake2b(
-            bound.encode(), key=self._secret, digest_size=MAC_BYTES
+            signed_text.encode(), key=self._secret, digest_size=MAC_BYTES
         ).digest()
--- a/packages/sassafraswinch/sassafraswinch/yaml_events.py
+++ b/packages/sassafraswinch/sassafraswinch/yaml_events.py
@@ -1,7 +1,8 @@
-"""Plain data from the events of a YAML parser, with the path of every fault.
+"""YAML reader that builds plain data from parser events and reports all faults.
 
-PyYAML's own constructor expands aliases, keeps the last of two equal keys without a
-word, and takes longer on a text of 1 MB than reading and checking it from events.
+PyYAML's constructor is not used: it expands aliases, silently keeps the last of two
+equal keys, and takes longer on a text of 1 MB than building and checking the data
+from events.
 """
 
 import functools
@@ -11,11 +12,11 @@
 import yaml
 from yaml.constructor import SafeConstructor
 
-MAX_DEPTH = 16
-"""Levels of nesting; documents and settings need five."""
+MAX_NESTING_LEVELS = 16
+"""Deepest nesting of collections; documents and settings need five levels."""
 
-MAX_NUMBER_LENGTH = 40
-"""Characters of the longest text that is read as a number, date or truth value."""
+MAX_NUMBER_CHARS = 40
+"""Longest scalar, in characters, that is parsed as a number, date or boolean."""
 
 Plain = dict | list | str | int | float | bool | None
 FieldPath = tuple[str | int, ...]
@@ -27,85 +28,85 @@
 _SEQUENCE_TAGS = (None, "!", "tag:yaml.org,2002:seq")
 
 
-class _Dropped:
-    """Stands for the key of a value that is read and thrown away."""
+class _DiscardedKey:
+    """Marker for the key of a value that is discarded."""
 
 
 def read_yaml(text: str, *, report: Report) -> Plain:
-    """Read the one YAML document of a text.
+    """Parse a text that holds one YAML document.
 
     Args:
-        text: the whole text.
-        report: called with path and reason of each fault; the entry concerned is
-            None or left out, the rest is still returned.
+        text: the full text.
+        report: called with the path and the reason of each fault. The value at that
+            path is None or missing in the result; all other data is returned.
 
     Raises:
-        yaml.YAMLError: if the text isn't YAML.
+        yaml.YAMLError: if the text isn't valid YAML or holds several documents.
     """
-    builder = _Builder(report=report)
+    builder = _DataBuilder(report=report)
     for event in yaml.parse(text, Loader=_Loader):
         builder.accept(event)
     return builder.result
 
 
 @dataclass(slots=True)
-class _Open:
-    """A map or list whose end has not been read yet."""
+class _OpenCollection:
+    """Map or list whose end event has not been processed yet."""
 
     container: dict | list
-    key: str | type[_Dropped] | None = None
-    """Key of a map's next value; None where the key itself is awaited."""
+    key: str | type[_DiscardedKey] | None = None
+    """Key of the next value of a map; None if the next event is the key itself."""
 
     @property
     def awaits_key(self) -> bool:
         return self.key is None and isinstance(self.container, dict)
 
     @property
-    def place(self) -> str | int | None:
+    def key_or_index(self) -> str | int | None:
         if isinstance(self.container, list):
             return len(self.container)
         return self.key if isinstance(self.key, str) else None
 
-    def put(self, value: Plain) -> None:
+    def add(self, value: Plain) -> None:
         if isinstance(self.container, list):
             self.container.append(value)
             return
-        if self.key is not _Dropped:
+        if self.key is not _DiscardedKey:
             self.container[self.key] = value
         self.key = None
 
 
-class _Builder:
-    """Consumer of events; what it holds grows with the text, never with aliases."""
+class _DataBuilder:
+    """Event consumer; aliases aren't expanded, so the text bounds its memory use."""
 
     def __init__(self, *, report: Report):
         self.result: Plain = None
         self._report = report
-        self._open: list[_Open] = []
+        self._open: list[_OpenCollection] = []
         self._skipped_levels = 0
         self._documents = 0
 
     def accept(self, event: yaml.Event) -> None:
         match event:
             case yaml.CollectionStartEvent():
-                self._start(event)
+                self._start_collection(event)
             case yaml.CollectionEndEvent():
-                self._end()
+                self._end_collection()
             case yaml.DocumentStartEvent():
                 self._start_document()
             case yaml.ScalarEvent() if not self._skipped_levels:
-                self._scalar(event)
+                self._add_scalar(event)
             case yaml.AliasEvent() if not self._skipped_levels:
-                # One alias inside another's anchor, ten levels deep, would expand
-                # a few hundred bytes to billions of entries, so none is expanded.
-                self._refuse(event, "aliases are not supported")
+                # Aliases are never expanded: nested ten levels deep, a few hundred
+                # bytes would expand to billions of entries.
+                self._reject(event, "aliases are not supported")
 
     def _start_document(self) -> None:
         self._documents += 1
         if self._documents > 1:
             raise yaml.YAMLError("more than one document in the file")
 
-    def _start(self, event: yaml.CollectionStartEvent) -> None:
+    def _start_collection(self, event: yaml.CollectionStartEvent) -> None:
         fault = None if self._skipped_levels else self._collection_fault(event)
         if fault is not None:
             self._report(self._path(), f"{fault} (line {_line(event)})")
@@ -113,74 +114,74 @@
             self._skipped_levels += 1
             return
         is_map = isinstance(event, yaml.MappingStartEvent)
-        self._open.append(_Open({} if is_map else []))
+        self._open.append(_OpenCollection({} if is_map else []))
 
     def _collection_fault(self, event: yaml.CollectionStartEvent) -> str | None:
         is_map = isinstance(event, yaml.MappingStartEvent)
         if self._open and self._open[-1].awaits_key:
-            return "a key is no text"
+            return "a key is not text"
         if event.tag not in (_MAP_TAGS if is_map else _SEQUENCE_TAGS):
             return f"tag {event.tag} is not supported"
-        if len(self._open) >= MAX_DEPTH:
-            return f"nested deeper than {MAX_DEPTH} levels"
+        if len(self._open) >= MAX_NESTING_LEVELS:
+            return f"nested deeper than {MAX_NESTING_LEVELS} levels"
         return None
 
-    def _end(self) -> None:
+    def _end_collection(self) -> None:
         if not self._skipped_levels:
-            self._put(self._open.pop().container)
+            self._add_value(self._open.pop().container)
             return
         self._skipped_levels -= 1
         if not self._skipped_levels:
-            self._put_nothing()
+            self._add_missing_value()
 
-    def _scalar(self, event: yaml.ScalarEvent) -> None:
+    def _add_scalar(self, event: yaml.ScalarEvent) -> None:
         if self._open and self._open[-1].awaits_key:
-            self._key(event)
+            self._set_key(event)
             return
         if event.tag is not None and event.tag not in _TEXT_TAGS:
-            self._refuse(event, f"tag {event.tag} is not supported")
+            self._reject(event, f"tag {event.tag} is not supported")
             return
         try:
-            self._put(_scalar_value(event))
+            self._add_value(_scalar_value(event))
         except (yaml.YAMLError, ValueError, OverflowError) as error:
-            self._refuse(event, getattr(error, "problem", None) or str(error))
+            self._reject(event, getattr(error, "problem", None) or str(error))
 
-    def _key(self, event: yaml.ScalarEvent) -> None:
-        holder = self._open[-1]
+    def _set_key(self, event: yaml.ScalarEvent) -> None:
+        collection = self._open[-1]
         try:
             is_text = isinstance(_scalar_value(event), str)
         except (yaml.YAMLError, ValueError, OverflowError):
             is_text = False
         if not is_text:
             path = (*self._path(), event.value)
-            self._report(path, f"the key is no text; quote it (line {_line(event)})")
-            holder.key = _Dropped
-        elif event.value in holder.container:
+            self._report(path, f"the key is not text; quote it (line {_line(event)})")
+            collection.key = _DiscardedKey
+        elif event.value in collection.container:
             path = (*self._path(), event.value)
-            self._report(path, f"stands twice (line {_line(event)})")
-            holder.key = _Dropped
+            self._report(path, f"duplicate key (line {_line(event)})")
+            collection.key = _DiscardedKey
         else:
-            holder.key = event.value
+            collection.key = event.value
 
-    def _refuse(self, event: yaml.Event, reason: str) -> None:
+    def _reject(self, event: yaml.Event, reason: str) -> None:
         self._report(self._path(), f"{reason} (line {_line(event)})")
-        self._put_nothing()
+        self._add_missing_value()
 
-    def _put(self, value: Plain) -> None:
+    def _add_value(self, value: Plain) -> None:
         if self._open:
-            self._open[-1].put(value)
+            self._open[-1].add(value)
         else:
             self.result = value
 
-    def _put_nothing(self) -> None:
+    def _add_missing_value(self) -> None:
         if self._open and self._open[-1].awaits_key:
-            self._open[-1].key = _Dropped
+            self._open[-1].key = _DiscardedKey
         else:
-            self._put(None)
+            self._add_value(None)
 
     def _path(self) -> FieldPath:
-        places = (holder.place for holder in self._open)
-        return tuple(place for place in places if place is not None)
+        parts = (collection.key_or_index for collection in self._open)
+        return tuple(part for part in parts if part is not None)
 
 
 def _line(event: yaml.Event) -> int:
@@ -197,10 +198,10 @@
 def _plain_value(text: str) -> Plain:
     """Return the value of an unquoted scalar.
 
-    Only short texts are taken for numbers: YAML 1.1 reads ``1:1:1...`` in base
-    60, and 1 MB of it would keep a node busy for minutes.
+    Only short texts are parsed as numbers: YAML 1.1 parses ``1:1:1...`` in base 60,
+    and 1 MB of it would keep a node busy for minutes.
     """
-    if len(text) > MAX_NUMBER_LENGTH:
+    if len(text) > MAX_NUMBER_CHARS:
         return text
     for tag, pattern in _Loader.yaml_implicit_resolvers.get(text[:1], ()):
         if pattern.match(text):
--- a/packages/sassafraswinch/tests/test_burn.py
+++ b/packages/sassafraswinch/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of the burn report."""
+"""Tests of burn recording, burn-rate alerts and merged burn reports."""
 
 import gc
 
@@ -49,7 +49,7 @@
         (Verdict.MAY_HAVE_RUN, Reason.TICKET_EXPIRED, 1.0, "unknown"),
     ],
 )
-def test_each_outcome_stands_as_documented(verdict, reason, latency_ms, standing):
+def test_outcome_is_counted_in_its_category(verdict, reason, latency_ms, standing):
     burn = recorder()
     record(burn, 1.0, verdict, reason, latency_ms=latency_ms)
     (series,) = burn.report(2.0).series
@@ -65,7 +65,7 @@
     ),
     st.floats(0, 30_000_000),
 )
-def test_windows_hold_what_a_list_of_all_calls_holds(calls, pause_ms):
+def test_windows_match_a_list_of_all_calls(calls, pause_ms):
     burn, now_ms, history = recorder(), 0.0, []
     for gap_ms, good in calls:
         now_ms += gap_ms
@@ -81,10 +81,10 @@
             assert window.counts.unknown == len(inside) - sum(inside)
 
 
-def test_two_nodes_add_up_to_one_that_saw_all():
-    one, two, both = recorder("a"), recorder("b"), recorder("c")
+def test_merged_reports_equal_one_report_of_all_calls():
+    first, second, combined = recorder("a"), recorder("b"), recorder("c")
     for step in range(400):
-        for burn in (one if step % 3 else two, both):
+        for burn in (first if step % 3 else second, combined):
             record(
                 burn,
                 step * SECOND_MS,
@@ -92,20 +92,29 @@
                 None if step % 7 else Reason.EVICTED,
                 latency_ms=step / 2,
             )
-    texts = [serialize_report(burn.report(400 * SECOND_MS)) for burn in (one, two)]
+    texts = [serialize_report(burn.report(400 * SECOND_MS)) for burn in (first, second)]
     merged = merge_reports([parse_report(text, source="node") for text in texts])
-    (ours,), (whole,) = merged.series, both.report(400 * SECOND_MS).series
+    (merged_series,), (expected_series,) = (
+        merged.series,
+        combined.report(400 * SECOND_MS).series,
+    )
     assert merged.hosts == ("a", "b")
-    assert ours.windows == whole.windows
-    assert (ours.total, ours.reasons) == (whole.total, whole.reasons)
-    for latency, expected in zip(ours.latencies, whole.latencies, strict=True):
+    assert merged_series.windows == expected_series.windows
+    assert (merged_series.total, merged_series.reasons) == (
+        expected_series.total,
+        expected_series.reasons,
+    )
+    for latency, expected in zip(
+        merged_series.latencies, expected_series.latencies, strict=True
+    ):
         assert latency.p99_ms == expected.p99_ms == pytest.approx(198, rel=0.01)
         assert (
-            latency.histogram.get_total_count() == whole.total.good + whole.total.late
+            latency.histogram.get_total_count()
+            == expected_series.total.good + expected_series.total.late
         )
 
 
-def test_merging_nothing_gives_an_empty_report():
+def test_merging_no_reports_gives_an_empty_report():
     assert merge_reports([]).series == ()
 
 
@@ -120,11 +129,11 @@
     assert merged.series[0].objective == tighter
 
 
-def test_an_outage_pages_within_four_minutes_and_stops_with_its_cause():
+def test_outage_pages_within_four_minutes_and_clears_after_it():
     """Approvals are refused for four minutes after an hour of good service.
 
-    The operators must hear of it while it lasts, not once an hour's budget is gone;
-    and the page must end soon after approvals are answered again.
+    The alert must fire during the outage, not once an hour's error budget is spent,
+    and it must clear soon after approvals are answered again.
     """
     burn = recorder()
     for second in range(3600):
@@ -144,11 +153,11 @@
     assert Severity.PAGE not in {alert.severity for alert in series.alerts}
 
 
-def test_a_young_fleet_pages_as_late_as_an_old_one():
-    """A fleet has just started when its first calls are refused.
+def test_new_fleet_pages_as_late_as_a_long_running_one():
+    """The first calls of a fleet that has just started are refused.
 
-    All its windows hold the same ten seconds, so each rule saw an hour or six of
-    burn and paged at once. It must page when five minutes' worth is burnt.
+    All its windows hold the same ten seconds, so each rule would see an hour or six
+    of burn and page at once. It must page when five minutes' worth is burnt.
     """
     burn = recorder()
     for second in range(10):
@@ -170,10 +179,11 @@
     assert series.alerts == ()
 
 
-def test_series_beyond_the_bound_share_one_and_idle_ones_give_way():
-    """Documents come and go, and each names new operations.
+def test_series_above_the_limit_share_one_and_idle_ones_are_evicted():
+    """Successive documents name new operations.
 
-    A node that kept a series for each would grow until it is killed for its memory.
+    A node that kept a series for each would grow until the operating system kills it
+    for its memory use.
     """
     burn = recorder(max_series=4)
     for number in range(10):
@@ -185,11 +195,11 @@
     assert [s.operation for s in burn.report(later_ms).series] == ["new"]
 
 
-def test_dropped_reports_free_their_histograms_without_a_collection():
-    """A node freezes or delays garbage collection for the sake of latency.
+def test_reports_are_freed_without_garbage_collection():
+    """A node freezes or delays garbage collection to keep latencies low.
 
-    Each scrape made a report whose histograms sat in reference cycles, so memory
-    grew by megabytes until the next full collection.
+    If the histograms of a report were in reference cycles, each scrape would add to
+    the memory used, by megabytes until the next full collection.
     """
     burn = recorder()
     record(burn, 1.0)
@@ -212,7 +222,7 @@
         ('{"hosts": [], "document_version": 1, "series": [{}]}', "series.0.class_name"),
     ],
 )
-def test_bad_report_is_refused_by_field(text, field):
+def test_invalid_report_names_the_field(text, field):
     with pytest.raises(InvalidFieldsError) as caught:
         parse_report(text, source="10.0.0.1:9000")
     assert field in [error.field for error in caught.value.exceptions]
--- a/packages/sassafraswinch/tests/test_classify.py
+++ b/packages/sassafraswinch/tests/test_classify.py
@@ -1,4 +1,4 @@
-"""Tests of classification, identities and explanations."""
+"""Tests of request classification, caller identities and explanations."""
 
 import collections
 from pathlib import Path
@@ -41,37 +41,46 @@
 
 @PROPERTY
 @given(st.sampled_from(sorted(DOCUMENTS)), REQUESTS)
-def test_class_depends_on_the_request_alone_and_is_explained(name, requests):
-    """Two nodes see the same request after different ones before it.
+def test_class_depends_only_on_the_request_and_matches_its_explanation(name, requests):
+    """Two nodes classify the same request after different earlier requests.
 
-    If the memo let one request change another's class, a paying approval would
+    If a cached result changed the class of another request, a paying approval would
     be refused at one hop and admitted at the next.
     """
     document = DOCUMENTS[name]
-    used = Classifier(document=document)
+    reused_classifier = Classifier(document=document)
     for caller, organisation, index in requests:
-        asked = {
+        facts = {
             "caller": caller,
             "organisation": organisation,
             "operation": document.operations[index],
         }
-        got = used.classify(**asked)
-        assert got == Classifier(document=document).classify(**asked)
-        why = used.explain(**asked)
-        assert why.class_name == got.class_name == why.classes[-1].name
-        assert [trial.matched for trial in why.classes[:-1]] == (
-            [False] * got.class_order
+        classification = reused_classifier.classify(**facts)
+        assert classification == Classifier(document=document).classify(**facts)
+        explanation = reused_classifier.explain(**facts)
+        assert (
+            explanation.class_name
+            == classification.class_name
+            == explanation.classes[-1].name
         )
-        assert why.classes[-1].matched
-        assert (why.repeatable, why.deadline_ms, why.allowance, why.identity) == (
-            got.repeatable,
-            got.deadline_ms,
-            got.allowance,
-            got.identity,
+        assert [class_result.matched for class_result in explanation.classes[:-1]] == (
+            [False] * classification.class_order
+        )
+        assert explanation.classes[-1].matched
+        assert (
+            explanation.repeatable,
+            explanation.deadline_ms,
+            explanation.allowance,
+            explanation.identity,
+        ) == (
+            classification.repeatable,
+            classification.deadline_ms,
+            classification.allowance,
+            classification.identity,
         )
 
 
-ORDERED = {
+REQUESTS_BY_CLASS_ORDER = {
     "brno": [
         ("approver-morava-1", "schvaleni POST /orders/7/approval"),
         ("approver-morava-1", "schvaleni GET /orders/7"),
@@ -94,14 +103,14 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(ORDERED))
-def test_examples_refuse_trial_lookups_before_paying_actions(name):
+@pytest.mark.parametrize("name", sorted(REQUESTS_BY_CLASS_ORDER))
+def test_examples_order_trial_lookups_after_paying_actions(name):
     classifier = Classifier(document=DOCUMENTS[name])
     orders = [
         classifier.classify(
             caller=caller, organisation="", operation=find(classifier, request)
         ).class_order
-        for caller, request in ORDERED[name]
+        for caller, request in REQUESTS_BY_CLASS_ORDER[name]
     ]
     assert orders == sorted(set(orders))
 
@@ -113,7 +122,7 @@
         ("reykjavik", {"declare-rest", "issue-notice"}),
     ],
 )
-def test_examples_mark_what_runs_at_most_once(name, actions):
+def test_examples_mark_non_repeatable_operations(name, actions):
     classifier = Classifier(document=DOCUMENTS[name])
     assert actions == {
         operation.name
@@ -124,24 +133,28 @@
     }
 
 
-def test_caller_who_names_another_organisation_counts_as_nobody():
-    """A trial buyer puts a paying organisation's name into the header.
+def test_caller_with_another_organisation_gets_the_last_class():
+    """A trial buyer names a paying organisation in the header.
 
-    Believed, every trial user would be served as a paying one at month-end.
+    If the header were trusted, every trial user would be served as a paying one at
+    month-end.
     """
     classifier = Classifier(document=DOCUMENTS["brno"])
     operation = find(classifier, "schvaleni POST /orders/7/approval")
     for claimed in ("distribuce-morava", "made-up"):
-        got = classifier.classify(
+        classification = classifier.classify(
             caller="approver-jihlava-1", organisation=claimed, operation=operation
         )
-        assert got.identity is IdentityState.MISMATCHED
-        assert (got.class_name, got.organisation) == ("rest", None)
-        assert not got.repeatable
+        assert classification.identity is IdentityState.MISMATCHED
+        assert (classification.class_name, classification.organisation) == (
+            "rest",
+            None,
+        )
+        assert not classification.repeatable
 
 
-def test_names_outside_the_document_take_no_memory():
-    """A flood of requests comes, each with another made-up caller's name."""
+def test_unlisted_names_share_one_cached_classification():
+    """A flood of requests, each with another invented caller name, fills no cache."""
     classifier = Classifier(document=DOCUMENTS["brno"])
     operation = DOCUMENTS["brno"].operations[0]
     results = {
@@ -166,7 +179,7 @@
     )
 
 
-def test_request_outside_the_document_has_no_operation():
+def test_unlisted_request_has_no_operation():
     classifier = Classifier(document=DOCUMENTS["brno"])
     for request in (
         ("schvaleni", "DELETE", "/orders/7"),
@@ -177,26 +190,26 @@
         assert classifier.operation(*request) is None
 
 
-def test_encoded_approval_is_still_an_approval():
-    """A client encodes a letter of the path; the backend server decodes it.
+def test_percent_encoded_path_matches_the_same_operation():
+    """A client percent-encodes a letter of the path; the backend server decodes it.
 
-    Taken for another operation, the approval would lose its ticket and could
-    run twice.
+    If the request matched another operation, the approval would need no ticket and
+    could run twice.
     """
     classifier = Classifier(document=DOCUMENTS["brno"])
     plain = find(classifier, "schvaleni POST /orders/7/approval")
     assert find(classifier, "schvaleni POST /orders/%37/%61pprova%6c") is plain
 
 
-def test_admission_level_is_the_same_on_every_node_and_version():
+def test_admission_level_is_stable_across_nodes_and_versions():
     assert admission_level("distribuce-morava", "0" * 32) == 33
     assert admission_level("", "f" * 32) == 43
 
 
-def test_admission_levels_are_even():
-    """An uneven hash would make one threshold step refuse far more than another.
+def test_admission_levels_are_evenly_distributed():
+    """An uneven hash would make threshold steps refuse unequal shares of requests.
 
-    Counts of 64,000 requests over 128 levels: 500 each, standard deviation 22.
+    64,000 requests over 128 levels give 500 a level, with a standard deviation of 22.
     """
     counts = collections.Counter(
         admission_level("nakup-jihlava", f"{n:032x}") for n in range(500 * LEVELS)
--- a/packages/sassafraswinch/tests/test_document.py
+++ b/packages/sassafraswinch/tests/test_document.py
@@ -1,4 +1,4 @@
-"""Tests of reading and checking documents."""
+"""Tests of document parsing and validation."""
 
 import json
 from pathlib import Path
@@ -57,7 +57,7 @@
         ("version: 12", "version: 9007199254740993", "version", "less than"),
         ("version: 12", "version: '12'", "version", "valid integer"),
         ("version: 12", "version: yes", "version", "valid integer"),
-        ("version: 12", "version: 12\nversion: 13", "version", "stands twice"),
+        ("version: 12", "version: 12\nversion: 13", "version", "duplicate key"),
         ("version: 12", "", "version", "missing"),
         ("version: 12", "version: 12\nclases: []", "clases", "unknown field"),
         ("{tier: paying}", "{tier: yes}", "organisations.acme.labels.tier", "quote"),
@@ -90,18 +90,18 @@
         ("version: 12", "version: 12\nretry: {allowance: 101}", "retry.allowance",
          "less than or equal"),
         ("version: 12", "version: 12\nidentity: {caller_header: Traceparent}",
-         "identity.caller_header", "another meaning"),
+         "identity.caller_header", "is reserved"),
         ("version: 12", "version: 12\nidentity: {caller_header: X-Organisation-Id}",
          "identity", "the same header"),
         ("version: 12", "version: 12\nretry: &r {}\nidentity: *r", "identity", "alias"),
         ("version: 12", "version: !!int 12", "version", "tag"),
-        ("version: 12", "version: 12\n? [a]\n: 1", WHOLE_FILE, "a key is no text"),
+        ("version: 12", "version: 12\n? [a]\n: 1", WHOLE_FILE, "a key is not text"),
     ],
 )  # fmt: skip
-def test_wrong_field_is_named_with_its_reason(old, new, field, reason):
+def test_invalid_field_is_reported_with_its_reason(old, new, field, reason):
     assert VALID.count(old) == 1
     found = faults_of(VALID.replace(old, new))
-    assert any(at == field and reason in why for at, why in found), found
+    assert any(path == field and reason in text for path, text in found), found
 
 
 @pytest.mark.parametrize(
@@ -118,17 +118,17 @@
         (b" " * (MAX_DOCUMENT_BYTES + 1), "1000001 bytes"),
     ],
 )
-def test_text_that_can_not_be_read(body, reason):
+def test_unparsable_text_is_reported_as_one_fault(body, reason):
     (fault,) = faults_of(body)
     assert fault[0] == WHOLE_FILE
     assert reason in fault[1]
 
 
 def test_all_faults_of_a_document_are_reported_together():
-    """An operator mends one field, publishes, and meets the next refusal.
+    """All faults come in one report, as each publication costs an operator minutes.
 
-    Each round costs minutes of month-end. So faults of the text, of fields and
-    between entries come in one report, also where one entry has several.
+    The report holds faults of the text, of fields and between entries, also if one
+    entry has several.
     """
     body = VALID.replace("version: 12", "version: 0\nversion: 1")
     body = body.replace("show, service: schvaleni", "approve, service: archiv, x: 1")
@@ -144,25 +144,25 @@
 
 
 def test_nested_aliases_are_not_expanded():
-    """A few hundred bytes of aliases within aliases reach every node.
+    """A few hundred bytes of nested aliases expand to ten billion entries.
 
-    Expanded they are ten billion entries, and each node of the fleet runs out
-    of memory at the same time.
+    If aliases were expanded, all nodes of the fleet would run out of memory at the
+    same time.
     """
-    bomb = "a0: &a0 [x]\n" + "\n".join(
+    nested_aliases = "a0: &a0 [x]\n" + "\n".join(
         f"a{n}: &a{n} [{','.join([f'*a{n - 1}'] * 10)}]" for n in range(1, 11)
     )
-    assert len(faults_of(bomb)) < MAX_FAULTS
-    assert ("a1.0", "aliases are not supported (line 2)") in faults_of(bomb)
+    assert len(faults_of(nested_aliases)) < MAX_FAULTS
+    assert ("a1.0", "aliases are not supported (line 2)") in faults_of(nested_aliases)
 
 
-def test_number_in_base_60_does_not_hold_up_the_node():
-    """YAML 1.1 reads 1:1:1 in base 60, in time quadratic in the length."""
+def test_base_60_number_is_not_parsed():
+    """YAML 1.1 parses 1:1:1 in base 60, in time quadratic in the length."""
     body = VALID.replace("version: 12", "version: 1" + ":1" * 300_000)
     assert ("version", "should be a valid integer") in faults_of(body)
 
 
-def test_list_of_faults_is_bounded():
+def test_number_of_reported_faults_is_bounded():
     body = "operations: [" + "{}," * 300_000 + "]"
     found = faults_of(body)
     assert len(found) == MAX_FAULTS + 1
@@ -170,16 +170,24 @@
 
 
 @pytest.mark.parametrize("name", ["brno", "reykjavik"])
-def test_json_and_yaml_of_one_document_mean_the_same(name):
+def test_json_and_yaml_of_one_document_parse_equal(name):
     body = (EXAMPLES / f"{name}.yaml").read_bytes()
-    one = parse_document(body, source="platform")
-    other = parse_document(json.dumps(yaml.safe_load(body)).encode(), source="platform")
-    assert (one.classes, one.operations) == (other.classes, other.operations)
-    assert (one.callers, one.services) == (other.callers, other.services)
+    from_yaml = parse_document(body, source="platform")
+    from_json = parse_document(
+        json.dumps(yaml.safe_load(body)).encode(), source="platform"
+    )
+    assert (from_yaml.classes, from_yaml.operations) == (
+        from_json.classes,
+        from_json.operations,
+    )
+    assert (from_yaml.callers, from_yaml.services) == (
+        from_json.callers,
+        from_json.services,
+    )
 
 
-def test_duplicate_key_of_json_is_found():
-    assert ("version", "stands twice (line 1)") in faults_of(
+def test_duplicate_json_key_is_reported():
+    assert ("version", "duplicate key (line 1)") in faults_of(
         '{"version":1,"version":2}'
     )
 
@@ -193,7 +201,7 @@
 
 @PROPERTY
 @given(PLAIN)
-def test_yaml_is_read_as_by_the_library(data):
+def test_yaml_parses_as_with_the_library(data):
     text = yaml.safe_dump(json.loads(json.dumps(data)))
     faults = []
     found = read_yaml(text, report=lambda path, reason: faults.append(reason))
@@ -216,6 +224,6 @@
 
 @PROPERTY
 @given(st.binary() | SECTIONS.map(lambda data: json.dumps(data).encode()))
-def test_any_body_is_refused_with_faults_only(body):
-    """A platform publishes nonsense; no node may stop over it."""
+def test_invalid_body_raises_invalid_fields_error_only(body):
+    """The platform publishes an invalid body; no node may crash on it."""
     assert faults_of(body)
--- a/packages/sassafraswinch/tests/test_labels.py
+++ b/packages/sassafraswinch/tests/test_labels.py
@@ -1,4 +1,4 @@
-"""Tests of selectors."""
+"""Tests of label selectors: parsing, matching and syntax errors."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -44,27 +44,27 @@
 
 @PROPERTY
 @given(SELECTORS, LABEL_SETS)
-def test_comma_means_and(selector, labels):
-    one_by_one = [
+def test_selector_matches_if_all_requirements_match(selector, labels):
+    results = [
         Selector(requirements=(requirement,)).matches(labels)
         for requirement in selector.requirements
     ]
-    assert selector.matches(labels) == all(one_by_one)
+    assert selector.matches(labels) == all(results)
 
 
 @PROPERTY
 @given(KEYS, VALUE_SETS, LABEL_SETS)
-def test_notin_is_the_opposite_of_in(key, values, labels):
-    chosen, others = (
+def test_notin_negates_in(key, values, labels):
+    requirement_in, requirement_notin = (
         Requirement(key=key, operator=operator, values=values)
         for operator in (Operator.IN, Operator.NOT_IN)
     )
-    assert chosen.matches(labels) != others.matches(labels)
+    assert requirement_in.matches(labels) != requirement_notin.matches(labels)
 
 
 @PROPERTY
 @given(st.text(alphabet="ab1=!(),- \tinot/._é"))
-def test_any_text_parses_or_says_where_it_is_wrong(text):
+def test_any_text_parses_or_raises_a_positioned_syntax_error(text):
     try:
         parsed = parse_selector(text)
     except SelectorSyntaxError as error:
@@ -91,7 +91,7 @@
         ("a=in,b=notin", {"a": "in", "b": "notin"}, True),
     ],
 )
-def test_selector_as_in_kubernetes(text, labels, expected):
+def test_selector_matches_as_in_kubernetes(text, labels, expected):
     assert parse_selector(text).matches(labels) is expected
 
 
@@ -116,14 +116,14 @@
         ("tier=" + "x" * 64, 5),
     ],
 )
-def test_wrong_selector_names_the_character(text, position):
+def test_syntax_error_has_the_position_of_the_wrong_character(text, position):
     with pytest.raises(SelectorSyntaxError) as caught:
         parse_selector(text)
     assert caught.value.position == position
     assert caught.value.selector == text
 
 
-def test_key_lengths():
+def test_label_key_length_limits():
     assert key_fault("a" * 63) is None
     assert key_fault("a" * 64)
     assert key_fault("p" * 253 + "/a") is None
--- a/packages/sassafraswinch/tests/test_tickets.py
+++ b/packages/sassafraswinch/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets of one ledger under repeats, expiry, late clocks and little memory."""
+"""Tests of the ticket ledger: retries, expiry, clocks that lag and little memory."""
 
 from collections import Counter
 
@@ -39,8 +39,8 @@
     )
 
 
-class Claims(RuleBasedStateMachine):
-    """Callers repeat with the right and wrong tickets, early, late and too late."""
+class TicketLedgerMachine(RuleBasedStateMachine):
+    """Callers retry with valid and invalid tickets, before and after expiry."""
 
     @initialize(max_running=st.sampled_from([1, 3]))
     def begin(self, max_running):
@@ -51,8 +51,8 @@
         self.running = []
         self.dispatched = Counter()
         self.ended = {}
-        self.told_not_run = set()
-        self.dispatched_when_told = {}
+        self.received_not_run = set()
+        self.dispatched_at_not_run = {}
         self.issue(2)
 
     @precondition(lambda self: len(self.texts) < 14)
@@ -65,21 +65,21 @@
         pick=st.integers(0, 3),
         organisation=st.sampled_from(["acme", "acme", "rival"]),
         body=st.sampled_from([b"1", b"1", b"2"]),
-        late_ms=st.sampled_from([0, 0, 2 * LIFETIME_MS]),
+        lag_ms=st.sampled_from([0, 0, 2 * LIFETIME_MS]),
         shed=st.sampled_from([False, False, True]),
     )
-    def claim(self, pick, organisation, body, late_ms, shed):
+    def claim(self, pick, organisation, body, lag_ms, shed):
         ticket = max(0, len(self.texts) - 1 - pick)
         request = (self.texts[ticket], organisation, "approve", body)
-        now_ms = self.now_ms - late_ms
+        now_ms = self.now_ms - lag_ms
         if shed:
             claim = self.ledger.refuse(*request, Reason.OVERLOADED, now_ms)
         else:
             claim = self.ledger.claim(*request, now_ms)
         if isinstance(claim, Refused):
             if claim.verdict is Verdict.NOT_RUN:
-                self.told_not_run.add(ticket)
-                self.dispatched_when_told.setdefault(ticket, self.dispatched[ticket])
+                self.received_not_run.add(ticket)
+                self.dispatched_at_not_run.setdefault(ticket, self.dispatched[ticket])
             return
         assert organisation == "acme"
         if isinstance(claim, Dispatch):
@@ -112,8 +112,8 @@
 
     @invariant()
     def not_run_is_final(self):
-        for ticket in self.told_not_run:
-            assert self.dispatched[ticket] == self.dispatched_when_told[ticket]
+        for ticket in self.received_not_run:
+            assert self.dispatched[ticket] == self.dispatched_at_not_run[ticket]
             ended = self.ended.get(ticket, Verdict.NOT_RUN)
             assert ended is Verdict.NOT_RUN
             assert ticket not in [running[1] for running in self.running]
@@ -126,28 +126,28 @@
         assert size.state_bytes <= 2 * 3
 
 
-TestClaims = Claims.TestCase
-TestClaims.settings = settings(
+TestTicketLedger = TicketLedgerMachine.TestCase
+TestTicketLedger.settings = settings(
     derandomize=True, deadline=None, max_examples=400, stateful_step_count=40
 )
 
 
 def test_not_run_is_final_for_the_ticket():
-    """An approval runs after its caller was told NOT_RUN and had taken a new ticket.
+    """An approval runs although its caller received NOT_RUN and took a new ticket.
 
-    The first try waits in a silent link between two nodes; the second one, through
-    another node, is refused as overloaded. Then the link delivers the first try.
+    The first attempt is delayed on a stalled link between two nodes; the second one,
+    through another node, is refused as overloaded. Then the link delivers the first.
     """
-    tickets = ledger()
-    text = tickets.issue("acme", "approve", 0)
-    claim = tickets.claim(text, "acme", "approve", b"1", 1)
-    tickets.finish(claim.number, Answer(number=1, verdict=Verdict.NOT_RUN), 2)
-    delayed = tickets.claim(text, "acme", "approve", b"1", 3)
+    ticket_ledger = ledger()
+    text = ticket_ledger.issue("acme", "approve", 0)
+    claim = ticket_ledger.claim(text, "acme", "approve", b"1", 1)
+    ticket_ledger.finish(claim.number, Answer(number=1, verdict=Verdict.NOT_RUN), 2)
+    delayed = ticket_ledger.claim(text, "acme", "approve", b"1", 3)
     assert delayed == Refused(verdict=Verdict.NOT_RUN, reason=Reason.TICKET_EXPIRED)
 
 
-def test_a_ticket_of_a_previous_run_of_its_owner_proves_nothing():
-    """An approval runs twice because its owner was restarted between two tries."""
+def test_ticket_of_a_restarted_owner_may_have_run():
+    """An approval runs twice because its owner restarts between two attempts."""
     text = ledger().issue("acme", "approve", 0)
     restarted = TicketLedger(
         node=NodeId(NODE.host, 78),
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "1-2-3-4-host", "1-1-4d-" + 32 * "0" + "-"])
-def test_what_is_no_ticket_was_not_run(text):
+def test_malformed_ticket_is_refused_as_not_run(text):
     claim = ledger().claim(text, "acme", "approve", b"1", 0)
     assert claim == Refused(verdict=Verdict.NOT_RUN, reason=Reason.TICKET_INVALID)
 
@@ -185,6 +185,6 @@
     assert parse_ticket(serialize_ticket(ticket)) == ticket
 
 
-def test_fingerprint_keeps_parts_apart():
+def test_fingerprint_separates_method_target_and_body():
     parts = [("POST", "/ab", b"c"), ("POST", "/a", b"bc"), ("POS", "T/ab", b"c")]
     assert len({fingerprint(*part) for part in parts}) == 3
