--- a/packages/sassafraswinch/sassafraswinch/burn_series.py
+++ b/packages/sassafraswinch/sassafraswinch/burn_series.py
@@ -50,8 +50,8 @@
 class BurnSeries:
     """Counts the outcomes of one operation in one class.
 
-    Calls are counted in ``_fresh`` and ``_live``, which are flushed to the windows when
-    the shortest slot ends, so that a call costs two increments.
+    Outcomes are counted in ``_fresh`` and latencies in ``_live``. Both are folded into
+    the windows when their shortest slot ends, so that a call costs two increments.
     """
 
     __slots__ = (
@@ -101,7 +101,7 @@
     ) -> None:
         """Count the outcome of one call."""
         if now_ms >= self._fold_at_ms:
-            self._flush(now_ms)
+            self._fold(now_ms)
         self.last_ms = now_ms
         if verdict is Verdict.ANSWERED:
             if latency_ms <= self._latency_limit_ms:
@@ -123,8 +123,8 @@
 
     def report(self, covered_ms: float, now_ms: float) -> SeriesBurn:
         """Return the burn over all windows."""
-        self._flush(now_ms)
-        self._flush_latencies(now_ms)
+        self._fold(now_ms)
+        self._fold_latencies(now_ms)
         windows = tuple(
             window_burn(
                 window_ms=window.window_ms,
@@ -153,9 +153,9 @@
             },
         )
 
-    def _flush(self, now_ms: float) -> None:
+    def _fold(self, now_ms: float) -> None:
         # The counts of ``_fresh`` belong to one slot of every window, as they are
-        # flushed before a call of the next slot is counted. So the start time of the
+        # folded before a call of the next slot is counted. So the start time of the
         # slot is exact.
         slot_start_ms = self._fold_at_ms - COUNT_SLOT_MS
         for window in self._windows:
@@ -164,9 +164,9 @@
         self._fresh = OutcomeCounts()
         self._fold_at_ms = _end_of_slot(now_ms, COUNT_SLOT_MS)
         if now_ms >= self._live_fold_at_ms:
-            self._flush_latencies(now_ms)
+            self._fold_latencies(now_ms)
 
-    def _flush_latencies(self, now_ms: float) -> None:
+    def _fold_latencies(self, now_ms: float) -> None:
         if self._live:
             histogram = histogram_of(self._live)
             slot_start_ms = self._live_fold_at_ms - LATENCY_SLOT_MS
--- a/packages/sassafraswinch/sassafraswinch/document_checks.py
+++ b/packages/sassafraswinch/sassafraswinch/document_checks.py
@@ -11,13 +11,13 @@
 from sassafraswinch.document_text import Faults
 from sassafraswinch.labels import Selector
 from sassafraswinch.paths import AmbiguityIndex, parse_path_template
-from sassafraswinch.yaml_events import FieldPath, Plain
+from sassafraswinch.yaml_events import FieldPath, PlainValue
 
-Raw = Mapping[str, Plain]
+RawDocument = Mapping[str, PlainValue]
 
 
 def check_sections(
-    raw: Raw, *, non_repeatable: Mapping[int, Selector], faults: Faults
+    raw: RawDocument, *, non_repeatable: Mapping[int, Selector], faults: Faults
 ) -> None:
     """Record the faults between entries that are valid on their own.
 
@@ -35,7 +35,7 @@
     _check_non_repeatable(raw, non_repeatable, faults)
 
 
-def _iter_entries(raw: Raw, section: str) -> Iterator[tuple[FieldPath, dict]]:
+def _iter_entries(raw: RawDocument, section: str) -> Iterator[tuple[FieldPath, dict]]:
     """Yield path and fields of each entry of a map or list that is itself a map."""
     value = raw.get(section)
     items = ()
@@ -49,7 +49,7 @@
 
 
 def _iter_text_fields(
-    raw: Raw, section: str, name: str
+    raw: RawDocument, section: str, name: str
 ) -> Iterator[tuple[FieldPath, str]]:
     """Yield path and value of one field, for each entry that has it as text."""
     for path, entry in _iter_entries(raw, section):
@@ -59,7 +59,7 @@
 
 
 def _check_references(
-    raw: Raw, reference: tuple[str, str], section: str, faults: Faults
+    raw: RawDocument, reference: tuple[str, str], section: str, faults: Faults
 ) -> None:
     known = raw.get(section, {})
     if not isinstance(known, dict):
@@ -69,7 +69,7 @@
             faults.add(path, f"{name!r} is not in {section}")
 
 
-def _check_unique_names(raw: Raw, section: str, faults: Faults) -> None:
+def _check_unique_names(raw: RawDocument, section: str, faults: Faults) -> None:
     first_paths: dict[str, FieldPath] = {}
     for path, name in _iter_text_fields(raw, section, "name"):
         first = first_paths.setdefault(name, path)
@@ -77,7 +77,7 @@
             faults.add(path, f"{name!r} is also the name of {section}.{first[1]}")
 
 
-def _check_paths(raw: Raw, faults: Faults) -> None:
+def _check_paths(raw: RawDocument, faults: Faults) -> None:
     indexes: defaultdict[tuple, AmbiguityIndex] = defaultdict(AmbiguityIndex)
     for path, entry in _iter_entries(raw, "operations"):
         text = entry.get("path")
@@ -98,7 +98,7 @@
         indexes[key].add(segments, path[1])
 
 
-def _check_classes(raw: Raw, faults: Faults) -> None:
+def _check_classes(raw: RawDocument, faults: Faults) -> None:
     classes = raw.get("classes")
     last = len(classes) - 1 if isinstance(classes, list) else -1
     for path, entry in _iter_entries(raw, "classes"):
@@ -116,7 +116,7 @@
 
 
 def _check_non_repeatable(
-    raw: Raw, non_repeatable: Mapping[int, Selector], faults: Faults
+    raw: RawDocument, non_repeatable: Mapping[int, Selector], faults: Faults
 ) -> None:
     """Record selectors that match no operation.
 
--- a/packages/sassafraswinch/sassafraswinch/document_fields.py
+++ b/packages/sassafraswinch/sassafraswinch/document_fields.py
@@ -24,7 +24,7 @@
 MAX_DEADLINE_MS = 600_000
 """Longest deadline of a class, in milliseconds."""
 
-MAX_ALLOWANCE = 100
+MAX_RETRY_ALLOWANCE = 100
 """Greatest number of retries of one root request."""
 
 RESERVED_HEADERS = frozenset(
@@ -184,7 +184,7 @@
 class RetryFields(Fields):
     """Limits on retries."""
 
-    allowance: int = Field(default=3, ge=0, le=MAX_ALLOWANCE)
+    allowance: int = Field(default=3, ge=0, le=MAX_RETRY_ALLOWANCE)
     caller_share_percent: float = Field(default=10, ge=0, le=100)
 
 
--- a/packages/sassafraswinch/sassafraswinch/document_sections.py
+++ b/packages/sassafraswinch/sassafraswinch/document_sections.py
@@ -19,7 +19,7 @@
 )
 from sassafraswinch.document_text import Faults
 from sassafraswinch.labels import Selector
-from sassafraswinch.yaml_events import FieldPath, Plain
+from sassafraswinch.yaml_events import FieldPath, PlainValue
 
 Entry = TypeVar("Entry")
 
@@ -48,7 +48,7 @@
     non_repeatable: Mapping[int, Selector] = field(default_factory=dict)
 
 
-def read_sections(raw: Mapping[str, Plain], *, faults: Faults) -> Sections:
+def read_sections(raw: Mapping[str, PlainValue], *, faults: Faults) -> Sections:
     """Validate the sections of a document.
 
     Each entry is validated separately, so that an invalid field in one entry doesn't
@@ -67,7 +67,7 @@
 
 
 class _SectionValidator:
-    def __init__(self, *, raw: Mapping[str, Plain], faults: Faults):
+    def __init__(self, *, raw: Mapping[str, PlainValue], faults: Faults):
         self._raw = raw
         self._faults = faults
 
@@ -97,7 +97,7 @@
         return {key: entry for key, entry in valid.items() if entry is not None}
 
     def validate(
-        self, adapter: TypeAdapter[Entry], value: Plain, path: FieldPath
+        self, adapter: TypeAdapter[Entry], value: PlainValue, path: FieldPath
     ) -> Entry | None:
         """Return the validated value, or record its faults and return None."""
         try:
--- a/packages/sassafraswinch/sassafraswinch/document_text.py
+++ b/packages/sassafraswinch/sassafraswinch/document_text.py
@@ -8,7 +8,7 @@
 import yaml
 
 from sassafraswinch.errors import InvalidFieldError, InvalidFieldsError
-from sassafraswinch.yaml_events import Plain, read_yaml
+from sassafraswinch.yaml_events import PlainValue, read_yaml
 
 WHOLE_FILE = "(file)"
 """Field name reported for a fault that concerns the whole file."""
@@ -19,7 +19,7 @@
 _SURROGATE_ESCAPE = re.compile(r"\\u[dD][89a-fA-F]")
 
 
-def dotted(path: Iterable[str | int]) -> str:
+def format_field_path(path: Iterable[str | int]) -> str:
     """Return a field path in dotted form, such as ``classes.0.name``."""
     return ".".join(map(str, path)) or WHOLE_FILE
 
@@ -40,7 +40,9 @@
         if len(self.errors) == MAX_FAULTS:
             path, reason = (), f"more than {MAX_FAULTS} faults; the rest is omitted"
         self.errors.append(
-            InvalidFieldError(source=self.source, field=dotted(path), reason=reason)
+            InvalidFieldError(
+                source=self.source, field=format_field_path(path), reason=reason
+            )
         )
         if len(self.errors) > MAX_FAULTS:
             self.raise_any()
@@ -55,7 +57,7 @@
             raise InvalidFieldsError(f"{self.source} is invalid", self.errors)
 
 
-def parse_fields(body: bytes, *, faults: Faults) -> dict[str, Plain]:
+def parse_fields(body: bytes, *, faults: Faults) -> dict[str, PlainValue]:
     """Parse YAML or JSON text whose top level is a map.
 
     Duplicate keys, aliases, keys that aren't text and deep nesting are recorded as
@@ -97,7 +99,7 @@
         return None
 
 
-def _dict_of_unique_keys(pairs: list[tuple[str, Plain]]) -> dict[str, Plain]:
+def _dict_of_unique_keys(pairs: list[tuple[str, PlainValue]]) -> dict[str, PlainValue]:
     data = dict(pairs)
     if len(data) < len(pairs):
         raise ValueError("duplicate key in a JSON object")
--- a/packages/sassafraswinch/sassafraswinch/yaml_events.py
+++ b/packages/sassafraswinch/sassafraswinch/yaml_events.py
@@ -18,7 +18,7 @@
 MAX_NUMBER_CHARS = 40
 """Longest scalar, in characters, that is parsed as a number, date or boolean."""
 
-Plain = dict | list | str | int | float | bool | None
+PlainValue = dict | list | str | int | float | bool | None
 FieldPath = tuple[str | int, ...]
 Report = Callable[[FieldPath, str], None]
 
@@ -32,7 +32,7 @@
     """Marker for the key of a value that is discarded."""
 
 
-def read_yaml(text: str, *, report: Report) -> Plain:
+def read_yaml(text: str, *, report: Report) -> PlainValue:
     """Parse a text that holds one YAML document.
 
     Args:
@@ -67,7 +67,7 @@
             return len(self.container)
         return self.key if isinstance(self.key, str) else None
 
-    def add(self, value: Plain) -> None:
+    def add(self, value: PlainValue) -> None:
         if isinstance(self.container, list):
             self.container.append(value)
             return
@@ -80,7 +80,7 @@
     """Event consumer; aliases aren't expanded, so the text bounds its memory use."""
 
     def __init__(self, *, report: Report):
-        self.result: Plain = None
+        self.result: PlainValue = None
         self._report = report
         self._open: list[_OpenCollection] = []
         self._skipped_levels = 0
@@ -167,7 +167,7 @@
         self._report(self._path(), f"{reason} (line {_line(event)})")
         self._add_missing_value()
 
-    def _add_value(self, value: Plain) -> None:
+    def _add_value(self, value: PlainValue) -> None:
         if self._open:
             self._open[-1].add(value)
         else:
@@ -188,14 +188,14 @@
     return event.start_mark.line + 1
 
 
-def _scalar_value(event: yaml.ScalarEvent) -> Plain:
+def _scalar_value(event: yaml.ScalarEvent) -> PlainValue:
     if event.tag is None and event.implicit[0]:
         return _plain_value(event.value)
     return event.value
 
 
 @functools.lru_cache(maxsize=4096)
-def _plain_value(text: str) -> Plain:
+def _plain_value(text: str) -> PlainValue:
     """Return the value of an unquoted scalar.
 
     Only short texts are parsed as numbers: YAML 1.1 parses ``1:1:1...`` in base 60,
