--- a/packages/sassafraswinch/sassafraswinch/document_checks.py
+++ b/packages/sassafraswinch/sassafraswinch/document_checks.py
@@ -109,7 +109,7 @@
         )
         if index == last and not matches_all:
             faults.add(
-                path, "the last class must match every request: remove its selectors"
+                path, "the last class must match every request: clear its selectors"
             )
         if index != last and matches_all:
             faults.add(path, "matches every request, so no later class can match")
@@ -129,4 +129,4 @@
     ]
     for index, selector in non_repeatable.items():
         if not any(map(selector.matches, label_sets)):
-            faults.add(("non_repeatable", index), "selector matches no operation")
+            faults.add(("non_repeatable", index), "matches no operation")
--- a/packages/sassafraswinch/sassafraswinch/yaml_events.py
+++ b/packages/sassafraswinch/sassafraswinch/yaml_events.py
@@ -154,7 +154,7 @@
             is_text = False
         if not is_text:
             path = (*self._path(), event.value)
-            self._report(path, f"the key is not text; quote it (line {_line(event)})")
+            self._report(path, f"the key is no text; quote it (line {_line(event)})")
             collection.key = _DiscardedKey
         elif event.value in collection.container:
             path = (*self._path(), event.value)
