--- a/packages/sassafraswinch/sassafraswinch/configuration.py
+++ b/packages/sassafraswinch/sassafraswinch/configuration.py
@@ -13,7 +13,7 @@
     Message,
     NodeId,
 )
-from sassafraswinch.offers import Candidate, Offered, Source
+from sassafraswinch.offers import Candidate, OfferResult, Source
 from sassafraswinch.ports import LinkPort
 from sassafraswinch.version_claims import Fetch
 from sassafraswinch.versions import ConfigKeeper
@@ -54,7 +54,7 @@
         self.keeper.start_sync(now_ms, expected=linked)
         self._apply_served_document(now_ms)
 
-    def platform_read(self, candidate: Candidate, now_ms: float) -> Offered:
+    def platform_read(self, candidate: Candidate, now_ms: float) -> OfferResult:
         """Apply a document that was read from the platform, if it is newer."""
         offered = self.keeper.take(candidate, Source.PLATFORM, now_ms)
         self._finish_offer(offered, now_ms)
@@ -106,7 +106,7 @@
         self._send_fetches(self.keeper.tick(now_ms))
         self._apply_served_document(now_ms)
 
-    def _finish_offer(self, offered: Offered, now_ms: float) -> None:
+    def _finish_offer(self, offered: OfferResult, now_ms: float) -> None:
         self._send_fetches(offered.fetches)
         self._apply_served_document(now_ms)
         if offered.changed:
