--- a/packages/sassafraswinch/sassafraswinch/configuration.py
+++ b/packages/sassafraswinch/sassafraswinch/configuration.py
@@ -16,7 +16,7 @@
 from sassafraswinch.offers import Candidate, OfferResult, Source
 from sassafraswinch.ports import LinkPort
 from sassafraswinch.version_claims import Fetch
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 
 UNASKED_SEQUENCE = 0
 """Sequence number of a heartbeat sent out of turn, to announce a change at once."""
@@ -28,7 +28,7 @@
     def __init__(
         self,
         *,
-        keeper: ConfigKeeper,
+        keeper: DocumentStore,
         lifecycle: Lifecycle,
         links: LinkPort,
         membership: Membership,
@@ -56,7 +56,7 @@
 
     def platform_read(self, candidate: Candidate, now_ms: float) -> OfferResult:
         """Apply a document that was read from the platform, if it is newer."""
-        offered = self.keeper.take(candidate, Source.PLATFORM, now_ms)
+        offered = self.keeper.apply_candidate(candidate, Source.PLATFORM, now_ms)
         self._finish_offer(offered, now_ms)
         return offered
 
@@ -75,7 +75,9 @@
         self, peer: NodeId, version: int, digest: str, now_ms: float
     ) -> None:
         self._node_ids[peer.host] = peer
-        self._send_fetches(self.keeper.heard(peer, version, digest, now_ms))
+        self._send_fetches(
+            self.keeper.record_peer_version(peer, version, digest, now_ms)
+        )
         self._apply_served_document(now_ms)
 
     def confirmed(self, host: str, sent_at_ms: float, now_ms: float) -> None:
@@ -83,16 +85,16 @@
 
         All messages that the peer sent before that answer have been received.
         """
-        self._send_fetches(self.keeper.confirmed(host, sent_at_ms, now_ms))
+        self._send_fetches(self.keeper.record_round_trip(host, sent_at_ms, now_ms))
         self._apply_served_document(now_ms)
 
     def requested(self, peer: NodeId, request: DocumentRequest, now_ms: float) -> None:
         """Send a peer the document that it requested."""
-        self._send(peer.host, self.keeper.answer(request, now_ms))
+        self._send(peer.host, self.keeper.answer_request(request, now_ms))
 
     def replied(self, peer: NodeId, reply: DocumentReply, now_ms: float) -> None:
         """Apply the document in a peer's reply, if it is newer."""
-        offered = self.keeper.reply(peer, reply, now_ms)
+        offered = self.keeper.apply_reply(peer, reply, now_ms)
         if offered is not None:
             self._finish_offer(offered, now_ms)
 
--- a/packages/sassafraswinch/sassafraswinch/explanation.py
+++ b/packages/sassafraswinch/sassafraswinch/explanation.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from sassafraswinch.document import Document, Operation, ServiceClass
-from sassafraswinch.identities import Identified, IdentityState, identify
+from sassafraswinch.identities import IdentityState, RequestIdentity, identify
 from sassafraswinch.labels import Selector
 
 
@@ -93,7 +93,7 @@
 
 
 def _match_classes(
-    classes: Iterable[ServiceClass], identified: Identified, operation: Operation
+    classes: Iterable[ServiceClass], identified: RequestIdentity, operation: Operation
 ) -> Iterator[ClassTrial]:
     for service_class in classes:
         organisations = _match_selector(
