--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -14,7 +14,7 @@
 ) -> Status:
     """Return what a node says of itself at this moment."""
     load = node.executor.load(now_ms)
-    report = node.configuration.keeper.report(now_ms)
+    report = node.document_exchange.keeper.report(now_ms)
     return Status(
         host=settings.host,
         availability_zone=settings.availability_zone,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
@@ -248,7 +248,7 @@
     def check_converged(self) -> None:
         """Check that all nodes hold one document, and the newest that they can see."""
         stamps = {
-            host: process.node.configuration.keeper.stamp
+            host: process.node.document_exchange.keeper.stamp
             for host, process in self.processes.items()
         }
         published = self.platform.document(after=0)
--- a/packages/sassafraswinch-standins/tests/test_memory_tickets.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_tickets.py
@@ -140,7 +140,7 @@
     """
     desk = Desk()
     process = desk.fleet.processes["schvaleni-a"]
-    operation = process.node.entry.classifier.operation(
+    operation = process.node.entry.classifier.find_operation(
         "schvaleni", "GET", "/orders/17/history"
     )
     ticket = process.node.entry.ledger.issue(
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
@@ -9,7 +9,7 @@
 from sassafraswinch.classify import Classifier
 from sassafraswinch.document import Document, Operation
 from sassafraswinch.errors import SassafraswinchError
-from sassafraswinch.explanation import ClassTrial, Explanation, SelectorTrial
+from sassafraswinch.explanation import ClassResult, Explanation, SelectorResult
 from sassafraswinch.identities import IdentityState
 
 _LABEL_WIDTH = 14
@@ -61,7 +61,7 @@
     by_name = {operation.name: operation for operation in document.operations}
     method, _, url = text.partition(" ")
     service, _, rest = url.strip().removeprefix("/").partition("/")
-    found = by_name.get(text) or classifier.operation(service, method, f"/{rest}")
+    found = by_name.get(text) or classifier.find_operation(service, method, f"/{rest}")
     if found is None:
         similar = difflib.get_close_matches(text, by_name)
         raise UnknownOperationError(operation=text, similar=tuple(similar))
@@ -111,7 +111,7 @@
     return f"{_named(explanation.effective_organisation, labels)}, the caller's own"
 
 
-def _class_lines(trial: ClassTrial) -> Iterator[str]:
+def _class_lines(trial: ClassResult) -> Iterator[str]:
     yield f"class {trial.order} {trial.name}: {_verdict(trial.matched)}"
     for name, selector in (
         ("organisations", trial.organisations),
@@ -131,7 +131,7 @@
     return f"{name or '(none)'} [{text or 'no labels'}]"
 
 
-def _tried(trial: SelectorTrial) -> str:
+def _tried(trial: SelectorResult) -> str:
     parts = "; ".join(
         f"{part.requirement}: {_verdict(part.matched)}" for part in trial.requirements
     )
--- a/packages/sassafraswinch/sassafraswinch/classify.py
+++ b/packages/sassafraswinch/sassafraswinch/classify.py
@@ -49,7 +49,9 @@
             self._classify
         )
 
-    def operation(self, service: str, method: str, target: str) -> Operation | None:
+    def find_operation(
+        self, service: str, method: str, target: str
+    ) -> Operation | None:
         """Return the operation of a request; None if the document has none for it.
 
         Args:
@@ -79,7 +81,7 @@
             operation.name,
         )
 
-    def lowest(self, operation: Operation) -> Classification:
+    def lowest_classification(self, operation: Operation) -> Classification:
         """Return the last class without retries, for a call of unknown origin."""
         return self._build_classification(
             class_index=-1,
--- a/packages/sassafraswinch/sassafraswinch/configuration.py
+++ b/packages/sassafraswinch/sassafraswinch/document_exchange.py
@@ -18,11 +18,11 @@
 from sassafraswinch.version_claims import Fetch
 from sassafraswinch.versions import DocumentStore
 
-UNASKED_SEQUENCE = 0
+UNSOLICITED_SEQUENCE = 0
 """Sequence number of a heartbeat sent out of turn, to announce a change at once."""
 
 
-class Configuration:
+class DocumentExchange:
     """Exchanges documents between the platform, this node and its peers."""
 
     def __init__(
@@ -33,18 +33,18 @@
         links: LinkPort,
         membership: Membership,
         heartbeat: Callable[[int, float], Heartbeat],
-        use: Callable[[Document | None], None],
+        apply_document: Callable[[Document | None], None],
     ):
         self.keeper = keeper
         self.lifecycle = lifecycle
         self.links = links
         self.membership = membership
         self.heartbeat = heartbeat
-        self.use = use
+        self.apply_document = apply_document
         self._applied: Document | None = None
         self._node_ids: dict[str, NodeId] = {}
 
-    def sync(self, now_ms: float) -> None:
+    def start_sync(self, now_ms: float) -> None:
         """Start a sync: wait for the linked peers' versions before serving requests."""
         linked = {
             view.name
@@ -54,19 +54,23 @@
         self.keeper.start_sync(now_ms, expected=linked)
         self._apply_served_document(now_ms)
 
-    def platform_read(self, candidate: Candidate, now_ms: float) -> OfferResult:
+    def apply_platform_document(
+        self, candidate: Candidate, now_ms: float
+    ) -> OfferResult:
         """Apply a document that was read from the platform, if it is newer."""
         offered = self.keeper.apply_candidate(candidate, Source.PLATFORM, now_ms)
         self._finish_offer(offered, now_ms)
         return offered
 
-    def greeted(self, hello: Hello, now_ms: float) -> None:
+    def record_hello(self, hello: Hello, now_ms: float) -> None:
         """Record the document version in the hello message of a peer."""
         self._record_version(
             hello.node, hello.document_version, hello.document_digest, now_ms
         )
 
-    def heard(self, peer: NodeId, heartbeat: Heartbeat, now_ms: float) -> None:
+    def record_heartbeat(
+        self, peer: NodeId, heartbeat: Heartbeat, now_ms: float
+    ) -> None:
         """Record the document version in a heartbeat of a peer."""
         version = heartbeat.document_version
         self._record_version(peer, version, heartbeat.document_digest, now_ms)
@@ -80,7 +84,9 @@
         )
         self._apply_served_document(now_ms)
 
-    def confirmed(self, host: str, sent_at_ms: float, now_ms: float) -> None:
+    def record_heartbeat_answer(
+        self, host: str, sent_at_ms: float, now_ms: float
+    ) -> None:
         """Record that a peer answered a heartbeat sent at ``sent_at_ms``.
 
         All messages that the peer sent before that answer have been received.
@@ -88,11 +94,15 @@
         self._send_fetches(self.keeper.record_round_trip(host, sent_at_ms, now_ms))
         self._apply_served_document(now_ms)
 
-    def requested(self, peer: NodeId, request: DocumentRequest, now_ms: float) -> None:
+    def answer_document_request(
+        self, peer: NodeId, request: DocumentRequest, now_ms: float
+    ) -> None:
         """Send a peer the document that it requested."""
         self._send(peer.host, self.keeper.answer_request(request, now_ms))
 
-    def replied(self, peer: NodeId, reply: DocumentReply, now_ms: float) -> None:
+    def apply_document_reply(
+        self, peer: NodeId, reply: DocumentReply, now_ms: float
+    ) -> None:
         """Apply the document in a peer's reply, if it is newer."""
         offered = self.keeper.apply_reply(peer, reply, now_ms)
         if offered is not None:
@@ -112,14 +122,14 @@
         self._send_fetches(offered.fetches)
         self._apply_served_document(now_ms)
         if offered.changed:
-            self.links.announce(self.heartbeat(UNASKED_SEQUENCE, now_ms))
+            self.links.announce(self.heartbeat(UNSOLICITED_SEQUENCE, now_ms))
 
     def _apply_served_document(self, now_ms: float) -> None:
         serving = self.keeper.serving
         if serving is self._applied:
             return
         self._applied = serving
-        self.use(serving)
+        self.apply_document(serving)
         if serving is not None:
             self.lifecycle.synced()
 
--- a/packages/sassafraswinch/sassafraswinch/document_fields.py
+++ b/packages/sassafraswinch/sassafraswinch/document_fields.py
@@ -15,7 +15,12 @@
 )
 
 from sassafraswinch.errors import SelectorSyntaxError
-from sassafraswinch.labels import Selector, key_fault, parse_selector, value_fault
+from sassafraswinch.labels import (
+    Selector,
+    label_key_fault,
+    label_value_fault,
+    parse_selector,
+)
 from sassafraswinch.paths import parse_path_template
 
 MAX_VERSION = 2**53
@@ -61,14 +66,14 @@
 
 
 def _check_key(key: str) -> str:
-    fault = key_fault(key)
+    fault = label_key_fault(key)
     if fault is not None:
         raise ValueError(fault)
     return key
 
 
 def _check_value(value: str) -> str:
-    fault = value_fault(value)
+    fault = label_value_fault(value)
     if fault is not None:
         raise ValueError(fault)
     return value
--- a/packages/sassafraswinch/sassafraswinch/egress.py
+++ b/packages/sassafraswinch/sassafraswinch/egress.py
@@ -52,12 +52,12 @@
         orphan = parent is None and is_own_span(request.traceparent)
         operation = None
         if self.classifier is not None:
-            operation = self.classifier.operation(
+            operation = self.classifier.find_operation(
                 request.service, request.method, request.target
             )
         if operation is None:
             return self._refuse_unclassified(parent, orphan, waiter)
-        classification = self.classifier.lowest(operation)
+        classification = self.classifier.lowest_classification(operation)
         if parent is not None:
             return self._submit_child(request, classification, parent, waiter, now_ms)
         if orphan:
--- a/packages/sassafraswinch/sassafraswinch/entry.py
+++ b/packages/sassafraswinch/sassafraswinch/entry.py
@@ -357,7 +357,9 @@
 
 
 def _classify(classifier: Classifier, request: Request) -> Classification | None:
-    operation = classifier.operation(request.service, request.method, request.target)
+    operation = classifier.find_operation(
+        request.service, request.method, request.target
+    )
     if operation is None:
         return None
     return classifier.classify(
--- a/packages/sassafraswinch/sassafraswinch/explanation.py
+++ b/packages/sassafraswinch/sassafraswinch/explanation.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RequirementTrial:
+class RequirementResult:
     """Result of matching one requirement of a selector against labels."""
 
     requirement: str
@@ -17,25 +17,25 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SelectorTrial:
+class SelectorResult:
     """Result of matching a selector against one set of labels."""
 
     selector: str
     matched: bool
-    requirements: tuple[RequirementTrial, ...]
+    requirements: tuple[RequirementResult, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ClassTrial:
+class ClassResult:
     """Result of matching a class against a request."""
 
     name: str
     order: int
     matched: bool
     """Whether all three selectors matched."""
-    organisations: SelectorTrial
-    callers: SelectorTrial
-    operations: SelectorTrial
+    organisations: SelectorResult
+    callers: SelectorResult
+    operations: SelectorResult
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -54,9 +54,9 @@
     caller_labels: Mapping[str, str]
     organisation_labels: Mapping[str, str]
     operation_labels: Mapping[str, str]
-    classes: tuple[ClassTrial, ...]
+    classes: tuple[ClassResult, ...]
     """Classes evaluated, in order, up to the first that matched."""
-    non_repeatable: tuple[SelectorTrial, ...]
+    non_repeatable: tuple[SelectorResult, ...]
     class_name: str
     repeatable: bool
     deadline_ms: int
@@ -94,7 +94,7 @@
 
 def _match_classes(
     classes: Iterable[ServiceClass], identified: RequestIdentity, operation: Operation
-) -> Iterator[ClassTrial]:
+) -> Iterator[ClassResult]:
     for service_class in classes:
         organisations = _match_selector(
             service_class.organisations, identified.organisation.labels
@@ -102,7 +102,7 @@
         callers = _match_selector(service_class.callers, identified.caller.labels)
         operations = _match_selector(service_class.operations, operation.labels)
         matched = organisations.matched and callers.matched and operations.matched
-        yield ClassTrial(
+        yield ClassResult(
             name=service_class.name,
             order=service_class.order,
             matched=matched,
@@ -114,12 +114,12 @@
             return
 
 
-def _match_selector(selector: Selector, labels: Mapping[str, str]) -> SelectorTrial:
-    return SelectorTrial(
+def _match_selector(selector: Selector, labels: Mapping[str, str]) -> SelectorResult:
+    return SelectorResult(
         selector=str(selector),
         matched=selector.matches(labels),
         requirements=tuple(
-            RequirementTrial(
+            RequirementResult(
                 requirement=str(requirement), matched=requirement.matches(labels)
             )
             for requirement in selector.requirements
--- a/packages/sassafraswinch/sassafraswinch/labels.py
+++ b/packages/sassafraswinch/sassafraswinch/labels.py
@@ -103,7 +103,7 @@
     return ",".join(map(str, selector.requirements))
 
 
-def key_fault(key: str) -> str | None:
+def label_key_fault(key: str) -> str | None:
     """Return why ``key`` is not a valid label key; None if it is valid."""
     match = _KEY.fullmatch(key)
     if match is None:
@@ -120,7 +120,7 @@
     return None
 
 
-def value_fault(value: str) -> str | None:
+def label_value_fault(value: str) -> str | None:
     """Return why ``value`` is not a valid label value; None if it is valid."""
     if _VALUE.fullmatch(value) is None:
         return (
@@ -227,7 +227,7 @@
         token = self._next
         if not token.is_word:
             raise self._syntax_error(token, "expected a label key")
-        fault = key_fault(token.text)
+        fault = label_key_fault(token.text)
         if fault is not None:
             raise self._syntax_error(token, fault)
         return self._advance().text
@@ -235,7 +235,7 @@
     def _parse_value(self) -> str:
         if not self._next.is_word:
             return ""
-        fault = value_fault(self._next.text)
+        fault = label_value_fault(self._next.text)
         if fault is not None:
             raise self._syntax_error(self._next, fault)
         return self._advance().text
--- a/packages/sassafraswinch/sassafraswinch/node.py
+++ b/packages/sassafraswinch/sassafraswinch/node.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from sassafraswinch.classify import Classifier
-from sassafraswinch.configuration import UNASKED_SEQUENCE, Configuration
 from sassafraswinch.document import Document
+from sassafraswinch.document_exchange import UNSOLICITED_SEQUENCE, DocumentExchange
 from sassafraswinch.early_retries import EarlyRetries
 from sassafraswinch.egress import Egress
 from sassafraswinch.entry import Entry
@@ -126,20 +126,20 @@
         self.host_exchange = HostExchange(
             self_host=node.host, membership=membership, links=self.links
         )
-        self.configuration = Configuration(
+        self.document_exchange = DocumentExchange(
             keeper=document_store,
             lifecycle=self.lifecycle,
             links=self.links,
             membership=membership,
             heartbeat=self.heartbeat,
-            use=self._apply_document,
+            apply_document=self._apply_document,
         )
         self._owned_by_handle: dict[int, OwnedCall] = {}
 
     def start(self, now_ms: float) -> None:
         """Request the newest document from peers, now that the listeners are open."""
         self.lifecycle.listening()
-        self.configuration.sync(now_ms)
+        self.document_exchange.start_sync(now_ms)
 
     def resume_after_pause(self, now_ms: float) -> None:
         """Synchronise again after a process pause, since the state held may be stale.
@@ -148,12 +148,12 @@
         no peer counts as linked once ``require_fresh_round_trips`` was called.
         """
         self.lifecycle.woke()
-        self.configuration.sync(now_ms)
+        self.document_exchange.start_sync(now_ms)
         self.membership.require_fresh_round_trips(now_ms)
 
     def heartbeat(self, sequence: int, now_ms: float) -> Heartbeat:
         """Return the heartbeat that this node sends on every link."""
-        stamp = self.configuration.keeper.stamp
+        stamp = self.document_exchange.keeper.stamp
         return Heartbeat(
             sequence=sequence,
             load=self.executor.load(now_ms),
@@ -217,13 +217,13 @@
         if dialled:
             self.membership.link_lost(node.host, now_ms, session=session)
             if not replaced:
-                self.configuration.peer_lost(node.host, now_ms)
+                self.document_exchange.peer_lost(node.host, now_ms)
             self.owner.link_lost(node.host, session, now_ms)
             self.forwarder.link_lost(
                 node.host, session, replaced=replaced, now_ms=now_ms
             )
         elif not replaced and not self.owner.is_linked(node):
-            self.configuration.peer_lost(node.host, now_ms)
+            self.document_exchange.peer_lost(node.host, now_ms)
         self._run_pending(now_ms)
 
     def handle_message(
@@ -236,12 +236,12 @@
     def link_proved(self, node: NodeId, sent_at_ms: float, now_ms: float) -> None:
         """Record that ``node`` answered a heartbeat sent at ``sent_at_ms``."""
         self.membership.record_round_trip(node.host, sent_at_ms, now_ms)
-        self.configuration.confirmed(node.host, sent_at_ms, now_ms)
+        self.document_exchange.record_heartbeat_answer(node.host, sent_at_ms, now_ms)
         self._run_pending(now_ms)
 
     def tick(self, now_ms: float) -> None:
         """Process deadlines, adaptive limits and expiries that are due."""
-        self.configuration.tick(now_ms)
+        self.document_exchange.tick(now_ms)
         self.membership.tick(now_ms)
         self.executor.tick(now_ms)
         self.owner.tick(now_ms)
@@ -254,7 +254,7 @@
         self.lifecycle.leave(now_ms)
         self.entry.leaving = True
         self.executor.leave(now_ms)
-        self.links.announce(self.heartbeat(UNASKED_SEQUENCE, now_ms))
+        self.links.announce(self.heartbeat(UNSOLICITED_SEQUENCE, now_ms))
         self._run_pending(now_ms)
 
     def counters(self) -> dict[str, int]:
@@ -314,12 +314,12 @@
                 self._handle_forward(node, message, now_ms)
             case Heartbeat():
                 self._record_load(node, message.load, now_ms)
-                self.configuration.heard(node, message, now_ms)
+                self.document_exchange.record_heartbeat(node, message, now_ms)
                 self.host_exchange.request_missing_hosts(node, now_ms)
             case DocumentRequest():
-                self.configuration.requested(node, message, now_ms)
+                self.document_exchange.answer_document_request(node, message, now_ms)
             case DocumentReply():
-                self.configuration.replied(node, message, now_ms)
+                self.document_exchange.apply_document_reply(node, message, now_ms)
             case HostsRequest():
                 self.host_exchange.send_hosts(node)
             case HostsReply():
--- a/packages/sassafraswinch/sassafraswinch/ticket_states.py
+++ b/packages/sassafraswinch/sassafraswinch/ticket_states.py
@@ -22,7 +22,7 @@
         self._states: dict[int, bytearray] = {}
         self._expires_at_ms: dict[int, int] = {}
         self._next_number = 1
-        self.forgotten_below = 1
+        self.evicted_below = 1
         """Lowest ticket number whose state is retained."""
 
     @property
@@ -41,7 +41,7 @@
 
     def get(self, number: int) -> RunState | None:
         """Return the state of an issued ticket; None if it was evicted."""
-        if number < self.forgotten_below:
+        if number < self.evicted_below:
             return None
         segment = self._states.get(number // self._segment_tickets)
         if segment is None:
@@ -50,7 +50,7 @@
 
     def set(self, number: int, state: RunState) -> None:
         """Set the state of an issued ticket; no effect if the state was evicted."""
-        if number < self.forgotten_below:
+        if number < self.evicted_below:
             return
         index = number // self._segment_tickets
         segment = self._states.get(index)
@@ -71,4 +71,4 @@
         del self._expires_at_ms[index]
         self._states.pop(index, None)
         end = (index + 1) * self._segment_tickets
-        self.forgotten_below = min(end, self._next_number)
+        self.evicted_below = min(end, self._next_number)
--- a/packages/sassafraswinch/sassafraswinch/tickets.py
+++ b/packages/sassafraswinch/sassafraswinch/tickets.py
@@ -253,7 +253,7 @@
             self._answered.pop(dropped, None)
 
     def _drop_evicted(self) -> None:
-        below = self._states.forgotten_below
+        below = self._states.evicted_below
         if below == self._evicted_below:
             return
         self._evicted_below = below
--- a/packages/sassafraswinch/tests/test_classify.py
+++ b/packages/sassafraswinch/tests/test_classify.py
@@ -34,7 +34,7 @@
 
 def find(classifier, request):
     service, method, target = request.split(" ")
-    operation = classifier.operation(service, method, target)
+    operation = classifier.find_operation(service, method, target)
     assert operation is not None, request
     return operation
 
@@ -171,7 +171,7 @@
 def test_lowest_is_the_last_class_without_retries():
     classifier = Classifier(document=DOCUMENTS["brno"])
     approval = find(classifier, "schvaleni POST /orders/7/approval")
-    lowest = classifier.lowest(approval)
+    lowest = classifier.lowest_classification(approval)
     assert (lowest.class_name, lowest.allowance, lowest.repeatable) == (
         "rest",
         0,
@@ -187,7 +187,7 @@
         ("schvaleni", "GET", "/orders/7/approval/8"),
         ("nowhere", "GET", "/orders/7"),
     ):
-        assert classifier.operation(*request) is None
+        assert classifier.find_operation(*request) is None
 
 
 def test_percent_encoded_path_matches_the_same_operation():
--- a/packages/sassafraswinch/tests/test_labels.py
+++ b/packages/sassafraswinch/tests/test_labels.py
@@ -8,7 +8,7 @@
     Operator,
     Requirement,
     Selector,
-    key_fault,
+    label_key_fault,
     parse_selector,
     serialize_selector,
 )
@@ -124,7 +124,7 @@
 
 
 def test_label_key_length_limits():
-    assert key_fault("a" * 63) is None
-    assert key_fault("a" * 64)
-    assert key_fault("p" * 253 + "/a") is None
-    assert key_fault("p" * 254 + "/a")
+    assert label_key_fault("a" * 63) is None
+    assert label_key_fault("a" * 64)
+    assert label_key_fault("p" * 253 + "/a") is None
+    assert label_key_fault("p" * 254 + "/a")
