--- a/packages/sassafraswinch-node/sassafraswinch_node/__init__.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/__init__.py
@@ -1,1 +1,1 @@
-"""The node process: adapters that run the decisions of sassafraswinch."""
+"""The node process: network adapters around the decision logic of sassafraswinch."""
--- a/packages/sassafraswinch-node/sassafraswinch_node/addresses.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings write them: an IP number and a port."""
+"""Addresses in the form ``ip:port``, as they stand in the settings."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     ip: str
     port: int
@@ -17,7 +17,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``ip:port``.
+    """Parse ``ip:port``.
 
     Raises:
         ValueError: if ``text`` has another form or the port is out of range.
--- a/packages/sassafraswinch-node/sassafraswinch_node/answer_reader.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/answer_reader.py
@@ -1,81 +1,82 @@
-"""Reads the answers that come on one kept connection."""
+"""Reader of the HTTP responses that arrive on one persistent connection."""
 
 import asyncio
 import select
 
-from sassafraswinch_node.http_answer import AnswerError, AnswerParser
+from sassafraswinch_node.http_answer import ResponseError, ResponseParser
 
 
-class AnswerReader(asyncio.Protocol):
-    """Feeds the parser of the request at hand with what the connection delivers.
+class ResponseReader(asyncio.Protocol):
+    """Feeds received data to the parser of the current request.
 
-    A connection that ends, or delivers anything, while no request is at hand is
-    closed at once, and so isn't taken for a usable one.
+    A connection that ends or delivers data while no request is pending is closed at
+    once, so that it is not reused.
     """
 
     def __init__(self, *, transport: asyncio.Transport):
         self._transport = transport
-        self._parser: AnswerParser | None = None
-        self._ended: asyncio.Future | None = None
+        self._parser: ResponseParser | None = None
+        self._pending_response: asyncio.Future | None = None
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
-    def expect(self, parser: AnswerParser) -> asyncio.Future:
-        """Feed ``parser`` from now on; the future ends with its answer."""
+    def read_response(self, parser: ResponseParser) -> asyncio.Future:
+        """Feed received data to ``parser``; return a future of its response."""
         self._parser = parser
-        self._ended = asyncio.get_running_loop().create_future()
-        return self._ended
+        self._pending_response = asyncio.get_running_loop().create_future()
+        return self._pending_response
 
-    def is_quiet(self) -> bool:
-        """Return False if the peer has closed, or sent what nobody asked for.
+    def is_idle(self) -> bool:
+        """Return False if the peer has closed the connection or sent unexpected data.
 
-        The event loop may not have come to read it yet: a request written now would
-        meet the close, and nobody could say whether it ran.
+        The socket is polled directly, since the event loop may not have read it yet.
+        A request written to a closed connection would fail without it being known
+        whether it was executed.
         """
         return not self._transport.is_closing() and not self._poll.poll(0)
 
     def is_request_sent(self) -> bool:
-        """Return False if the peer has answered before it read the whole request.
+        """Return False if the peer responded before it read the full request.
 
-        It may close the connection for that, and a further request would meet it.
+        It may close the connection afterwards, so no further request may use it.
         """
         return not self._transport.get_write_buffer_size()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was read (asyncio.Protocol)."""
+        """Parse received data (asyncio.Protocol)."""
         if self._parser is None:
             self._transport.abort()
             return
         try:
             self._parser.feed(data)
-        except AnswerError as error:
-            self._end(error)
+        except ResponseError as error:
+            self._finish(error)
         else:
             if self._parser.answer is not None:
-                self._end(None)
+                self._finish(None)
 
     def eof_received(self) -> None:
-        """Let the parser judge whether the answer is whole (asyncio.Protocol)."""
+        """Check that the response is complete (asyncio.Protocol)."""
         if self._parser is None:
             return
         try:
             self._parser.finish()
-        except AnswerError as error:
-            self._end(error)
+        except ResponseError as error:
+            self._finish(error)
         else:
-            self._end(None)
+            self._finish(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request at hand (asyncio.Protocol)."""
+        """Fail the current request (asyncio.Protocol)."""
         if self._parser is not None:
-            reason = f"the connection was lost: {exc or 'closed here'}"
-            self._end(AnswerError(reason=reason))
+            reason = f"the connection was lost: {exc or 'closed locally'}"
+            self._finish(ResponseError(reason=reason))
 
-    def _end(self, error: AnswerError | None) -> None:
+    def _finish(self, error: ResponseError | None) -> None:
         parser, self._parser = self._parser, None
-        if self._ended.done():
+        if self._pending_response.done():
             return
         if error is None:
-            self._ended.set_result(parser.answer)
+            self._pending_response.set_result(parser.response)
         else:
-            self._ended.set_exception(error)
+            self._pending_response.set_exception(error)
--- a/packages/sassafraswinch-node/sassafraswinch_node/backend.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/backend.py
@@ -1,26 +1,26 @@
-"""Calls to the backend server of this node's host."""
+"""Client for the backend server on this node's host."""
 
 from sassafraswinch.messages import Headers
-from sassafraswinch_node.http_answer import HttpAnswer as BackendAnswer
+from sassafraswinch_node.http_answer import HttpResponse as BackendResponse
 from sassafraswinch_node.http_client import (
-    MAX_ANSWER_BYTES,
     MAX_IDLE_MS,
+    MAX_RESPONSE_BYTES,
     HttpClient,
     HttpClientError as BackendError,
 )
 
-__all__ = ["BackendAnswer", "BackendClient", "BackendError"]
+__all__ = ["BackendResponse", "BackendClient", "BackendError"]
 
 
 class BackendClient:
-    """Sends each call once to the backend server; never sends one again.
+    """Sends each call to the backend server once, without retries.
 
     Args:
-        ip: IP number of the backend server.
-        port: its port.
-        max_connections: most connections to it; further calls wait for one.
-        max_answer_bytes: longest body of an answer.
-        max_idle_ms: idle time after which a kept connection isn't used again.
+        ip: IP address of the backend server.
+        port: port of the backend server.
+        max_connections: maximum number of connections; further calls wait for one.
+        max_answer_bytes: maximum length of a response body.
+        max_idle_ms: idle time after which a persistent connection is not reused.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         ip: str,
         port: int,
         max_connections: int,
-        max_answer_bytes: int = MAX_ANSWER_BYTES,
+        max_answer_bytes: int = MAX_RESPONSE_BYTES,
         max_idle_ms: int = MAX_IDLE_MS,
     ):
         self._client = HttpClient(
@@ -47,13 +47,13 @@
         headers: Headers,
         body: bytes,
         timeout_ms: float,
-    ) -> BackendAnswer:
-        """Send a call and return the whole answer of the backend server.
+    ) -> BackendResponse:
+        """Send a call and return the complete response of the backend server.
 
-        Cancelling closes the connection: so the backend server is told.
+        Cancellation closes the connection, which notifies the backend server.
 
         Raises:
-            BackendError: there is no whole answer; its verdict is NOT_RUN if
+            BackendError: there is no complete response; its verdict is NOT_RUN if
                 nothing was written to the backend server, else MAY_HAVE_RUN.
         """
         return await self._client.request(
@@ -65,5 +65,5 @@
         )
 
     async def close(self) -> None:
-        """Close idle connections now, and busy ones after their answers."""
+        """Close idle connections now, and busy ones after their responses."""
         await self._client.close()
--- a/packages/sassafraswinch-node/sassafraswinch_node/building.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/building.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a node that its settings choose."""
+"""Factory functions that build a node and its parts from the settings."""
 
 import os
 import random
@@ -20,10 +20,11 @@
 from sassafraswinch_node.settings import Settings
 
 TICKET_LIFETIME_MS = 120_000
-"""How long a caller may hold a ticket before it uses it."""
+"""Time from the issue of a ticket within which a caller may use it."""
 
-MAX_ANSWER_BYTES = 8_388_608
-"""Bytes of answers kept for repeats, at the owner and at the executing node each."""
+MAX_STORED_RESPONSE_BYTES = 8_388_608
+"""Maximum bytes of responses stored for retries, on the owner and on the executing
+node each."""
 
 
 def make_node(
@@ -39,7 +40,7 @@
     service_called: Callable[[str], None],
     rng: random.Random,
 ) -> Node:
-    """Return the decisions of a node, with its ports tied to adapters."""
+    """Return the decision logic of a node, connected to the given adapters."""
     return Node(
         node=node_id,
         links=links,
@@ -52,9 +53,9 @@
             node=node_id,
             secret=os.urandom(32),
             lifetime_ms=TICKET_LIFETIME_MS,
-            max_answer_bytes=MAX_ANSWER_BYTES,
+            max_answer_bytes=MAX_STORED_RESPONSE_BYTES,
         ),
-        ledger=ExecutionLedger(max_answer_bytes=MAX_ANSWER_BYTES),
+        ledger=ExecutionLedger(max_answer_bytes=MAX_STORED_RESPONSE_BYTES),
         shedder=EntryShedder(),
         budget=CallerRetryBudget(share_percent=10),
         keeper=make_keeper(rng),
@@ -68,7 +69,7 @@
 
 
 def make_gate(settings: Settings, rng: random.Random) -> Gate:
-    """Return the gate that the settings name."""
+    """Return the admission gate selected in the settings."""
     match settings.gate:
         case "open":
             return OpenGate()
@@ -79,7 +80,7 @@
 
 
 def make_keeper(rng: random.Random) -> ConfigKeeper:
-    """Return a keeper of the platform's documents."""
+    """Return the store that selects which document of the platform is in force."""
     return ConfigKeeper(
         parse=lambda body: parse_document(body, source="document"),
         digest=digest,
--- a/packages/sassafraswinch-node/sassafraswinch_node/burn_page.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/burn_page.py
@@ -1,4 +1,4 @@
-"""The burn report as a page for people, with a picture drawn in place."""
+"""HTML page of the burn report, with an inline SVG chart."""
 
 from xml.etree import ElementTree
 
@@ -14,7 +14,7 @@
 )
 
 SHARE_WINDOW_MS = 5 * MINUTE_MS
-"""Window whose shares of outcomes are drawn."""
+"""Window whose outcome shares are drawn."""
 
 OUTCOME_COLOURS = {
     "good": "#4c9f70",
@@ -22,17 +22,22 @@
     "refused": "#9aa5b1",
     "unknown": "#c1121f",
 }
-"""Colours of the outcomes that count, in the order they are drawn."""
+"""Colours of the outcomes that count towards the objective, in drawing order."""
 
-CALM, OVER, HIGH, WORST = "#ffffff", "#fdf0c4", "#f7b267", "#e5544b"
+MET_COLOUR, OVER_COLOUR, HIGH_COLOUR, HIGHEST_COLOUR = (
+    "#ffffff",
+    "#fdf0c4",
+    "#f7b267",
+    "#e5544b",
+)
 
 ROW_PX = 26
 NAME_PX = 260
 SHARE_PX = 260
 RATE_PX = 64
 GAP_PX = 12
-TEXT_DROP_PX = 17
-"""From the top of a row to the base line of its text."""
+TEXT_BASELINE_PX = 17
+"""Distance from the top of a row to the baseline of its text."""
 
 STYLE = (
     "body{font:14px sans-serif;margin:2em;max-width:70em}"
@@ -43,7 +48,7 @@
 
 
 def burn_page(report: BurnReport) -> str:
-    """Return a whole HTML page; every text in it is escaped by the writer."""
+    """Return the HTML page; the serializer escapes all text in it."""
     page = ElementTree.Element("html", lang="en")
     head = _add(page, "head")
     _add(head, "meta", charset="utf-8")
@@ -60,10 +65,10 @@
 
 
 def burn_picture(report: BurnReport) -> ElementTree.Element:
-    """Return an SVG: a row for each series, with shares of outcomes and burn rates."""
+    """Return an SVG chart with the outcome shares and burn rates of each series."""
     width = NAME_PX + SHARE_PX + GAP_PX + RATE_PX * len(BURN_WINDOWS_MS)
     height = ROW_PX * (len(report.series) + 2)
-    picture = ElementTree.Element(
+    chart = ElementTree.Element(
         "svg",
         xmlns="http://www.w3.org/2000/svg",
         width=str(width),
@@ -72,21 +77,21 @@
         role="img",
         style="font:13px sans-serif",
     )
-    _add_heads(picture)
+    _add_column_headings(chart)
     for row, series in enumerate(report.series, start=1):
-        _add_row(picture, series, row * ROW_PX)
-    _add_legend(picture, (len(report.series) + 1) * ROW_PX)
-    return picture
+        _add_row(chart, series, row * ROW_PX)
+    _add_legend(chart, (len(report.series) + 1) * ROW_PX)
+    return chart
 
 
 def rate_colour(burn_rate: float | None) -> str:
-    """Return the background of a burn rate: white while the objective is met."""
+    """Return the background colour of a burn rate; white if the objective is met."""
     rates = sorted(rule.burn_rate for rule in ALERT_RULES)
     if burn_rate is None or burn_rate <= 1:
-        return CALM
+        return MET_COLOUR
     if burn_rate < rates[0]:
-        return OVER
-    return HIGH if burn_rate < rates[1] else WORST
+        return OVER_COLOUR
+    return HIGH_COLOUR if burn_rate < rates[1] else HIGHEST_COLOUR
 
 
 def _summary(report: BurnReport) -> str:
@@ -105,51 +110,57 @@
         _add(body, "p", "No alerts.")
 
 
-def _add_heads(picture: ElementTree.Element) -> None:
-    _text(picture, 0, 0, "class / operation")
-    _text(picture, NAME_PX, 0, f"outcomes, last {window_name(SHARE_WINDOW_MS)}")
+def _add_column_headings(chart: ElementTree.Element) -> None:
+    _add_text(chart, 0, 0, "class / operation")
+    _add_text(chart, NAME_PX, 0, f"outcomes, last {window_name(SHARE_WINDOW_MS)}")
     for column, window_ms in enumerate(BURN_WINDOWS_MS):
-        _text(picture, _rate_x(column) + 8, 0, window_name(window_ms))
+        _add_text(chart, _rate_x(column) + 8, 0, window_name(window_ms))
 
 
-def _add_row(picture: ElementTree.Element, series: SeriesBurn, y: int) -> None:
-    _text(picture, 0, y, _shorten(series_name(series)))
-    by_length = {window.window_ms: window for window in series.windows}
-    if shares := by_length.get(SHARE_WINDOW_MS):
-        _add_shares(picture, shares, y)
+def _add_row(chart: ElementTree.Element, series: SeriesBurn, y: int) -> None:
+    _add_text(chart, 0, y, _shorten(series_name(series)))
+    by_window_ms = {window.window_ms: window for window in series.windows}
+    if shares := by_window_ms.get(SHARE_WINDOW_MS):
+        _add_shares(chart, shares, y)
     for column, window_ms in enumerate(BURN_WINDOWS_MS):
-        if window := by_length.get(window_ms):
+        if window := by_window_ms.get(window_ms):
             rate = window.burn_rate
-            _box(picture, _rate_x(column), y, RATE_PX - 4, rate_colour(rate))
-            _text(picture, _rate_x(column) + 8, y, format_rate(rate))
+            _add_box(chart, _rate_x(column), y, RATE_PX - 4, rate_colour(rate))
+            _add_text(chart, _rate_x(column) + 8, y, format_rate(rate))
 
 
-def _add_shares(picture: ElementTree.Element, window: WindowBurn, y: int) -> None:
+def _add_shares(chart: ElementTree.Element, window: WindowBurn, y: int) -> None:
     x = float(NAME_PX)
     for outcome, colour in OUTCOME_COLOURS.items():
         count = getattr(window.counts, outcome)
         if count:
             width = SHARE_PX * count / window.counts.counted
-            bar = _box(picture, x, y, width, colour)
+            bar = _add_box(chart, x, y, width, colour)
             _add(bar, "title", f"{outcome}: {count}")
             x += width
 
 
-def _add_legend(picture: ElementTree.Element, y: int) -> None:
+def _add_legend(chart: ElementTree.Element, y: int) -> None:
     x = NAME_PX
     for outcome, colour in OUTCOME_COLOURS.items():
-        _box(picture, x, y, 10, colour)
-        _text(picture, x + 14, y, outcome)
+        _add_box(chart, x, y, 10, colour)
+        _add_text(chart, x + 14, y, outcome)
         x += SHARE_PX // len(OUTCOME_COLOURS) + 6
 
 
 def _add_table(body: ElementTree.Element, report: BurnReport) -> None:
     table = _add(body, "table")
-    heads = ["class / operation", "objective", "good", "late", "refused", "unknown"]
-    heads += ["not counted", "p50 ms (5m)", "p99 ms (5m)", "p50 ms (1h)", "p99 ms (1h)"]
-    heads += ["reasons"]
+    headings = ["class / operation", "objective", "good", "late", "refused", "unknown"]
+    headings += [
+        "not counted",
+        "p50 ms (5m)",
+        "p99 ms (5m)",
+        "p50 ms (1h)",
+        "p99 ms (1h)",
+    ]
+    headings += ["reasons"]
     row = _add(_add(table, "thead"), "tr")
-    for head in heads:
+    for head in headings:
         _add(row, "th", head)
     rows = _add(table, "tbody")
     for series in report.series:
@@ -186,10 +197,10 @@
     return child
 
 
-def _text(parent: ElementTree.Element, x: float, y: int, text: str) -> None:
-    _add(parent, "text", text, x=f"{x:.0f}", y=str(y + TEXT_DROP_PX))
+def _add_text(parent: ElementTree.Element, x: float, y: int, text: str) -> None:
+    _add(parent, "text", text, x=f"{x:.0f}", y=str(y + TEXT_BASELINE_PX))
 
 
-def _box(parent: ElementTree.Element, x: float, y: int, width: float, colour: str):
+def _add_box(parent: ElementTree.Element, x: float, y: int, width: float, colour: str):
     size = {"x": f"{x:.1f}", "y": str(y + 3), "width": f"{width:.1f}"}
     return _add(parent, "rect", **size, height=str(ROW_PX - 6), fill=colour)
--- a/packages/sassafraswinch-node/sassafraswinch_node/daemon.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/daemon.py
@@ -1,4 +1,4 @@
-"""The node's binary, ``sassafraswinchd``."""
+"""Command-line entry point of the node, ``sassafraswinchd``."""
 
 import asyncio
 import gc
@@ -14,23 +14,23 @@
 from sassafraswinch_node.settings import Settings, load_settings
 
 EXIT_BAD_SETTINGS = 2
-EXIT_CUT = 1
+EXIT_ABORTED = 1
 
 
 async def run(settings: Settings) -> bool:
-    """Run a node until it is told to stop.
+    """Run a node until it is stopped by a signal or by the host list.
 
     Returns:
-        Whether all requests in flight were finished.
+        True if all requests in flight were completed.
     """
     process = NodeProcess(settings=settings)
     loop = asyncio.get_running_loop()
-    stops = 0
+    stop_signals = 0
 
     def stop() -> None:
-        nonlocal stops
-        stops += 1
-        if stops == 1:
+        nonlocal stop_signals
+        stop_signals += 1
+        if stop_signals == 1:
             process.leave()
             loop.call_later(settings.stop_timeout_ms / 1000, process.cut)
         else:
@@ -49,13 +49,13 @@
 def serve(*, settings: Path) -> int:
     """Run one node of sassafraswinch beside its backend server.
 
-    SIGTERM stops it gracefully: new work is refused, and no request in flight is
-    cut off. A second SIGTERM ends it at once and logs what was cut.
+    SIGTERM stops it gracefully: new requests are refused, and requests in flight are
+    completed. A second SIGTERM ends it at once and logs the aborted requests.
 
-    Exit codes: 0 stopped with nothing cut, 1 something was cut, 2 bad settings.
+    Exit codes: 0 all requests completed, 1 requests were aborted, 2 bad settings.
 
     Args:
-        settings: YAML file; docs/OPERATIONS.md names its fields.
+        settings: YAML file; docs/OPERATIONS.md describes its fields.
     """
     try:
         loaded = load_settings(settings)
@@ -65,17 +65,17 @@
         return EXIT_BAD_SETTINGS
     configure_logs(level=loaded.log_level)
     try:
-        finished = asyncio.run(run(loaded))
+        completed = asyncio.run(run(loaded))
     except OSError as error:
         log_event("start_failed", level="error", reason=str(error))
         return EXIT_BAD_SETTINGS
     finally:
         flush_logs()
-    return 0 if finished else EXIT_CUT
+    return 0 if completed else EXIT_ABORTED
 
 
 def main() -> None:
-    """Parse the command line and serve."""
+    """Parse the command line and run the node."""
     sys.exit(defopt.run(serve, argv=sys.argv[1:]))
 
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/dispatcher.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs started calls against the local backend server, one task each."""
+"""Dispatcher of started calls to the local backend server, one task for each call."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,19 +26,19 @@
         self.tasks: dict[CallKey, asyncio.Task] = {}
 
     def dispatch(self, key: CallKey, call: Call, traceparent: str) -> None:
-        """Start a task that sends ``call`` and reports its end to ``done``."""
+        """Start a task that sends ``call`` and passes its result to ``done``."""
         task = asyncio.get_running_loop().create_task(self._call(call, traceparent))
         self.tasks[key] = task
-        task.add_done_callback(lambda ended: self._ended(key, ended))
+        task.add_done_callback(lambda ended_task: self._report_result(key, ended_task))
 
     def cancel(self, key: CallKey) -> None:
-        """Close the connection of a call, which tells the backend server to stop."""
+        """Close the connection of a call, which notifies the backend server."""
         task = self.tasks.get(key)
         if task is not None:
             task.cancel()
 
-    def _ended(self, key: CallKey, task: asyncio.Task) -> None:
-        """Report the end of a task, also of one that was cancelled before it ran."""
+    def _report_result(self, key: CallKey, task: asyncio.Task) -> None:
+        """Report the result of a task, also if it was cancelled before it ran."""
         del self.tasks[key]
         if task.cancelled():
             reason = Reason.CANCELLED
@@ -55,7 +55,7 @@
             (DEADLINE_HEADER, str(call.remaining_ms)),
         )
         try:
-            answer = await self.client.call(
+            response = await self.client.call(
                 method=call.method,
                 target=call.target,
                 headers=headers,
@@ -66,7 +66,7 @@
             return BackendResult(verdict=error.verdict, reason=error.reason)
         return BackendResult(
             verdict=Verdict.ANSWERED,
-            status=answer.status,
-            headers=answer.headers,
-            body=answer.body,
+            status=response.status,
+            headers=response.headers,
+            body=response.body,
         )
--- a/packages/sassafraswinch-node/sassafraswinch_node/hop_by_hop.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/hop_by_hop.py
@@ -1,4 +1,4 @@
-"""Header fields that concern one connection only."""
+"""Hop-by-hop header fields of HTTP."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -13,4 +13,4 @@
         b"upgrade",
     }
 )
-"""Header fields of one connection (RFC 9110, 7.6.1); never passed on."""
+"""Header fields of a single connection (RFC 9110, 7.6.1), which are not forwarded."""
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
@@ -1,7 +1,7 @@
-"""The entry and egress listeners: one plain ASGI application each.
+"""ASGI application of the ingress and egress listeners of a node.
 
-Plain ASGI rather than starlette routes, since this is on every call's path and a
-listener has a single route; starlette serves the operators' listener.
+It is plain ASGI, since it handles every call and has a single route; only the
+operators' listener uses starlette.
 """
 
 import asyncio
@@ -33,28 +33,29 @@
     b"x-http-method-override",
     b"x-method-override",
 }
-"""Not passed on: of one connection, context that only the system may set, or a way to
-pass an approval for the lookup that its method and path name."""
+"""Header fields that are not forwarded: hop-by-hop fields, context that only the system
+may set, and method overrides, which could disguise an approval as a lookup."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IdentityHeaders:
-    """Names of the header fields that carry who calls."""
+    """Names of the header fields that identify the caller."""
 
     caller: bytes
     organisation: bytes
 
 
 class CallListener:
-    """An ASGI application that turns HTTP requests into calls and back.
+    """ASGI application that submits HTTP requests as calls and returns their outcomes.
 
     Args:
-        submit: takes a request; its outcome comes by ``respond``.
-        abandon: told the handle of a request whose sender has gone.
-        handles: numbers shared by all listeners of a node.
-        identity: names of the header fields that tell who calls.
-        max_body_bytes: longer bodies are refused with 413.
-        leaving: whether the node leaves, so that kept connections should end.
+        submit: submits a request; its outcome is passed to ``respond``.
+        abandon: called with the handle of a request whose sender has disconnected.
+        handles: source of request handles, shared by all listeners of a node.
+        identity: returns the names of the header fields that identify the caller.
+        max_body_bytes: maximum length of a body; longer ones are refused with 413.
+        leaving: returns whether the node is leaving, in which case persistent
+            connections are closed.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self.waiting: dict[int, asyncio.Future[Outcome]] = {}
 
     def respond(self, handle: int, outcome: Outcome) -> bool:
-        """Answer a waiting request; False if it isn't one of this listener."""
+        """Answer a waiting request; return False if this listener does not hold it."""
         future = self.waiting.pop(handle, None)
         if future is None:
             return False
@@ -85,7 +86,7 @@
         return True
 
     def give_up(self) -> None:
-        """Tell all that wait that nothing is known of their requests any more."""
+        """End all waiting requests with the verdict MAY_HAVE_RUN."""
         outcome = Outcome(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.CANCELLED)
         for handle in tuple(self.waiting):
             self.respond(handle, outcome)
@@ -102,34 +103,36 @@
             await _send_outcome(send, outcome, last=self.leaving())
 
     async def _serve(self, scope, receive) -> Outcome | None:
-        """Return the outcome of a request; None when its sender has gone."""
-        found = dict(scope["headers"])
-        body = await self._read_body(found, receive)
+        """Return the outcome of a request, or None if its sender has disconnected."""
+        fields = dict(scope["headers"])
+        body = await self._read_body(fields, receive)
         if body is None:
-            return _refused(found, Reason.TOO_LARGE)
-        request = self._request(scope, found, body)
+            return _refusal(fields, Reason.TOO_LARGE)
+        request = self._request(scope, fields, body)
         if request is None:
-            return _refused(found, Reason.BAD_REQUEST)
-        return await self._outcome(request, receive)
+            return _refusal(fields, Reason.BAD_REQUEST)
+        return await self._wait_for_outcome(request, receive)
 
-    async def _outcome(self, request: Request, receive) -> Outcome | None:
+    async def _wait_for_outcome(self, request: Request, receive) -> Outcome | None:
         future = asyncio.get_running_loop().create_future()
         self.waiting[request.handle] = future
         self.submit(request)
         if future.done():
             return future.result()
-        gone = asyncio.ensure_future(_disconnected(receive))
+        disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
         try:
-            await asyncio.wait((future, gone), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (future, disconnected), return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            gone.cancel()
+            disconnected.cancel()
             if not future.done():
                 self.waiting.pop(request.handle, None)
                 self.abandon(request.handle)
         return future.result() if future.done() else None
 
-    async def _read_body(self, found: dict[bytes, bytes], receive) -> bytes | None:
-        declared = found.get(b"content-length", b"0")
+    async def _read_body(self, fields: dict[bytes, bytes], receive) -> bytes | None:
+        declared = fields.get(b"content-length", b"0")
         if not declared.isdigit() or int(declared) > self.max_body_bytes:
             return None
         chunks = []
@@ -144,7 +147,9 @@
             if not message.get("more_body"):
                 return b"".join(chunks)
 
-    def _request(self, scope, found: dict[bytes, bytes], body: bytes) -> Request | None:
+    def _request(
+        self, scope, fields: dict[bytes, bytes], body: bytes
+    ) -> Request | None:
         raw_path = scope.get("raw_path") or scope["path"].encode()
         service, _, rest = raw_path.lstrip(b"/").partition(b"/")
         if not service:
@@ -157,17 +162,17 @@
             service=service.decode("latin-1"),
             method=scope["method"],
             target=target.decode("latin-1"),
-            headers=_passed_on(scope["headers"]),
+            headers=_forwarded_headers(scope["headers"]),
             body=body,
-            caller=found.get(identity.caller, b"").decode("latin-1"),
-            organisation=found.get(identity.organisation, b"").decode("latin-1"),
-            ticket=_optional(found, TICKET_HEADER),
-            traceparent=_optional(found, TRACEPARENT_HEADER),
-            idempotency_key=_optional(found, IDEMPOTENCY_HEADER),
+            caller=fields.get(identity.caller, b"").decode("latin-1"),
+            organisation=fields.get(identity.organisation, b"").decode("latin-1"),
+            ticket=_optional_field(fields, TICKET_HEADER),
+            traceparent=_optional_field(fields, TRACEPARENT_HEADER),
+            idempotency_key=_optional_field(fields, IDEMPOTENCY_HEADER),
         )
 
 
-def _passed_on(headers) -> Headers:
+def _forwarded_headers(headers) -> Headers:
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in headers
@@ -175,27 +180,27 @@
     )
 
 
-def _optional(found: dict[bytes, bytes], name: bytes) -> str | None:
-    value = found.get(name)
+def _optional_field(fields: dict[bytes, bytes], name: bytes) -> str | None:
+    value = fields.get(name)
     return None if value is None else value.decode("latin-1")
 
 
-def _refused(found: dict[bytes, bytes], reason: Reason) -> Outcome:
-    """Refuse what isn't passed on; only a ticket's owner knows what it has run."""
-    verdict = Verdict.MAY_HAVE_RUN if TICKET_HEADER in found else Verdict.NOT_RUN
+def _refusal(fields: dict[bytes, bytes], reason: Reason) -> Outcome:
+    """Refuse a request here; only a ticket's owner knows whether it has run."""
+    verdict = Verdict.MAY_HAVE_RUN if TICKET_HEADER in fields else Verdict.NOT_RUN
     return Outcome(verdict=verdict, reason=reason)
 
 
-async def _disconnected(receive) -> None:
+async def _wait_for_disconnect(receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
 async def _send_outcome(send, outcome: Outcome, *, last: bool) -> None:
-    """Send an outcome; the last one on its connection says so.
+    """Send an outcome, with ``connection: close`` if it is the connection's last.
 
-    Failure: a node stops and closes a kept connection while a request is on its way
-    on it, and its caller can't know whether it ran.
+    Failure: a stopping node closes a persistent connection on which a request is
+    already in transit, and the caller can't know whether it was executed.
     """
     headers = outcome_headers(outcome)
     if last:
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
@@ -1,9 +1,9 @@
-"""HTTP requests over kept connections, each sent once and never again.
+"""HTTP client over persistent connections that sends each request exactly once.
 
-Connections and their pool are aiosonic's. Requests don't go through its
-``HTTPClient``: that sends idempotent requests again by itself when a kept
-connection drops, drops the body of a GET, folds repeated header fields, and takes a
-truncated header block for a whole answer.
+Connections and their pool come from aiosonic. Its ``HTTPClient`` is not used, since it
+retries idempotent requests when a persistent connection drops, drops the body of a
+GET, folds repeated header fields, and accepts a truncated header block as a complete
+response.
 """
 
 import asyncio
@@ -21,25 +21,26 @@
 from sassafraswinch.errors import SassafraswinchError
 from sassafraswinch.messages import Headers
 from sassafraswinch.verdict import Reason, Verdict
-from sassafraswinch_node.answer_reader import AnswerReader
+from sassafraswinch_node.answer_reader import ResponseReader
 from sassafraswinch_node.http_answer import (
-    AnswerError,
-    AnswerParser,
-    HttpAnswer,
+    HttpResponse,
+    ResponseError,
+    ResponseParser,
     end_to_end,
 )
 
 CONNECT_TIMEOUT_MS = 1_000
-"""Longest wait for a new connection; opening one takes about 1 ms."""
+"""Time limit for opening a connection, which normally takes about 1 ms."""
 
 MAX_IDLE_MS = 4_000
-"""Idle time after which a kept connection isn't used again. Below the 5 s after
-which common servers close one: a request that meets the close may have run."""
+"""Idle time after which a persistent connection is not reused. Below the 5 s after
+which common servers close one: a request sent during the close may have been executed,
+and the client can't tell."""
 
-MAX_ANSWER_BYTES = 1024 * 1024
-"""Longest body of an answer."""
+MAX_RESPONSE_BYTES = 1024 * 1024
+"""Maximum length of a response body."""
 
-_SET_HERE = frozenset({"content-length", "expect"})
+_SET_BY_CLIENT = frozenset({"content-length", "expect"})
 _TOKEN = r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 _HEAD = re.compile(
     rf"{_TOKEN} [\x21-\x7e\x80-\xff]+ HTTP/1\.1\r\n"
@@ -48,12 +49,12 @@
 
 
 class HttpClientError(SassafraswinchError):
-    """A request has got no whole answer.
+    """A request received no complete response.
 
     Attributes:
         verdict: NOT_RUN if nothing of the request was written, else MAY_HAVE_RUN.
-        reason: why, for the caller.
-        detail: what happened, in words for a log line.
+        reason: reason code for the caller.
+        detail: description of the fault for the log.
     """
 
     def __init__(self, *, verdict: Verdict, reason: Reason, detail: str):
@@ -67,11 +68,11 @@
     """Sends requests to one address.
 
     Args:
-        ip: IP number of the server.
-        port: its port.
-        max_connections: most connections; further requests wait for one.
-        max_answer_bytes: longest body of an answer.
-        max_idle_ms: idle time after which a kept connection isn't used again.
+        ip: IP address of the server.
+        port: port of the server.
+        max_connections: maximum number of connections; further requests wait for one.
+        max_answer_bytes: maximum length of a response body.
+        max_idle_ms: idle time after which a persistent connection is not reused.
     """
 
     def __init__(
@@ -80,12 +81,12 @@
         ip: str,
         port: int,
         max_connections: int,
-        max_answer_bytes: int = MAX_ANSWER_BYTES,
+        max_answer_bytes: int = MAX_RESPONSE_BYTES,
         max_idle_ms: int = MAX_IDLE_MS,
     ):
         host = f"[{ip}]:{port}" if ":" in ip else f"{ip}:{port}"
         self._host = ("host", host)
-        self._max_answer_bytes = max_answer_bytes
+        self._max_response_bytes = max_answer_bytes
         self._url = get_url_parsed(f"http://{host}")
         self._timeouts = Timeouts(sock_connect=CONNECT_TIMEOUT_MS / 1000)
         pool = PoolConfig(
@@ -105,41 +106,42 @@
         headers: Headers = (),
         body: bytes = b"",
         timeout_ms: float,
-    ) -> HttpAnswer:
-        """Send a request once and return its whole answer.
+    ) -> HttpResponse:
+        """Send a request once and return its complete response.
 
-        Cancelling closes the connection, which tells the server.
+        Cancellation closes the connection, which notifies the server.
 
         Args:
-            method: in upper case.
+            method: method in upper case.
             target: path and query.
-            headers: names in lower case; ``host`` is added where it is missing.
-            body: the whole body.
-            timeout_ms: time for everything, the wait for a connection included.
+            headers: header fields with names in lower case; ``host`` is added if it
+                is missing.
+            body: the complete body.
+            timeout_ms: time limit, including the wait for a connection.
 
         Raises:
-            HttpClientError: there is no whole answer.
+            HttpClientError: there is no complete response.
         """
-        wire = self._serialize(method, target, headers, body)
-        parser = AnswerParser(method=method, max_body_bytes=self._max_answer_bytes)
+        request = self._serialize(method, target, headers, body)
+        parser = ResponseParser(method=method, max_body_bytes=self._max_response_bytes)
         written = False
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 connection = await self._acquire()
                 async with connection:
-                    connection.keep = False  # until the answer is whole
+                    connection.keep = False  # until the response is complete
                     reader = _reader(connection)
-                    answered = reader.expect(parser)
+                    pending = reader.read_response(parser)
                     written = True
-                    connection.write(wire)
-                    answer = await answered
+                    connection.write(request)
+                    response = await pending
                     connection.keep = parser.reusable and reader.is_request_sent()
-                    return answer
+                    return response
         except TimeoutError as error:
             raise _error(
-                Reason.DEADLINE, f"no answer in {timeout_ms} ms", written
+                Reason.DEADLINE, f"no response within {timeout_ms} ms", written
             ) from error
-        except AnswerError as error:
+        except ResponseError as error:
             reason = Reason.TOO_LARGE if error.too_large else Reason.BACKEND_BROKEN
             raise _error(reason, error.reason, written) from error
         except (AiosonicError, OSError) as error:
@@ -147,15 +149,15 @@
             raise _error(reason, repr(error), written) from error
 
     async def close(self) -> None:
-        """Close idle connections now, and busy ones after their answers."""
+        """Close idle connections now, and busy ones after their responses."""
         await self._connector.cleanup()
 
     async def _acquire(self) -> Connection:
-        """Take a kept connection that is sound, or make one.
+        """Return a usable idle connection or open a new one.
 
-        A cancellation can get lost in ``asyncio.wait_for`` of Python 3.11, which
-        aiosonic uses to connect, if the connection is made in the same moment: the
-        request would then run without its time limit, after its caller is gone.
+        In Python 3.11, ``asyncio.wait_for``, with which aiosonic connects, loses a
+        cancellation that arrives just as the connection is established. Without the
+        check the request would run without its time limit, after its caller has gone.
         """
         task = asyncio.current_task()
         cancellations = task.cancelling()
@@ -166,17 +168,21 @@
             if task.cancelling() > cancellations:
                 connection.release()
                 raise asyncio.CancelledError
-            if not connection.writer.is_closing() and _reader(connection).is_quiet():
+            if not connection.writer.is_closing() and _reader(connection).is_idle():
                 return connection
             connection.close()
             connection.release()
             if not connection.reused:
-                raise ConnectionError("the server closed a new connection at once")
+                raise ConnectionError(
+                    "the server closed a new connection before a request was sent"
+                )
 
     def _serialize(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> bytes:
-        fields = [field for field in end_to_end(headers) if field[0] not in _SET_HERE]
+        fields = [
+            field for field in end_to_end(headers) if field[0] not in _SET_BY_CLIENT
+        ]
         if all(name != "host" for name, _ in fields):
             fields.insert(0, self._host)
         if body or method not in ("GET", "HEAD"):
@@ -188,21 +194,23 @@
 
 
 def serialize_head(method: str, target: str, fields: list[tuple[str, str]]) -> bytes:
-    """Return request line and header fields as bytes.
+    """Return the request line and header fields as bytes.
 
     Raises:
-        ValueError: a part would be read as something else, such as a value with a
-            line break, which could smuggle in a second request.
+        ValueError: a part holds an invalid character, such as a line break in a value,
+            which would allow request smuggling.
     """
     lines = [f"{name}: {value}\r\n" for name, value in fields]
     text = f"{method} {target} HTTP/1.1\r\n{''.join(lines)}\r\n"
     if _HEAD.fullmatch(text) is None or text.count("\n") != len(fields) + 2:
-        raise ValueError("a part of the request's head has a character it can't have")
+        raise ValueError(
+            "the request line or a header field holds an invalid character"
+        )
     return text.encode("latin-1")
 
 
 class _IpResolver(AbstractResolver):
-    """Takes IP numbers as they are: no look-up, and no thread for it."""
+    """Resolver for IP addresses, which need no DNS lookup and no thread."""
 
     async def resolve(self, host: str, port: int, family: int = 0) -> list[dict]:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -221,12 +229,12 @@
         pass
 
 
-def _reader(connection: Connection) -> AnswerReader:
-    """Return the reader of a connection, put in place of a new one's stream."""
+def _reader(connection: Connection) -> ResponseReader:
+    """Return the reader of a connection; replace the stream protocol of a new one."""
     transport = connection.writer.transport
     reader = transport.get_protocol()
-    if not isinstance(reader, AnswerReader):
-        reader = AnswerReader(transport=transport)
+    if not isinstance(reader, ResponseReader):
+        reader = ResponseReader(transport=transport)
         transport.set_protocol(reader)
     return reader
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_status.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_status.py
@@ -1,4 +1,4 @@
-"""Maps the outcome of a request to HTTP for callers and backend servers."""
+"""Mapping of request outcomes to HTTP status codes and header fields."""
 
 import math
 
@@ -12,7 +12,7 @@
 RETRY_AFTER_HEADER = b"retry-after"
 RETRY_AFTER_MS_HEADER = b"retry-after-ms"
 SYSTEM_PREFIX = b"sassafraswinch-"
-"""Header fields with this prefix are the system's; callers' own are stripped."""
+"""Prefix of header fields that only this system sets; others are stripped."""
 
 NOT_RUN_STATUS = 503
 MAY_HAVE_RUN_STATUS = 502
@@ -28,13 +28,13 @@
     Reason.CALLER_RETRIES: 429,
     Reason.RETRY_REFUSED: 429,
 }
-"""Reasons that have a status of their own, whatever the verdict."""
+"""Reasons with a specific status, which takes precedence over the verdict."""
 
 MS_PER_S = 1000
 
 
 def outcome_status(outcome: Outcome) -> int:
-    """Return the HTTP status that tells ``outcome``."""
+    """Return the HTTP status for ``outcome``."""
     if outcome.verdict is Verdict.ANSWERED:
         return outcome.status
     status = STATUS_BY_REASON.get(outcome.reason)
@@ -48,7 +48,7 @@
 
 
 def outcome_headers(outcome: Outcome) -> list[tuple[bytes, bytes]]:
-    """Return the header fields of the response, the backend server's first."""
+    """Return the response header fields, those of the backend server first."""
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in outcome.headers
--- a/packages/sassafraswinch-node/sassafraswinch_node/listeners.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/listeners.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of a node: uvicorn servers on sockets that the node binds itself."""
+"""HTTP listeners of a node: uvicorn servers on sockets bound by the node."""
 
 import asyncio
 import contextlib
@@ -9,14 +9,14 @@
 from sassafraswinch_node.settings import Address
 
 BACKLOG = 1024
-"""Connections that wait to be accepted."""
+"""Maximum length of the queue of connections waiting to be accepted."""
 
 KEEP_ALIVE_S = 75
-"""Idle time after which a caller's connection is closed."""
+"""Idle time after which a caller's persistent connection is closed."""
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves signals to the node."""
+    """A uvicorn server without signal handlers; the node installs its own."""
 
     @contextlib.contextmanager
     def capture_signals(self):
@@ -24,7 +24,7 @@
 
 
 class HttpListener:
-    """One bound address that serves an ASGI application."""
+    """A listening socket that serves an ASGI application."""
 
     def __init__(self, *, app, address: Address):
         self._socket = bind(address)
@@ -46,21 +46,21 @@
 
     @property
     def address(self) -> Address:
-        """The address bound, with the port that the system chose for port 0."""
+        """The bound address; for port 0, with the port that the system assigned."""
         ip, port = self._socket.getsockname()[:2]
         return Address(ip=ip, port=port)
 
     async def start(self) -> None:
-        """Serve until ``stop``."""
+        """Start to serve; ``stop`` ends it."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
         while not self._server.started and not self._task.done():
             await asyncio.sleep(0.001)
 
     async def stop(self, *, timeout_s: int | None = None) -> None:
-        """Accept no more connections and finish the requests under way.
+        """Stop accepting connections and complete the requests in flight.
 
         Args:
-            timeout_s: after this they are cut; None waits for them.
+            timeout_s: time after which these are cancelled; None waits for them.
         """
         self._server.config.timeout_graceful_shutdown = timeout_s
         self._server.should_exit = True
@@ -75,7 +75,7 @@
         OSError: if the address can't be bound.
     """
     family = socket.AF_INET6 if ":" in address.ip else socket.AF_INET
-    # Named, since asyncio sets TCP_NODELAY only on sockets whose protocol is TCP.
+    # asyncio sets TCP_NODELAY only on sockets whose protocol is explicitly TCP.
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((address.ip, address.port))
--- a/packages/sassafraswinch-node/sassafraswinch_node/metrics.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/metrics.py
@@ -1,4 +1,4 @@
-"""The node's metrics in the text format of Prometheus, from snapshots."""
+"""Prometheus metrics of a node, computed from status and burn snapshots."""
 
 from collections.abc import Callable, Iterator
 
@@ -30,11 +30,11 @@
     "cpu_percent": "Share of one core that the process uses.",
     "control_bytes_per_s": "Bytes sent for control.",
 }
-"""Fields of ``Status`` that are gauges as they stand, with their help."""
+"""Fields of ``Status`` that are exported unchanged as gauges, with their help text."""
 
 
 class MetricsPage:
-    """Renders the metrics of one node."""
+    """Renderer of the metrics page of one node."""
 
     def __init__(
         self, *, status: Callable[[], Status], burn: Callable[[], BurnReport]
@@ -46,16 +46,16 @@
         """Return the page and its content type.
 
         Args:
-            accept: the ``Accept`` header of the reader; chooses the text format.
+            accept: the client's ``Accept`` header, which selects the text format.
         """
         encode, content_type = choose_encoder(accept)
         return encode(self._registry), content_type
 
 
 class SnapshotCollector(Collector):
-    """Turns a status and a burn report into metrics when they are asked for.
+    """Collector that converts a status and a burn report to metrics on each scrape.
 
-    Nothing is counted here, so a call costs no more for being measured.
+    It keeps no counters of its own, so metrics add no cost to a call.
     """
 
     def __init__(
@@ -65,11 +65,11 @@
         self._burn = burn
 
     def describe(self) -> list[Metric]:
-        """Return nothing: registering must not take a snapshot."""
+        """Return nothing, so that registration takes no snapshot."""
         return []
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics of the moment."""
+        """Yield the current value of all metrics."""
         status, report = self._status(), self._burn()
         yield from status_metrics(status)
         yield from peer_metrics(status)
@@ -78,20 +78,20 @@
 
 
 def status_metrics(status: Status) -> Iterator[Metric]:
-    """Yield what a node says of itself."""
-    facts = ("host", "availability_zone", "service", "state", "document_digest")
+    """Yield the metrics of a node's status."""
+    info_fields = ("host", "availability_zone", "service", "state", "document_digest")
     yield InfoMetricFamily(
         f"{PREFIX}_node",
         "The node and its state.",
-        {fact: str(getattr(status, fact)) for fact in facts},
+        {field_name: str(getattr(status, field_name)) for field_name in info_fields},
     )
     for field, text in STATUS_GAUGES.items():
         yield GaugeMetricFamily(f"{PREFIX}_{field}", text, getattr(status, field))
-    seconds = {
+    durations = {
         "document_age": ("Time since the document was taken.", status.document_age_ms),
         "queue_delay": ("Delay of the local queue.", status.queue_delay_ms),
     }
-    for name, (text, value_ms) in seconds.items():
+    for name, (text, value_ms) in durations.items():
         yield GaugeMetricFamily(f"{PREFIX}_{name}_seconds", text, value_ms / MS_PER_S)
     memory_bytes = status.memory_mb * 1_000_000
     yield GaugeMetricFamily(f"{PREFIX}_memory_bytes", "Resident memory.", memory_bytes)
@@ -104,9 +104,9 @@
 
 
 def peer_metrics(status: Status) -> Iterator[Metric]:
-    """Yield how many links and hosts there are, not one series for each.
+    """Yield the numbers of links and hosts by state, instead of a series for each.
 
-    At 560 nodes a series for each pair would be 300,000 in the reader's store.
+    With 560 nodes, a series for each pair would add 300,000 to the monitoring database.
     """
     links = _gauge("links", "Links to other nodes.", ("state",))
     states = [link.state.partition(":")[0] for link in status.links]
@@ -114,9 +114,9 @@
         links.add_metric([state], states.count(state))
     yield links
     hosts = _gauge("hosts", "Other hosts known, by service.", ("service", "state"))
-    kinds = [(host.service, _host_state(host)) for host in status.hosts]
-    for kind in sorted(set(kinds)):
-        hosts.add_metric(kind, kinds.count(kind))
+    groups = [(host.service, _host_state(host)) for host in status.hosts]
+    for group in sorted(set(groups)):
+        hosts.add_metric(group, groups.count(group))
     yield hosts
 
 
@@ -127,7 +127,7 @@
 
 
 def outcome_metrics(report: BurnReport) -> Iterator[Metric]:
-    """Yield counters of outcomes and of the reasons behind them."""
+    """Yield counters of outcomes and of their reasons."""
     calls = CounterMetricFamily(
         f"{PREFIX}_calls", "Calls by outcome.", labels=(*SERIES_LABELS, "outcome")
     )
@@ -148,7 +148,7 @@
 
 
 def burn_metrics(report: BurnReport) -> Iterator[Metric]:
-    """Yield burn rates, alerts and the quantiles of hdrhistogram."""
+    """Yield burn rates, alerts and the latency quantiles of the HDR histograms."""
     rates = _gauge("burn_rate", "Burn rate.", (*SERIES_LABELS, "window"))
     alerts = _gauge("alerts", "Alerts raised now.", (*SERIES_LABELS, "severity"))
     latencies = _gauge(
--- a/packages/sassafraswinch-node/sassafraswinch_node/operators.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/operators.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoint for operators: status, burn, metrics and health of one node."""
+"""HTTP endpoint for operators: status, burn report, metrics and health of a node."""
 
 from collections.abc import Callable
 
@@ -14,17 +14,17 @@
 
 JSON_TYPE = "application/json"
 SERVING = "serving"
-"""The state in which ``/health`` answers 200; in all others it answers 503."""
+"""State in which ``/health`` responds with 200; in all others it responds with 503."""
 
 
 def operators_app(
     *, status: Callable[[], Status], burn: Callable[[], BurnReport]
 ) -> Starlette:
-    """Return the application of the operators' listener; it changes nothing.
+    """Return the read-only application of the operators' listener.
 
     Args:
-        status: takes a snapshot of the node.
-        burn: takes a burn report of the node.
+        status: returns the current status of the node.
+        burn: returns the current burn report of the node.
     """
     metrics = MetricsPage(status=status, burn=burn)
 
@@ -33,12 +33,14 @@
 
     async def show_burn(request: Request) -> Response:
         report = burn()
-        form = request.query_params.get("format", "json")
-        if form == "html":
+        output_format = request.query_params.get("format", "json")
+        if output_format == "html":
             return HTMLResponse(burn_page(report))
-        if form == "json":
+        if output_format == "json":
             return Response(serialize_report(report), media_type=JSON_TYPE)
-        return JSONResponse({"error": "format is json or html"}, status_code=400)
+        return JSONResponse(
+            {"error": "unknown format: expected json or html"}, status_code=400
+        )
 
     async def show_metrics(request: Request) -> Response:
         body, content_type = metrics.render(request.headers.get("accept", ""))
@@ -46,8 +48,8 @@
 
     async def show_health(request: Request) -> Response:
         state = status().state
-        code = 200 if state == SERVING else 503
-        return JSONResponse({"state": state}, status_code=code)
+        status_code = 200 if state == SERVING else 503
+        return JSONResponse({"state": state}, status_code=status_code)
 
     return Starlette(
         routes=[
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform.py
@@ -1,4 +1,4 @@
-"""Reads and watches of the platform's configuration service and host list."""
+"""Client for the platform's configuration document and host list."""
 
 import ipaddress
 import itertools
@@ -11,37 +11,38 @@
 
 from sassafraswinch.errors import SassafraswinchError
 from sassafraswinch.membership import HostRecord, HostState
-from sassafraswinch_node.http_client import HttpAnswer, HttpClient, HttpClientError
+from sassafraswinch_node.http_client import HttpClient, HttpClientError, HttpResponse
 from sassafraswinch_node.settings import AddressText
 
 READ_TIMEOUT_MS = 2_000
-"""Time for an answer beyond the wait of a watch; the service takes milliseconds."""
+"""Time limit for a response, added to the wait of a watch. The service normally
+responds within milliseconds."""
 
 MAX_PUBLISHED_BYTES = 1024 * 1024
-"""Longest document or host list."""
+"""Maximum length of a document or host list."""
 
 MAX_VERSION = 2**53 - 1
-"""Greatest version; all JSON readers hold it exactly."""
+"""Greatest version; up to it all JSON readers represent integers exactly."""
 
-CONNECTIONS = 2
-"""Connections to one address: a watch of the document and one of the host list."""
+CONNECTIONS_PER_ADDRESS = 2
+"""One connection for the watch of the document and one for that of the host list."""
 
 MAX_FAULTS_SHOWN = 5
-"""Faults of a host list that its error spells out."""
+"""Maximum number of faults of a host list that its error message lists."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishedDocument:
-    """A document as the platform published it, not yet checked."""
+    """A document as published by the platform, not yet validated."""
 
     version: int
-    """What the platform says of it; the document itself carries one too."""
+    """Version assigned by the platform; the document itself holds one as well."""
     body: bytes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishedHosts:
-    """The platform's list of hosts."""
+    """The host list as published by the platform."""
 
     version: int
     records: tuple[HostRecord, ...]
@@ -51,8 +52,8 @@
     """A read of the platform failed.
 
     Attributes:
-        url: what was read.
-        reason: why it failed, in words for an operator.
+        url: URL of the read.
+        reason: cause of the failure, for operators.
     """
 
     def __init__(self, *, url: str, reason: str):
@@ -62,14 +63,14 @@
 
 
 class PlatformUnreachableError(PlatformError):
-    """The platform gave no whole answer in time."""
+    """The platform returned no complete response in time."""
 
 
 class PlatformAnswerError(PlatformError):
-    """The platform answered, but not with what it should publish.
+    """The platform returned an invalid response.
 
     Attributes:
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
     """
 
     def __init__(self, *, url: str, reason: str, status: int):
@@ -78,25 +79,25 @@
 
 
 class PlatformClient:
-    """Reads from the platform; each call is one read of its budget.
+    """Client of the platform; each call makes one read.
 
-    A failed read isn't tried again here: the next call takes the next address, and
-    when it is made is for the caller's schedule to say.
+    A failed read is not retried: it only selects the next address for the following
+    call, so that the caller's schedule alone determines the rate of reads.
 
     Args:
-        urls: base URLs with IP numbers, such as ``http://10.0.0.7:8500``.
-        read_timeout_ms: time for an answer beyond the wait of a watch.
+        urls: base URLs with IP addresses, such as ``http://10.0.0.7:8500``.
+        read_timeout_ms: time limit for a response, added to the wait of a watch.
 
     Raises:
-        ValueError: a URL isn't ``http`` or names no IP number.
+        ValueError: a URL is not ``http`` or holds no IP address.
     """
 
     def __init__(
         self, *, urls: Sequence[str], read_timeout_ms: float = READ_TIMEOUT_MS
     ):
         self._origins = [_Origin(url) for url in urls]
-        self._turns = itertools.cycle(self._origins)
-        self._origin = next(self._turns)
+        self._next_origins = itertools.cycle(self._origins)
+        self._origin = next(self._next_origins)
         self._read_timeout_ms = read_timeout_ms
 
     async def document(
@@ -105,68 +106,68 @@
         """Read the document, or watch for one newer than ``after``.
 
         Args:
-            after: version held already.
-            wait_ms: how long the platform may wait for a newer one; 0 reads at once.
+            after: version that the caller holds.
+            wait_ms: time that the platform may wait for a newer one; 0 for none.
 
         Returns:
-            The document; None if there is none but version ``after``.
+            The document; None if the platform has no version other than ``after``.
 
         Raises:
             PlatformError: the read failed.
         """
-        answer = await self._read("/v1/document", after, wait_ms)
-        if answer is None:
+        response = await self._fetch("/v1/document", after, wait_ms)
+        if response is None:
             return None
-        return PublishedDocument(version=answer.version, body=answer.body)
+        return PublishedDocument(version=response.version, body=response.body)
 
     async def hosts(self, *, after: int = 0, wait_ms: int = 0) -> PublishedHosts | None:
         """Read the host list, or watch for one newer than ``after``.
 
-        Arguments, result and errors are as for ``document``.
+        Arguments, result and errors are those of ``document``.
         """
-        answer = await self._read("/v1/hosts", after, wait_ms)
-        if answer is None:
+        response = await self._fetch("/v1/hosts", after, wait_ms)
+        if response is None:
             return None
         try:
-            records = parse_hosts(answer.body)
+            records = parse_hosts(response.body)
         except ValueError as error:
             raise PlatformAnswerError(
-                url=answer.url, reason=str(error), status=200
+                url=response.url, reason=str(error), status=200
             ) from error
-        return PublishedHosts(version=answer.version, records=records)
+        return PublishedHosts(version=response.version, records=records)
 
     async def close(self) -> None:
-        """Close idle connections now, and busy ones after their answers."""
+        """Close idle connections now, and busy ones after their responses."""
         for origin in self._origins:
             await origin.client.close()
 
-    async def _read(self, path: str, after: int, wait_ms: int) -> "_Answer | None":
+    async def _fetch(self, path: str, after: int, wait_ms: int) -> "_Response | None":
         query = f"?after={after}&wait_ms={wait_ms}" if wait_ms else ""
         origin = self._origin
         url = origin.url + path + query
         try:
-            answer = await origin.client.request(
+            response = await origin.client.request(
                 method="GET",
                 target=origin.prefix + path + query,
                 timeout_ms=wait_ms + self._read_timeout_ms,
             )
-            version = after if answer.status == 304 else _parse_version(answer)
+            version = after if response.status == 304 else _parse_version(response)
         except HttpClientError as error:
-            self._leave(origin)
+            self._switch_from(origin)
             raise PlatformUnreachableError(url=url, reason=str(error)) from error
         except ValueError as error:
-            self._leave(origin)
+            self._switch_from(origin)
             raise PlatformAnswerError(
-                url=url, reason=str(error), status=answer.status
+                url=url, reason=str(error), status=response.status
             ) from error
         if version == after:
             return None
-        return _Answer(url=url, version=version, body=answer.body)
+        return _Response(url=url, version=version, body=response.body)
 
-    def _leave(self, origin: "_Origin") -> None:
-        """Take the next address, unless another read has done so meanwhile."""
+    def _switch_from(self, origin: "_Origin") -> None:
+        """Select the next address unless another read has already done so."""
         if origin is self._origin:
-            self._origin = next(self._turns)
+            self._origin = next(self._next_origins)
 
 
 class _Origin:
@@ -182,20 +183,20 @@
         self.client = HttpClient(
             ip=ip,
             port=parts.port or 80,
-            max_connections=CONNECTIONS,
+            max_connections=CONNECTIONS_PER_ADDRESS,
             max_answer_bytes=MAX_PUBLISHED_BYTES,
         )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Answer:
+class _Response:
     url: str
     version: int
     body: bytes
 
 
 class _HostModel(BaseModel):
-    """A host as the platform writes it; fields that it adds later are ignored."""
+    """A host in the platform's format; unknown fields are ignored."""
 
     name: Annotated[str, Field(min_length=1, max_length=200)]
     service: Annotated[str, Field(min_length=1, max_length=200)]
@@ -210,38 +211,38 @@
 
 
 def parse_hosts(body: bytes) -> tuple[HostRecord, ...]:
-    """Read a host list.
+    """Parse a host list.
 
     Raises:
-        ValueError: it is malformed, or names a host twice.
+        ValueError: the list is malformed or names a host twice.
     """
     try:
         models = _HOST_LIST.validate_json(body)
     except ValidationError as error:
-        raise ValueError(_faults(error)) from error
+        raise ValueError(_describe_faults(error)) from error
     records = tuple(
         HostRecord(**{name: getattr(model, name) for name in _HostModel.model_fields})
         for model in models
     )
     if len({record.name for record in records}) < len(records):
-        raise ValueError("a host is named twice")
+        raise ValueError("a host is named twice in the host list")
     return records
 
 
-def _faults(error: ValidationError) -> str:
+def _describe_faults(error: ValidationError) -> str:
     faults = [
         f"{'.'.join(map(str, item['loc'])) or '(body)'}: {item['msg']}"
         for item in error.errors(include_url=False)
     ]
-    more = len(faults) - MAX_FAULTS_SHOWN
+    omitted = len(faults) - MAX_FAULTS_SHOWN
     shown = "; ".join(faults[:MAX_FAULTS_SHOWN])
-    return f"{shown}; and {more} more" if more > 0 else shown
+    return f"{shown}; and {omitted} more" if omitted > 0 else shown
 
 
-def _parse_version(answer: HttpAnswer) -> int:
-    if answer.status != 200:
-        raise ValueError(f"status {answer.status}")
-    text = dict(answer.headers).get("x-version", "")
+def _parse_version(response: HttpResponse) -> int:
+    if response.status != 200:
+        raise ValueError(f"status {response.status}")
+    text = dict(response.headers).get("x-version", "")
     if not text.isascii() or not text.isdigit() or int(text) > MAX_VERSION:
         raise ValueError(f"x-version {text!r} is not a number up to 2**53 - 1")
     return int(text)
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
@@ -1,4 +1,4 @@
-"""Reads and watches what the platform publishes, within the fleet's read budget."""
+"""Watcher of the platform's document and host list, within the fleet's read budget."""
 
 import asyncio
 import random
@@ -15,15 +15,15 @@
 from sassafraswinch_node.logs import log_event
 from sassafraswinch_node.platform import PlatformClient, PlatformError
 
-FIRST_FLEET_SIZE = 560
-"""Fleet size assumed until a host list tells it: the one designed for."""
+ASSUMED_FLEET_SIZE = 560
+"""Fleet size assumed until the host list has been read: the design size."""
 
-LOOK_MS = 1_000
-"""Period of the looks, during a rest, at whether to read earlier."""
+FLEET_CHECK_INTERVAL_MS = 1_000
+"""Interval, during a pause between reads, of the checks whether to read earlier."""
 
 
 class PlatformWatch:
-    """Two streams, the document and the host list, each a task of its own."""
+    """Watches the document and the host list, each in a separate task."""
 
     def __init__(
         self,
@@ -39,21 +39,21 @@
         self.membership = membership
         self.now_ms = now_ms
         self._document_schedule = WatchSchedule(
-            rng=rng, nodes=FIRST_FLEET_SIZE, watches=DOCUMENT_WATCHES
+            rng=rng, nodes=ASSUMED_FLEET_SIZE, watches=DOCUMENT_WATCHES
         )
         self._host_schedule = WatchSchedule(
-            rng=rng, nodes=FIRST_FLEET_SIZE, watches=HOST_WATCHES
+            rng=rng, nodes=ASSUMED_FLEET_SIZE, watches=HOST_WATCHES
         )
         self._document_version = 0
-        self._down = False
+        self._unreachable = False
 
     async def run(self) -> None:
         """Watch both streams until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._follow(self._document_schedule, self._document))
-            group.create_task(self._follow(self._host_schedule, self._hosts))
+            group.create_task(self._watch(self._document_schedule, self._read_document))
+            group.create_task(self._watch(self._host_schedule, self._read_hosts))
 
-    async def _follow(
+    async def _watch(
         self, schedule: WatchSchedule, read: Callable[[int], Awaitable[bool]]
     ) -> None:
         await asyncio.sleep(schedule.first_delay_ms() / 1000)
@@ -61,33 +61,37 @@
         while True:
             outcome = await self._read(read, wait_ms)
             wait_ms = schedule.wait_ms()
-            await self._rest(schedule, outcome)
+            await self._pause(schedule, outcome)
 
-    async def _rest(self, schedule: WatchSchedule, outcome: WatchOutcome) -> None:
-        """Pause between two reads, shorter if what the pause was drawn for changes.
+    async def _pause(self, schedule: WatchSchedule, outcome: WatchOutcome) -> None:
+        """Pause between reads; shorten the pause if fleet size or isolation changes.
 
-        Failure: a node draws a rest of minutes, as if it had 559 peers to hear of
-        changes from, before it reads that the fleet is small; or its last link is
-        lost. Operators see a change in force everywhere but there.
+        Failure: a node chooses a pause of minutes, which assumes 559 peers that report
+        changes, and then reads that the fleet is small, or loses its last link.
+        A change would then be in force everywhere except on this node.
+        """
+        conditions = self._update_schedules()
+        read_at_ms = self.now_ms() + schedule.next_delay_ms(outcome)
+        while (remaining_ms := read_at_ms - self.now_ms()) > 0:
+            await asyncio.sleep(min(remaining_ms, FLEET_CHECK_INTERVAL_MS) / 1000)
+            previous, conditions = conditions, self._update_schedules()
+            if conditions != previous:
+                delay_ms = schedule.next_delay_ms(WatchOutcome.UNCHANGED)
+                read_at_ms = min(read_at_ms, self.now_ms() + delay_ms)
+
+    def _update_schedules(self) -> tuple[bool, bool]:
+        """Update the schedules.
+
+        Returns:
+            Whether the fleet size is known, and whether the node is isolated.
         """
-        circumstances = self._follow_fleet()
-        ends_ms = self.now_ms() + schedule.next_delay_ms(outcome)
-        while (left_ms := ends_ms - self.now_ms()) > 0:
-            await asyncio.sleep(min(left_ms, LOOK_MS) / 1000)
-            before, circumstances = circumstances, self._follow_fleet()
-            if circumstances != before:
-                earlier_ms = schedule.next_delay_ms(WatchOutcome.UNCHANGED)
-                ends_ms = min(ends_ms, self.now_ms() + earlier_ms)
-
-    def _follow_fleet(self) -> tuple[bool, bool]:
-        """Tell the schedules of the fleet; return what a rest depends on."""
         nodes = len(self.membership.records())
         if nodes <= 1:
-            nodes = 0  # Its own host alone: the fleet isn't known yet.
+            nodes = 0  # Only its own host: the fleet size isn't known yet.
         isolated = self.membership.isolated()
         for schedule in (self._document_schedule, self._host_schedule):
             schedule.set_isolated(isolated)
-            schedule.set_nodes(nodes or FIRST_FLEET_SIZE)
+            schedule.set_nodes(nodes or ASSUMED_FLEET_SIZE)
         return nodes > 0, isolated
 
     async def _read(
@@ -96,29 +100,31 @@
         try:
             changed = await read(wait_ms)
         except PlatformError as error:
-            if not self._down:
-                self._down = True
+            if not self._unreachable:
+                self._unreachable = True
                 log_event("platform_unreachable", level="warning", reason=str(error))
             return WatchOutcome.FAILED
-        if self._down:
-            self._down = False
+        if self._unreachable:
+            self._unreachable = False
             log_event("platform_reached")
         return WatchOutcome.CHANGED if changed else WatchOutcome.UNCHANGED
 
-    async def _document(self, wait_ms: int) -> bool:
-        held = max(self._document_version, self.configuration.keeper.stamp.version)
-        published = await self.client.document(after=held, wait_ms=wait_ms)
+    async def _read_document(self, wait_ms: int) -> bool:
+        held_version = max(
+            self._document_version, self.configuration.keeper.stamp.version
+        )
+        published = await self.client.document(after=held_version, wait_ms=wait_ms)
         if published is None:
             return False
         self._document_version = published.version
         keeper = self.configuration.keeper
         candidate = await asyncio.to_thread(keeper.read, published.body)
-        offered = self.configuration.platform_read(candidate, self.now_ms())
-        for error in offered.errors:
+        result = self.configuration.platform_read(candidate, self.now_ms())
+        for error in result.errors:
             log_event("document_refused", level="warning", reason=str(error))
         return True
 
-    async def _hosts(self, wait_ms: int) -> bool:
+    async def _read_hosts(self, wait_ms: int) -> bool:
         published = await self.client.hosts(
             after=self.membership.list_version, wait_ms=wait_ms
         )
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -1,4 +1,4 @@
-"""One node process: the decisions of a node and the adapters around them."""
+"""The node process: decision logic of a node with its network adapters."""
 
 import asyncio
 import itertools
@@ -34,24 +34,25 @@
 from sassafraswinch_node.platform_watch import PlatformWatch
 from sassafraswinch_node.settings import Address, Settings
 from sassafraswinch_node.snapshot import take_status
-from sassafraswinch_node.stopping import log_cut
+from sassafraswinch_node.stopping import log_aborted_calls
 from sassafraswinch_node.usage import UsageMeter
 
 BUSY_TICK_MS = 25
-"""Period of the node's own steps: short against queue delays of 10 ms and more."""
+"""Tick interval while calls are in flight; short compared to queue delays of 10 ms and
+more."""
 
 IDLE_TICK_MS = 100
-"""The same while no call is under way: the gate's learnt limits still move."""
+"""Tick interval while no call is in flight; the gate still adjusts its limits."""
 
-LOOK_EVERY_MS = 1_000
-"""Time between two looks at which hosts to link to."""
+LINK_UPDATE_INTERVAL_MS = 1_000
+"""Interval between updates of the set of hosts to link to."""
 
-CUT_TIMEOUT_S = 1
-"""Time for the last words to callers, in seconds, after the process was cut."""
+ABORT_TIMEOUT_S = 1
+"""Time limit for the final responses to callers after the process was aborted."""
 
 
 class NodeProcess:
-    """Runs a ``Node`` on sockets until it is told to stop."""
+    """Runs a ``Node`` on network sockets until it is stopped."""
 
     def __init__(self, *, settings: Settings, rng: random.Random | None = None):
         self.settings = settings
@@ -63,7 +64,7 @@
         self.wake = WakeDetector(tick_ms=IDLE_TICK_MS)
         self.stopped = asyncio.Event()
         self.cut_calls = 0
-        """Calls that were in flight when the process was cut."""
+        """Number of calls in flight when the process was aborted."""
         self._handles = itertools.count(1)
         self._tasks: set[asyncio.Task] = set()
         self._identity = IdentityHeaders(
@@ -92,7 +93,7 @@
             ),
             done=self._backend_done,
         )
-        self.entry = self._listener(self._submit)
+        self.ingress = self._listener(self._submit)
         self.egress = self._listener(self._submit_child)
         self.node = make_node(
             settings=settings,
@@ -116,18 +117,18 @@
         )
 
     def now_ms(self) -> float:
-        """Return the runtime's monotonic clock in milliseconds."""
+        """Return the time of the event loop's monotonic clock in milliseconds."""
         return asyncio.get_running_loop().time() * 1000
 
     async def start(self) -> None:
-        """Open the listeners and begin to read the platform.
+        """Open the listeners and start to watch the platform.
 
         Raises:
             OSError: if an address can't be bound.
         """
         settings = self.settings
         self.http = {
-            "entry": HttpListener(app=self.entry, address=settings.entry),
+            "entry": HttpListener(app=self.ingress, address=settings.entry),
             "egress": HttpListener(app=self.egress, address=settings.egress),
             "operators": HttpListener(
                 app=operators_app(status=self.status, burn=self.burn),
@@ -139,8 +140,8 @@
         link = await self.links.start(settings.link)
         self.membership.learn([self._own_record(link)], self.now_ms())
         self.node.start(self.now_ms())
-        self._run(self.watch.run())
-        self._run(self._tick())
+        self._start_task(self.watch.run())
+        self._start_task(self._tick())
         addresses = {name: str(http.address) for name, http in self.http.items()}
         log_event(
             "node_started",
@@ -152,10 +153,10 @@
         )
 
     def _own_record(self, link: Address) -> HostRecord:
-        """Return this host as the platform would list it.
+        """Return the record of this host in the form of the platform's host list.
 
-        Failure guarded against: a node restarts while cut off from the platform; the
-        hosts that its peers tell it don't name it, and it never runs a call itself.
+        Failure: a node restarts without a connection to the platform. The host list
+        from its peers doesn't contain the node, so it would never execute a call.
         """
         return HostRecord(
             name=self.settings.host,
@@ -168,7 +169,7 @@
         )
 
     def status(self) -> Status:
-        """Return what operators see of this node."""
+        """Return the current status of this node."""
         return take_status(
             settings=self.settings,
             node=self.node,
@@ -178,27 +179,27 @@
         )
 
     def burn(self) -> BurnReport:
-        """Return the service-level burn that this node has seen."""
+        """Return the burn report of this node."""
         return self.recorder.report(self.now_ms())
 
     def leave(self) -> None:
-        """Begin a planned stop: refuse new work, finish what is in flight."""
+        """Start a planned stop: refuse new requests, complete those in flight."""
         if self.node.lifecycle.leaving:
             return
         self.node.leave(self.now_ms())
         log_event("node_leaving", in_flight=self.node.in_flight)
 
     def cut(self) -> None:
-        """End at once; name in the log what is still in flight, and tell callers."""
-        self.cut_calls = log_cut(self.node)
-        self.entry.give_up()
+        """Stop at once; log the calls in flight and end the waiting requests."""
+        self.cut_calls = log_aborted_calls(self.node)
+        self.ingress.give_up()
         self.egress.give_up()
         self.node.lifecycle.cut()
         self.stopped.set()
 
     async def close(self) -> None:
         """Close listeners, links and tasks."""
-        timeout_s = CUT_TIMEOUT_S if self.cut_calls else None
+        timeout_s = ABORT_TIMEOUT_S if self.cut_calls else None
         for listener in self.http.values():
             await listener.stop(timeout_s=timeout_s)
         await self.links.stop()
@@ -209,33 +210,33 @@
         log_event("node_stopped", host=self.settings.host)
 
     def link_up(self, hello: Hello, session: int, *, dialled: bool) -> None:
-        """Pass on a new link; its greeting carries the peer's version."""
-        now_ms = self._observe()
+        """Pass a new link and the peer's document version to the node."""
+        now_ms = self._checked_now_ms()
         self.node.link_up(hello.node, session, dialled=dialled, now_ms=now_ms)
         self.node.configuration.greeted(hello, now_ms)
 
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
-        """Pass on a message."""
-        self.node.message(node, session, message, self._observe())
+        """Pass a received message to the node."""
+        self.node.message(node, session, message, self._checked_now_ms())
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
     ) -> None:
-        """Pass on the end of a link."""
-        now_ms = self._observe()
+        """Pass the loss of a link to the node."""
+        now_ms = self._checked_now_ms()
         self.node.link_lost(
             node, session, dialled=dialled, replaced=replaced, now_ms=now_ms
         )
 
     def link_proved(self, node: NodeId, sent_at_ms: float) -> None:
-        """Pass on that a heartbeat was answered."""
-        self.node.link_proved(node, sent_at_ms, self._observe())
+        """Pass to the node that the peer has replied to a heartbeat."""
+        self.node.link_proved(node, sent_at_ms, self._checked_now_ms())
 
     def respond(self, handle: int, outcome: Outcome) -> None:
-        """Answer a request at whichever listener it waits (the caller port)."""
-        if not self.entry.respond(handle, outcome):
+        """Answer a request at the listener that holds it (CallerPort)."""
+        if not self.ingress.respond(handle, outcome):
             self.egress.respond(handle, outcome)
 
     def _listener(self, submit) -> CallListener:
@@ -262,8 +263,8 @@
         self.recorder.set_objectives(objectives, document_version=document.version)
         log_event("document_in_force", version=document.version, digest=document.digest)
 
-    def _observe(self) -> float:
-        """Return the time, after telling the node if the process was paused."""
+    def _checked_now_ms(self) -> float:
+        """Return the time; first notify the node if the process was suspended."""
         now_ms = self.now_ms()
         if self.wake.observe(monotonic_ms=now_ms, wall_ms=time.time() * 1000):
             log_event("node_woke", host=self.settings.host)
@@ -271,16 +272,16 @@
         return now_ms
 
     def _submit(self, request: Request) -> None:
-        self.node.submit(request, self._observe())
+        self.node.submit(request, self._checked_now_ms())
 
     def _submit_child(self, request: Request) -> None:
-        self.node.submit_child(request, self._observe())
+        self.node.submit_child(request, self._checked_now_ms())
 
     def _abandon(self, handle: int) -> None:
-        self.node.abandon(handle, self._observe())
+        self.node.abandon(handle, self._checked_now_ms())
 
     def _backend_done(self, key: CallKey, result: BackendResult) -> None:
-        self.node.backend_done(key, result, self._observe())
+        self.node.backend_done(key, result, self._checked_now_ms())
 
     def _hello(self, session: int) -> Hello:
         stamp = self.node.configuration.keeper.stamp
@@ -298,13 +299,13 @@
         return self.node.heartbeat(sequence, self.now_ms())
 
     async def _tick(self) -> None:
-        looked_at_ms = -LOOK_EVERY_MS
+        links_updated_at_ms = -LINK_UPDATE_INTERVAL_MS
         while True:
-            now_ms = self._observe()
+            now_ms = self._checked_now_ms()
             self.node.tick(now_ms)
-            if now_ms - looked_at_ms >= LOOK_EVERY_MS:
-                looked_at_ms = now_ms
-                self._look_around(now_ms)
+            if now_ms - links_updated_at_ms >= LINK_UPDATE_INTERVAL_MS:
+                links_updated_at_ms = now_ms
+                self._update_links(now_ms)
             if self.node.lifecycle.state is NodeState.LEAVING:
                 self.node.lifecycle.tick(now_ms, in_flight=self.node.in_flight)
             if self.node.lifecycle.state is NodeState.STOPPED:
@@ -313,13 +314,13 @@
             tick_ms = BUSY_TICK_MS if self.node.in_flight else IDLE_TICK_MS
             await asyncio.sleep(tick_ms / 1000)
 
-    def _look_around(self, now_ms: float) -> None:
+    def _update_links(self, now_ms: float) -> None:
         self.usage.tick(now_ms)
         self.links.follow_plan()
         if self.membership.self_leaving:
             self.leave()
 
-    def _run(self, coroutine) -> None:
+    def _start_task(self, coroutine) -> None:
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._task_ended)
--- a/packages/sassafraswinch-node/sassafraswinch_node/settings.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: what it can't learn from the platform."""
+"""Settings of a node, which the platform doesn't provide."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -30,11 +30,11 @@
 def _check_platform_url(text: str) -> str:
     parts = urlsplit(text)
     if parts.scheme != "http" or parts.query or parts.fragment:
-        raise ValueError("expected http://ip:port")
+        raise ValueError("expected a URL of the form http://ip:port")
     try:
         ipaddress.ip_address(parts.hostname or "")
     except ValueError:
-        raise ValueError(f"{parts.hostname!r} is not an IP number") from None
+        raise ValueError(f"{parts.hostname!r} is not an IP address") from None
     return text.rstrip("/")
 
 
@@ -43,7 +43,7 @@
 
 
 class SettingsModel(BaseModel):
-    """The settings file as it must be written."""
+    """Schema of the settings file."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -70,13 +70,15 @@
         texts = [self.entry, self.egress, self.operators, self.link]
         fixed = [text for text in texts if parse_address(text).port]
         if len(set(fixed)) != len(fixed):
-            raise ValueError("entry, egress, operators and link need addresses apart")
+            raise ValueError(
+                "entry, egress, operators and link must have different addresses"
+            )
         return self
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """Checked settings of one node."""
+    """Validated settings of one node."""
 
     host: str
     availability_zone: str
@@ -92,11 +94,12 @@
     max_connections: int
     max_body_bytes: int
     list_leave_delay_ms: int
-    """How long after its start a node ignores that the host list says it leaves."""
+    """Time after the start during which a node ignores that the host list marks its own
+    host as leaving."""
     leave_notice_ms: int
-    """How long a leaving node tells the others before it stops to listen."""
+    """Time between a leaving node's notice to its peers and the end of listening."""
     stop_timeout_ms: int
-    """After this, requests still in flight are cut and named in the log."""
+    """Time after which requests still in flight are aborted and logged."""
     log_level: str
 
 
@@ -104,30 +107,31 @@
 
 
 def parse_settings(text: str, *, source: str) -> Settings:
-    """Read the YAML of a settings file.
+    """Parse and validate a settings file.
 
     Args:
-        text: the YAML.
+        text: the YAML text.
         source: name of the file, for error messages.
 
     Raises:
-        InvalidFieldsError: with one InvalidFieldError for each fault.
+        InvalidFieldsError: the settings are invalid; it holds one InvalidFieldError for
+            each fault.
     """
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as error:
-        reason = f"not YAML: {error}"
+        reason = f"invalid YAML: {error}"
         raise settings_faults(source, [("(file)", reason)]) from None
     if not isinstance(raw, dict):
-        raise settings_faults(source, [("(file)", "expected a mapping of fields")])
+        raise settings_faults(source, [("(file)", "expected a YAML mapping of fields")])
     try:
         model = SettingsModel.model_validate(raw)
     except ValidationError as error:
-        found = [
+        faults = [
             (".".join(map(str, item["loc"])) or "(file)", item["msg"])
             for item in error.errors()
         ]
-        raise settings_faults(source, found) from None
+        raise settings_faults(source, faults) from None
     fields = model.model_dump()
     fields |= {name: parse_address(fields[name]) for name in ADDRESS_FIELDS}
     fields["platform"] = tuple(model.platform)
@@ -135,10 +139,10 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
-        InvalidFieldsError: if the file can't be read or has faults.
+        InvalidFieldsError: the file can't be read or is invalid.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -149,15 +153,15 @@
     return parse_settings(text, source=str(path))
 
 
-def settings_faults(source: str, found: list[tuple[str, str]]) -> InvalidFieldsError:
-    """Return the error that names all faults of a settings file.
+def settings_faults(source: str, faults: list[tuple[str, str]]) -> InvalidFieldsError:
+    """Return an error that lists all faults of a settings file.
 
     Args:
-        source: the file.
-        found: field and reason of each fault.
+        source: name of the file.
+        faults: field and reason of each fault.
     """
     errors = [
         InvalidFieldError(source=source, field=field, reason=reason)
-        for field, reason in found
+        for field, reason in faults
     ]
     return InvalidFieldsError(f"{source}: {len(errors)} fault(s)", errors)
--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -1,4 +1,4 @@
-"""Takes the snapshot of a node that operators see."""
+"""Status snapshot of a node, as shown to operators."""
 
 from sassafraswinch.hosts import HostView
 from sassafraswinch.node import Node
@@ -12,7 +12,7 @@
 def take_status(
     *, settings: Settings, node: Node, pool: LinkPool, usage: UsageMeter, now_ms: float
 ) -> Status:
-    """Return what a node says of itself at this moment."""
+    """Return the current status of a node."""
     load = node.executor.load(now_ms)
     report = node.configuration.keeper.report(now_ms)
     return Status(
@@ -32,7 +32,7 @@
         queue_delay_ms=load.queue_delay_ms,
         threshold=load.threshold,
         owned_calls=len(node.owner.open),
-        links=_links(pool),
+        links=_link_statuses(pool),
         hosts=tuple(_host_status(node, view) for view in node.membership.views(now_ms)),
         counters=dict(node.counters()),
         cpu_percent=usage.cpu_percent,
@@ -42,7 +42,7 @@
 
 
 def document_faults(report: KeeperReport) -> tuple[str, ...]:
-    """Return in words why a newer document isn't in force, or has two contents."""
+    """Describe refused, conflicting and undelivered versions of the document."""
     faults = [str(error) for error in report.refusal.errors] if report.refusal else []
     faults += [
         f"version {conflict.version} was published with two contents:"
@@ -50,13 +50,13 @@
         for conflict in report.conflicts
     ]
     faults += [
-        f"{peer} claims a newer version and didn't deliver it"
+        f"{peer} announced a newer version but did not deliver it"
         for peer in report.undelivered
     ]
     return tuple(faults)
 
 
-def _links(pool: LinkPool) -> tuple[LinkStatus, ...]:
+def _link_statuses(pool: LinkPool) -> tuple[LinkStatus, ...]:
     errors = pool.errors()
     open_links = [
         LinkStatus(
@@ -67,11 +67,11 @@
         )
         for host, link in pool.links().items()
     ]
-    failed = [
+    failed_links = [
         LinkStatus(host=host, state=f"down: {reason}", session=0, silent_ms=0.0)
         for host, reason in errors.items()
     ]
-    return tuple(open_links + failed)
+    return tuple(open_links + failed_links)
 
 
 def _host_status(node: Node, view: HostView) -> HostStatus:
--- a/packages/sassafraswinch-node/sassafraswinch_node/stopping.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/stopping.py
@@ -1,14 +1,14 @@
-"""What a node says in its log about the calls that a cut ends."""
+"""Log lines for the calls that a forced stop of a node aborts."""
 
 from sassafraswinch.node import Node
 from sassafraswinch_node.logs import log_event
 
 
-def log_cut(node: Node) -> int:
-    """Name each call in flight in the log.
+def log_aborted_calls(node: Node) -> int:
+    """Log each call in flight.
 
     Returns:
-        How many there are.
+        The number of calls in flight.
     """
     for owned in node.awaited_calls():
         log_event(
--- a/packages/sassafraswinch-node/tests/test_settings.py
+++ b/packages/sassafraswinch-node/tests/test_settings.py
@@ -73,7 +73,7 @@
 
 def test_listeners_on_one_address():
     found = faults_of(GOOD | {"entry": "127.0.0.1:80", "link": "127.0.0.1:80"})
-    assert "addresses apart" in found["(file)"]
+    assert "must have different addresses" in found["(file)"]
 
 
 @pytest.mark.parametrize("text", ["- a\n- b\n", "host: [", ""])
