--- a/packages/sassafraswinch-node/tests/conftest.py
+++ b/packages/sassafraswinch-node/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A scripted HTTP server and a fleet of real processes, shared by tests."""
+"""Fixtures: a scripted HTTP server and a fleet of real processes."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 class RawServer:
-    """Answers each request with the next reply of a script.
+    """HTTP server that sends the next scripted reply to each request.
 
-    A reply is bytes to send; None closes the connection without a word, ``END``
-    after bytes closes it after them.
+    A reply is bytes to send; None closes the connection without a reply, and a reply
+    that ends with ``END`` closes the connection after it.
     """
 
     END = b"<end>"
@@ -67,7 +67,7 @@
 
 @pytest.fixture(scope="session")
 def shared_fleet(tmp_path_factory):
-    """A fleet for tests that leave it as it was; starting one takes seconds."""
+    """Fleet for tests that restore its state, since starting one takes seconds."""
     directory = tmp_path_factory.mktemp("shared")
     with Fleet(graph=chain(overview=True), directory=directory) as fleet:
         yield fleet
--- a/packages/sassafraswinch-node/tests/test_backend.py
+++ b/packages/sassafraswinch-node/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Calls to a backend server: sent once, and answered whole or not at all."""
+"""Tests of BackendClient: calls are sent once and return only complete responses."""
 
 import asyncio
 import gzip
@@ -35,11 +35,11 @@
 
 
 @pytest.mark.parametrize("method", ["PUT", "GET", "DELETE", "POST"])
-async def test_dropped_kept_connection_is_not_tried_again(server, client, method):
-    """A backend server drops a kept connection after it has read a request.
+async def test_request_on_dropped_connection_is_not_retried(server, client, method):
+    """A backend server closes a persistent connection after it has read a request.
 
-    Nobody knows whether the request ran. A client that sends it again by itself,
-    as aiosonic's does for methods like PUT, would approve an order twice.
+    Whether the request was executed is unknown. A client that retries it, as
+    aiosonic's does for methods like PUT, could approve an order twice.
     """
     server.replies = [OK, None, OK]
     await call(client, method)
@@ -48,16 +48,16 @@
     assert len(server.requests) == 2
 
 
-async def test_connection_closed_while_idle_is_not_used(server, client):
+async def test_connection_closed_while_idle_is_not_reused(server, client):
     """A backend server closes an idle connection, as all do after some seconds.
 
-    A request written to it would get no answer, and its caller would be told that
-    it may have run, for nothing. The close may not even have been read yet.
+    A request written to it would get no response and be reported as may-have-run
+    although it never ran. The event loop may not have read the close yet.
     """
     server.replies = [OK] * 3
     await call(client)
     server.writers[0].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
-    await call(client)  # the loop has had no chance to read the close
+    await call(client)  # the event loop has not read the close yet
     server.writers[1].close()
     await asyncio.sleep(0.02)
     await call(client)
@@ -72,11 +72,11 @@
         ("HEAD", OK),
     ],
 )
-async def test_unasked_bytes_never_reach_the_next_caller(server, client, method, reply):
-    """A backend server sends more than the answer to a request.
+async def test_excess_bytes_never_reach_the_next_caller(server, client, method, reply):
+    """A backend server sends more than the response to a request.
 
-    The rest must not be given to the next caller on that connection, nor what
-    comes later while nobody waits for it.
+    Neither the excess bytes nor bytes that arrive while no request is pending may be
+    returned to the next caller on that connection.
     """
     server.replies = [reply, OK, OK]
     await call(client, method)
@@ -105,10 +105,10 @@
     assert (error.verdict, error.reason) == (NOT_RUN, Reason.BACKEND_UNREACHABLE)
 
 
-async def test_connection_that_is_closed_at_once_is_not_run():
-    """A backend server at its limit of connections closes new ones at once.
+async def test_connection_closed_on_accept_is_not_run():
+    """A backend server at its connection limit closes new connections at once.
 
-    Nothing of the request was written yet, so it has not run for certain.
+    Nothing of the request was written, so it certainly has not run.
     """
     closing = await asyncio.start_server(
         lambda reader, writer: writer.close(), "127.0.0.1", 0
@@ -116,12 +116,14 @@
     ip, port = closing.sockets[0].getsockname()
     client = backend.BackendClient(ip=ip, port=port, max_connections=2)
     errors = [await failure(client) for _ in range(10)]
-    facts = {(error.verdict, error.reason) for error in errors}
-    assert facts == {(NOT_RUN, Reason.BACKEND_UNREACHABLE)}
+    verdicts = {(error.verdict, error.reason) for error in errors}
+    assert verdicts == {(NOT_RUN, Reason.BACKEND_UNREACHABLE)}
     closing.close()
 
 
-async def test_timeout_tells_whether_the_request_was_written(server, client):
+async def test_timeout_verdict_depends_on_whether_the_request_was_written(
+    server, client
+):
     server.replies = [b"", b""]
     waiting = [asyncio.create_task(call(client)) for _ in range(2)]
     while len(server.requests) < 2:
@@ -156,7 +158,7 @@
         b"SSH-2.0\r\n",
     ],
 )
-async def test_answer_that_is_not_whole_may_have_run(server, client, reply):
+async def test_incomplete_response_may_have_run(server, client, reply):
     server.replies = [reply + b"<end>"]
     error = await failure(client)
     assert (error.verdict, error.reason) == (MAY_HAVE_RUN, Reason.BACKEND_BROKEN)
@@ -174,14 +176,16 @@
         ("GET", b"HTTP/1.1 204 No Content\r\n\r\n", 204, b""),
     ],
 )
-async def test_whole_answers_of_each_form(server, client, method, reply, status, body):
+async def test_complete_responses_of_each_form(
+    server, client, method, reply, status, body
+):
     server.replies = [reply, OK]
-    answer = await call(client, method)
-    assert (answer.status, answer.body) == (status, body)
+    response = await call(client, method)
+    assert (response.status, response.body) == (status, body)
     assert (await call(client)).body == b"ok"
 
 
-async def test_answer_is_passed_on_untouched(server, client):
+async def test_response_is_forwarded_unchanged(server, client):
     body = gzip.compress(b"whole" * 100)
     head = (
         b"HTTP/1.1 200 OK\r\nSet-Cookie: a=1\r\nContent-Encoding: gzip\r\n"
@@ -189,9 +193,9 @@
         b"X-Hop: 1\r\nContent-Length: %d\r\n\r\n" % len(body)
     )
     server.replies = [head + body, OK]
-    answer = await call(client)
-    assert answer.body == body
-    assert answer.headers == (
+    response = await call(client)
+    assert response.body == body
+    assert response.headers == (
         ("set-cookie", "a=1"),
         ("content-encoding", "gzip"),
         ("x-name", "caf\xe9"),
@@ -202,7 +206,7 @@
     assert b"cookie" not in server.requests[1].lower()
 
 
-async def test_request_is_passed_on_untouched(server, client):
+async def test_request_is_forwarded_unchanged(server, client):
     server.replies = [OK]
     headers = (("x-a", "1"), ("cookie", "c=\xe9"), ("x-a", "2"), ("te", "trailers"))
     await call(client, "GET", "/a%20b?q=1", headers, b"body of a GET")
@@ -225,25 +229,24 @@
         {"headers": (("x-a", "\u20ac"),)},
     ],
 )
-async def test_request_that_would_be_read_as_another_is_not_run(client, arguments):
+async def test_request_with_invalid_characters_is_not_run(client, arguments):
     error = await failure(client, **arguments)
     assert (error.verdict, error.reason) == (NOT_RUN, Reason.BAD_REQUEST)
 
 
-async def test_longest_answer_arrives_and_a_longer_one_is_refused(server, client):
-    for size in (backend.MAX_ANSWER_BYTES, backend.MAX_ANSWER_BYTES + 1):
+async def test_longest_response_is_read_and_a_longer_one_refused(server, client):
+    for size in (backend.MAX_RESPONSE_BYTES, backend.MAX_RESPONSE_BYTES + 1):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size
         server.replies.append(head + bytes(size))
-    assert len((await call(client)).body) == backend.MAX_ANSWER_BYTES
+    assert len((await call(client)).body) == backend.MAX_RESPONSE_BYTES
     assert (await failure(client)).reason is Reason.TOO_LARGE
 
 
-async def test_connection_whose_request_is_not_all_sent_is_not_used_again(
-    server, client
-):
-    """A backend server answers before it has read the body, and may close for it.
+async def test_connection_with_an_unfinished_request_is_not_reused(server, client):
+    """A backend server responds before it has read the body, and may then close.
 
-    A second request on that connection would meet the close and might have run.
+    A second request on that connection could fail without it being known whether it
+    was executed.
     """
     server.reads_bodies = False
     server.replies = [OK, OK]
@@ -254,6 +257,6 @@
 
 async def test_many_calls_share_few_connections(server, client):
     server.replies = [OK] * 1200
-    answers = await asyncio.gather(*[call(client) for _ in range(1200)])
-    assert {answer.body for answer in answers} == {b"ok"}
+    responses = await asyncio.gather(*[call(client) for _ in range(1200)])
+    assert {response.body for response in responses} == {b"ok"}
     assert (len(server.requests), server.connections) == (1200, 2)
--- a/packages/sassafraswinch-node/tests/test_http_status.py
+++ b/packages/sassafraswinch-node/tests/test_http_status.py
@@ -1,4 +1,4 @@
-"""Outcomes as HTTP: status, verdict, reason and time to come back."""
+"""Tests of HTTP status and headers for outcomes: verdict, reason and retry-after."""
 
 import pytest
 
@@ -22,7 +22,7 @@
     assert outcome_status(Outcome(verdict=verdict, reason=reason)) == status
 
 
-def test_answer_keeps_status_headers_and_body():
+def test_response_keeps_status_headers_and_body():
     outcome = Outcome(
         verdict=Verdict.ANSWERED,
         status=201,
@@ -39,7 +39,7 @@
 
 
 def test_backend_server_cannot_forge_a_verdict():
-    """A backend server sends the system's own header; the caller must not see it."""
+    """A backend server sends a verdict header; it must not reach the caller."""
     outcome = Outcome(
         verdict=Verdict.ANSWERED,
         status=200,
--- a/packages/sassafraswinch-node/tests/test_listeners.py
+++ b/packages/sassafraswinch-node/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""HTTP listeners: what connections they accept are set to."""
+"""Tests of the socket options of connections accepted by HTTP listeners."""
 
 import asyncio
 import socket
@@ -8,7 +8,7 @@
 
 
 class RecordingApp:
-    """Answers every request and keeps its transport's socket options."""
+    """ASGI application that records the TCP_NODELAY option of its connection."""
 
     def __init__(self):
         self.no_delay = None
@@ -21,12 +21,12 @@
         await send({"type": "http.response.body", "body": b"whole"})
 
 
-async def test_accepted_connections_send_without_delay():
-    """Every answer over a node took 44 ms more than the direct call.
+async def test_accepted_connections_have_tcp_nodelay():
+    """A response through a node takes 44 ms longer than a direct call.
 
-    Head and body of an answer are two writes. The listening socket was made with
-    protocol 0, and asyncio sets TCP_NODELAY only where the protocol is TCP. So the
-    body waited for the acknowledgement of the head, which the peer delays by 40 ms.
+    Head and body of a response are two writes. With a listening socket of protocol 0,
+    asyncio doesn't set TCP_NODELAY, which it does only for protocol TCP. The body then
+    waits for the acknowledgement of the head, which the peer delays by 40 ms.
     """
     app = RecordingApp()
     listener = HttpListener(app=app, address=Address(ip="127.0.0.1", port=0))
@@ -34,8 +34,8 @@
     address = listener.address
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(b"GET / HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n")
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
     await listener.stop()
-    assert b"whole" in answer
+    assert b"whole" in response
     assert app.no_delay == 1
--- a/packages/sassafraswinch-node/tests/test_operators.py
+++ b/packages/sassafraswinch-node/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' endpoint, over a real listener."""
+"""Tests of the operators' endpoint through a real listener."""
 
 import dataclasses
 import json
@@ -48,7 +48,7 @@
 
 
 class FakeNode:
-    """Something to take snapshots of."""
+    """Source of status and burn snapshots that counts the burn reports."""
 
     def __init__(self):
         self.status = STATUS
@@ -74,7 +74,7 @@
 
 
 class Endpoint(FakeNode):
-    """A node's listener with a client of it."""
+    """An operators' listener and a client connected to it."""
 
     def __init__(self):
         super().__init__()
@@ -106,41 +106,43 @@
     }
 
 
-async def test_status_arrives_whole(endpoint):
-    answer = await endpoint.get("/status")
-    assert parse_status(answer.body, source="node") == STATUS
+async def test_status_is_complete(endpoint):
+    response = await endpoint.get("/status")
+    assert parse_status(response.body, source="node") == STATUS
 
 
-async def test_metrics_are_read_from_one_snapshot_when_asked(endpoint):
+async def test_metrics_come_from_one_snapshot_for_each_scrape(endpoint):
     endpoint.record("approve")
     endpoint.record("approve", Reason.OVERLOADED)
     assert endpoint.snapshots == 0
-    found = await samples(endpoint)
+    values = await samples(endpoint)
     assert endpoint.snapshots == 1
-    assert found["sassafraswinch_queue_delay_seconds",] == 0.0025
-    assert found["sassafraswinch_retries_total",] == 3
-    assert found["sassafraswinch_links", "down"] == 1
-    assert found["sassafraswinch_hosts", "leaving", "vydej"] == 1
-    assert found["sassafraswinch_hosts", "linked", "vydej"] == 2
-    assert found["sassafraswinch_calls_total", "approve", "good", "paying"] == 1
+    assert values["sassafraswinch_queue_delay_seconds",] == 0.0025
+    assert values["sassafraswinch_retries_total",] == 3
+    assert values["sassafraswinch_links", "down"] == 1
+    assert values["sassafraswinch_hosts", "leaving", "vydej"] == 1
+    assert values["sassafraswinch_hosts", "linked", "vydej"] == 2
+    assert values["sassafraswinch_calls_total", "approve", "good", "paying"] == 1
     assert (
-        found["sassafraswinch_not_answered_total", "approve", "overloaded", "paying"]
+        values["sassafraswinch_not_answered_total", "approve", "overloaded", "paying"]
         == 1
     )
-    assert found["sassafraswinch_burn_rate", "1m", "approve", "paying"] == 50
-    assert found[
+    assert values["sassafraswinch_burn_rate", "1m", "approve", "paying"] == 50
+    assert values[
         "sassafraswinch_latency_seconds", "0.99", "5m", "approve", "paying"
     ] == pytest.approx(0.05, rel=0.01)
 
 
-async def test_names_from_a_document_cannot_break_the_metrics(endpoint):
+async def test_metric_labels_are_escaped(endpoint):
     name = 'a"b\\c\nd{} 1'
     endpoint.record(name)
-    found = await samples(endpoint)
-    assert found[("sassafraswinch_calls_total", *sorted([name, "good", "paying"]))] == 1
+    values = await samples(endpoint)
+    assert (
+        values[("sassafraswinch_calls_total", *sorted([name, "good", "paying"]))] == 1
+    )
 
 
-async def test_burn_as_json_and_as_a_page(endpoint):
+async def test_burn_report_as_json_and_html(endpoint):
     endpoint.record(HOSTILE, Reason.EVICTED)
     report = parse_report((await endpoint.get("/burn")).body, source="node")
     assert report.series[0].operation == HOSTILE
@@ -154,32 +156,32 @@
 )
 async def test_health_follows_the_state(endpoint, state, status):
     endpoint.status = dataclasses.replace(STATUS, state=state)
-    answer = await endpoint.get("/health")
-    assert (answer.status, json.loads(answer.body)) == (status, {"state": state})
+    response = await endpoint.get("/health")
+    assert (response.status, json.loads(response.body)) == (status, {"state": state})
 
 
-async def test_nothing_can_be_changed_through_the_endpoint(endpoint):
+async def test_endpoint_is_read_only(endpoint):
     for path in ("/status", "/burn", "/metrics", "/health"):
-        answer = await endpoint.client.request(
+        response = await endpoint.client.request(
             method="POST", target=path, timeout_ms=5000
         )
-        assert answer.status == 405
+        assert response.status == 405
 
 
-def test_picture_shows_shares_and_rates_of_each_series():
+def test_chart_shows_shares_and_rates_of_each_series():
     node = FakeNode()
     for _ in range(3):
         node.record("approve")
     node.record("approve", Reason.OVERLOADED)
-    picture = burn_picture(node.burn())
+    chart = burn_picture(node.burn())
     widths = [
         float(box.get("width"))
-        for box in picture.iter("rect")
+        for box in chart.iter("rect")
         if box.find("title") is not None
     ]
     assert widths == [195.0, 65.0]
-    texts = [element.text for element in picture.iter("text")]
+    texts = [element.text for element in chart.iter("text")]
     assert texts.count("25.0") == 5
-    assert ElementTree.tostring(
-        picture, encoding="unicode", method="html"
-    ) in burn_page(node.burn())
+    assert ElementTree.tostring(chart, encoding="unicode", method="html") in burn_page(
+        node.burn()
+    )
--- a/packages/sassafraswinch-node/tests/test_platform.py
+++ b/packages/sassafraswinch-node/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Reads of the platform: typed results, bounds, and one read for each call."""
+"""Tests of PlatformClient: typed results, size limits, and one read for each call."""
 
 import asyncio
 import json
@@ -73,7 +73,7 @@
         (reply([{}] * 2), "and 9 more"),
     ],
 )
-async def test_wrong_answer_is_refused_whole(server, client, answer, reason):
+async def test_invalid_response_is_refused(server, client, answer, reason):
     server.replies = [answer]
     with pytest.raises(platform.PlatformAnswerError, match=reason):
         await client.hosts()
@@ -89,11 +89,11 @@
         await client.document()
 
 
-async def test_platform_that_hangs_costs_one_read_and_a_timeout(server, client):
-    """The platform takes connections but answers nothing.
+async def test_unresponsive_platform_gets_one_read_with_a_timeout(server, client):
+    """The platform accepts connections but sends no response.
 
-    A client that tried again by itself would multiply the reads of a fleet just
-    when the platform is in trouble.
+    A client that retried would multiply the reads of a fleet while the platform is
+    overloaded or failing.
     """
     server.replies = [b""]
     with pytest.raises(platform.PlatformUnreachableError, match="200"):
@@ -101,7 +101,7 @@
     assert len(server.requests) == 1
 
 
-async def test_dropped_watch_is_not_read_again(server, client):
+async def test_dropped_watch_is_not_retried(server, client):
     server.replies = [reply(b"version: 12"), None, reply(b"version: 13")]
     await client.document()
     with pytest.raises(platform.PlatformUnreachableError):
@@ -109,7 +109,7 @@
     assert len(server.requests) == 2
 
 
-async def test_failed_read_moves_all_streams_to_the_next_address(server):
+async def test_failed_read_moves_all_reads_to_the_next_address(server):
     good = "http://{}:{}".format(*server.address)
     closed = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     port = closed.sockets[0].getsockname()[1]
@@ -127,6 +127,6 @@
 
 
 @pytest.mark.parametrize("url", ["https://10.0.0.1", "http://platform", "10.0.0.1:80"])
-def test_url_without_an_ip_number_is_refused(url):
+def test_url_without_an_ip_address_is_refused(url):
     with pytest.raises(ValueError):
         platform.PlatformClient(urls=[url])
--- a/packages/sassafraswinch-node/tests/test_platform_watch.py
+++ b/packages/sassafraswinch-node/tests/test_platform_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the rests between reads of the platform, on a clock that jumps."""
+"""Tests of the pauses between reads of the platform, on a simulated clock."""
 
 import asyncio
 import random
@@ -11,8 +11,8 @@
 from sassafraswinch_node.platform import PublishedDocument, PublishedHosts
 from sassafraswinch_node.platform_watch import PlatformWatch
 
-PROMISE_S = 9.0
-"""Time within which an accepted change is in force everywhere."""
+PROPAGATION_LIMIT_S = 9.0
+"""Guaranteed time within which an accepted change is in force everywhere."""
 
 SEEDS = range(20)
 
@@ -30,7 +30,7 @@
 
 
 class FakePlatform:
-    """Publishes one document and, after a while, one host list; notes the reads."""
+    """Publishes a document and, after a delay, a host list; records document reads."""
 
     def __init__(self, *, hosts, list_after_s):
         self.records = tuple(map(record, hosts))
@@ -68,7 +68,7 @@
     )
 
 
-def link(membership, host):
+def connect(membership, host):
     now_ms = asyncio.get_running_loop().time() * 1000
     membership.link_up(host, 1, now_ms)
     membership.heard(NodeId(host, 1), Load(), now_ms)
@@ -76,39 +76,39 @@
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_node_of_a_small_fleet_watches_as_soon_as_it_knows_its_size(seed):
-    """The document is read before the host list tells that there are four hosts.
+async def test_node_of_a_small_fleet_shortens_its_pause_once_it_knows_the_size(seed):
+    """The document is read before the host list, which has only four hosts.
 
-    A rest drawn for 560 nodes lasts up to seven minutes. Had all four nodes read in
-    this order, no one would have seen a change for that long.
+    A pause chosen for 560 nodes lasts up to seven minutes. If all four nodes read in
+    this order, a change would go unnoticed for that long.
     """
     membership = Membership(self_host="vydej-1")
     hosts = ["vydej-1", "vydej-2", "vydej-3", "vydej-4"]
     platform = FakePlatform(hosts=hosts, list_after_s=3)
-    watching = asyncio.create_task(make_watch(platform, membership, seed).run())
+    watch_task = asyncio.create_task(make_watch(platform, membership, seed).run())
     await asyncio.sleep(4)
-    link(membership, "vydej-2")
-    await asyncio.sleep(PROMISE_S)
-    watching.cancel()
+    connect(membership, "vydej-2")
+    await asyncio.sleep(PROPAGATION_LIMIT_S)
+    watch_task.cancel()
 
     first_s, second_s, *_ = platform.document_reads_s
-    assert second_s - first_s < PROMISE_S
+    assert second_s - first_s < PROPAGATION_LIMIT_S
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("seed", range(4))
 async def test_node_of_a_large_fleet_reads_when_its_last_link_is_lost(seed):
-    """A node rests for minutes, since its peers tell it of changes; they are gone."""
+    """A node pauses for minutes and relies on its peers, whose links are then lost."""
     membership = Membership(self_host="vydej-1")
     hosts = [f"vydej-{number}" for number in range(1, 561)]
     membership.learn(map(record, hosts), 0)
     platform = FakePlatform(hosts=hosts, list_after_s=0)
-    link(membership, "vydej-2")
-    watching = asyncio.create_task(make_watch(platform, membership, seed).run())
+    connect(membership, "vydej-2")
+    watch_task = asyncio.create_task(make_watch(platform, membership, seed).run())
     await asyncio.sleep(300)
     lost_s = asyncio.get_running_loop().time()
     membership.link_lost("vydej-2", lost_s * 1000)
-    await asyncio.sleep(PROMISE_S + 15)
-    watching.cancel()
+    await asyncio.sleep(PROPAGATION_LIMIT_S + 15)
+    watch_task.cancel()
 
     assert any(read_s > lost_s for read_s in platform.document_reads_s)
--- a/packages/sassafraswinch-node/tests/test_process_document.py
+++ b/packages/sassafraswinch-node/tests/test_process_document.py
@@ -1,4 +1,4 @@
-"""Changes of the document reach every node and never revert, whatever is cut off."""
+"""Tests that changes of the document reach every node and are never reverted."""
 
 from contextlib import suppress
 
@@ -10,12 +10,12 @@
 from sassafraswinch_standins.polling import wait_until
 from sassafraswinch_standins.recovery import recover
 
-CUT_OFF = "brno-b"
-"""The availability zone that loses the platform."""
+DISCONNECTED_ZONE = "brno-b"
+"""The availability zone that loses its connection to the platform."""
 
 
 class Documents:
-    """Publishes versions of the fleet's document, each greater than the last."""
+    """Publishes versions of the fleet's document, each greater than the one before."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -40,7 +40,7 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet):
+def recovered_fleet(fleet):
     fleet.control_platform(mode="up")
     recover(fleet)
 
@@ -63,7 +63,7 @@
     )
 
 
-def ask_all(fleet, asker, path):
+def request_from_all(fleet, asker, path):
     return {
         host.name: asker.ask(host.entry, asker.new("GET", path)).told
         for host in fleet.hosts.values()
@@ -71,31 +71,31 @@
 
 
 def test_change_of_labels_is_in_force_on_every_node(fleet, documents, asker):
-    """Operators make a lookup non-repeatable, and touch no service."""
-    before = set(ask_all(fleet, asker, ORDER_STATE).values())
+    """Operators make a lookup non-repeatable without changing a service."""
+    before = set(request_from_all(fleet, asker, ORDER_STATE).values())
     assert before == {(200, "answered", None)}
     version = documents.publish(
         non_repeatable=["action in (approval, release, lookup)"]
     )
     wait_in_force(fleet, version)
-    changed = set(ask_all(fleet, asker, ORDER_STATE).values())
-    assert changed == {(428, "not-run", "ticket-required")}
+    outcomes_after_change = set(request_from_all(fleet, asker, ORDER_STATE).values())
+    assert outcomes_after_change == {(428, "not-run", "ticket-required")}
 
     wait_in_force(fleet, documents.publish())
-    assert set(ask_all(fleet, asker, ORDER_STATE).values()) == before
+    assert set(request_from_all(fleet, asker, ORDER_STATE).values()) == before
 
 
-def test_zone_without_the_platform_hears_of_changes_from_peers(fleet, documents):
-    """An availability zone loses the platform, not its links to the others.
+def test_zone_without_the_platform_receives_changes_from_peers(fleet, documents):
+    """An availability zone loses the platform but keeps its links to other zones.
 
-    A change that the operators publish then must be in force there as well.
+    A change that the operators publish in this state must take effect there too.
     """
-    fleet.control_platform(CUT_OFF, mode="down")
+    fleet.control_platform(DISCONNECTED_ZONE, mode="down")
     wait_in_force(fleet, documents.publish())
 
 
 def test_invalid_document_is_refused_and_the_old_one_stays(fleet, documents, asker):
-    """Operators publish a document with a misspelt selector."""
+    """Operators publish a document that fails validation."""
     fleet.control_platform(
         document={"version": documents.version + 1, "classes": [{"name": "", "x": 1}]}
     )
@@ -106,16 +106,17 @@
 
     wait_until("refused on all nodes", refused)
     assert set(versions(fleet).values()) == {documents.version - 1}
-    served = set(ask_all(fleet, asker, ORDER_STATE).values())
-    assert served == {(200, "answered", None)}
+    outcomes = set(request_from_all(fleet, asker, ORDER_STATE).values())
+    assert outcomes == {(200, "answered", None)}
     wait_in_force(fleet, documents.publish())
 
 
 def test_restarted_node_never_serves_a_stale_document(fleet, documents, asker):
-    """A node restarts while the platform gives out an old copy of the document.
+    """A node restarts while the platform serves an old version of the document.
 
-    It has no memory. Served on that copy, a lookup which is non-repeatable by now
-    would be retried and run twice, until the platform is fresh again.
+    The node keeps no state over restarts. With the old version, a lookup that is
+    non-repeatable by now would be retried and run twice, until the platform serves the
+    current version again.
     """
     stale = documents.version
     version = documents.publish(
@@ -126,63 +127,65 @@
     node, entry = fleet.node("schvaleni-1"), fleet.hosts["schvaleni-1"].entry
     node.kill()
     node.start()
-    told, seen = set(), set()
+    outcomes, versions_in_force = set(), set()
 
     def serves():
         reply = asker.ask(entry, asker.new("GET", STOCK))
         if reply.status:
-            told.add(reply.told)
+            outcomes.add(reply.told)
         with suppress(OSError):
-            seen.add(fleet.status("schvaleni-1")["document_version"])
+            versions_in_force.add(fleet.status("schvaleni-1")["document_version"])
         return reply.status == 428
 
     wait_until("restarted node serves", serves)
-    assert told <= {
+    assert outcomes <= {
         (503, "not-run", "no-document"),
         (428, "not-run", "ticket-required"),
     }
     assert set(versions(fleet).values()) == {version}
-    print("versions seen during the restart", seen)
+    print("versions in force during the restart", versions_in_force)
     fleet.control_platform(mode="up")
     wait_in_force(fleet, documents.publish())
 
 
 def test_fleet_serves_through_an_outage_of_the_platform(fleet, asker):
-    """The platform goes down; a node restarts during the outage and serves again.
+    """The platform is down; a node restarts during the outage and serves again.
 
-    Its document and the addresses of the other hosts can only come from its peers.
+    It can get the document and the addresses of the other hosts only from its peers.
     """
     fleet.control_platform(mode="down")
     node = fleet.node("schvaleni-1")
     node.kill()
     node.start()
     wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-    served = ask_all(fleet, asker, ORDER_STATE) | ask_all(fleet, asker, STOCK)
-    assert set(served.values()) == {(200, "answered", None)}
+    outcomes = request_from_all(fleet, asker, ORDER_STATE) | request_from_all(
+        fleet, asker, STOCK
+    )
+    assert set(outcomes.values()) == {(200, "answered", None)}
 
 
-def test_fleet_that_starts_without_the_platform_refuses_until_it_is_there(
+def test_fleet_started_without_the_platform_refuses_until_it_is_available(
     tmp_path, asker
 ):
-    """All nodes start while the platform is down: nobody holds a document.
+    """All nodes start while the platform is down, so no node has a document.
 
-    Callers are told at once that nothing was run and when to come back, and are
-    served as soon as the platform is there.
+    Requests are refused at once as not-run with a retry time, and are served as soon as
+    the platform is available.
     """
     graph = chain()
     with StartedWithoutPlatform(graph=graph, directory=tmp_path / "cold") as fleet:
-        told = ask_all(fleet, asker, STOCK)
-        assert set(told.values()) == {(503, "not-run", "no-document")}
+        outcomes = request_from_all(fleet, asker, STOCK)
+        assert set(outcomes.values()) == {(503, "not-run", "no-document")}
         states = {fleet.status(host)["state"] for host in fleet.hosts}
         assert states == {"syncing"}
         fleet.control_platform(mode="up")
         wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-        told = ask_all(fleet, asker, ORDER_STATE)
-        assert set(told.values()) == {(200, "answered", None)}
+        outcomes = request_from_all(fleet, asker, ORDER_STATE)
+        assert set(outcomes.values()) == {(200, "answered", None)}
 
 
 class StartedWithoutPlatform(Fleet):
-    """A fleet whose platform is down when the nodes start."""
+    """A fleet whose platform is down while the nodes start."""
 
     def wait_ready(self, hosts=None):
         def listening():
--- a/packages/sassafraswinch-node/tests/test_process_kill.py
+++ b/packages/sassafraswinch-node/tests/test_process_kill.py
@@ -1,4 +1,4 @@
-"""Nodes that are killed while calls run: honest verdicts, and no second run."""
+"""Tests of nodes killed while calls run: correct verdicts and no duplicate runs."""
 
 from collections import Counter
 
@@ -11,7 +11,7 @@
 from sassafraswinch_standins.recovery import recover
 
 RETRY_ALLOWANCE = 3
-"""Of the chain's document."""
+"""Retry allowance in the chain's document."""
 
 APPROVALS = 8
 LOOKUPS = 8
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def asker(fleet):
-    """An asker of a fleet that has recovered from the test before."""
+    """Client of a fleet that has recovered from the previous test."""
     recover(fleet)
     asker = Asker()
     yield asker
@@ -59,29 +59,30 @@
         assert not [i for i, count in runs.items() if count > 1], runs
 
 
-def test_killed_executing_node_leaves_approvals_that_may_have_run(fleet, asker):
+def test_approvals_on_a_killed_executing_node_may_have_run(fleet, asker):
     """SIGKILL of the executing node while eight approvals run on its backend server.
 
-    The owner can't know whether they ran: so it says, and not before a new run of
-    the node is there or the deadline has passed. The callers then send the same
-    tickets again, through the owner and through another node: nothing runs twice.
+    The owner can't know whether they ran. It returns may-have-run, and only once the
+    node has restarted or the deadline has passed. The callers then retry with the same
+    tickets through the owner and other nodes: nothing runs twice.
     """
-    through = entry(fleet, "vydej-1")
+    owner_address = entry(fleet, "vydej-1")
     approvals = [
-        asker.with_ticket(through, asker.new("POST", APPROVE)) for _ in range(APPROVALS)
+        asker.with_ticket(owner_address, asker.new("POST", APPROVE))
+        for _ in range(APPROVALS)
     ]
-    replies = asker.together(lambda a: asker.ask(through, a), approvals)
+    replies = asker.together(lambda a: asker.ask(owner_address, a), approvals)
     wait_all_started(fleet, approvals, "approve-order")
     fleet.node("schvaleni-1").kill()
     fleet.node("schvaleni-1").start()
 
-    told = Counter(reply.result().verdict for reply in replies)
-    assert told == {"may-have-run": APPROVALS}
+    outcomes = Counter(reply.result().verdict for reply in replies)
+    assert outcomes == {"may-have-run": APPROVALS}
     for host in ("vydej-1", "vydej-2", "schvaleni-1"):
-        again = asker.together(
+        retries = asker.together(
             lambda a, h=host: asker.ask(entry(fleet, h), a), approvals
         )
-        assert {reply.result().verdict for reply in again} == {"may-have-run"}
+        assert {reply.result().verdict for reply in retries} == {"may-have-run"}
     assert_at_most_once(fleet, approvals)
 
 
@@ -89,13 +90,13 @@
     """SIGKILL of the executing node while eight lookups run on its backend server.
 
     They are repeatable: each is retried on the host of the other availability zone,
-    within its allowance, and the callers notice nothing but the time. Those that come
-    after the kill meet a node that isn't there: nothing was written, so all of them,
-    approvals too, are served by the other host at once.
+    within its allowance, and succeeds with a delay. For requests that arrive after the
+    kill nothing was written to the dead node, so the other host serves all of them at
+    once, approvals as well.
     """
-    through = entry(fleet, "vydej-1")
+    owner_address = entry(fleet, "vydej-1")
     lookups = [asker.new("GET", ORDER_STATE) for _ in range(LOOKUPS)]
-    replies = asker.together(lambda a: asker.ask(through, a), lookups)
+    replies = asker.together(lambda a: asker.ask(owner_address, a), lookups)
     wait_all_started(fleet, lookups, "order-state")
     fleet.node("schvaleni-1").kill()
 
@@ -103,23 +104,25 @@
     assert {reply.result().fault for reply in replies} == {None}
     runs = runs_by_id(fleet, lookups, "order-state")
     assert set(runs.values()) == {2}
-    deeper = runs_by_id(fleet, lookups, "stock")
-    assert max(deeper.values()) <= 1 + RETRY_ALLOWANCE
+    child_runs = runs_by_id(fleet, lookups, "stock")
+    assert max(child_runs.values()) <= 1 + RETRY_ALLOWANCE
 
-    later = [asker.new("GET", ORDER_STATE) for _ in range(4)]
-    later += [asker.with_ticket(through, asker.new("POST", APPROVE)) for _ in range(4)]
-    replies = asker.together(lambda a: asker.ask(through, a), later)
-    told = Counter(reply.result().told for reply in replies)
-    assert told == {(200, "answered", None): 8}
-    assert_at_most_once(fleet, later)
+    later_requests = [asker.new("GET", ORDER_STATE) for _ in range(4)]
+    later_requests += [
+        asker.with_ticket(owner_address, asker.new("POST", APPROVE)) for _ in range(4)
+    ]
+    replies = asker.together(lambda a: asker.ask(owner_address, a), later_requests)
+    outcomes = Counter(reply.result().told for reply in replies)
+    assert outcomes == {(200, "answered", None): 8}
+    assert_at_most_once(fleet, later_requests)
 
 
-def test_killed_owner_never_lets_its_tickets_run_again(fleet, asker):
-    """SIGKILL of the owner while approvals that it dispatched run elsewhere.
+def test_tickets_of_a_killed_owner_never_run_again(fleet, asker):
+    """SIGKILL of the owner while approvals that it dispatched run on other nodes.
 
-    The callers' connections break. They repeat the same tickets through other nodes
-    while the owner is gone, and through its new run: each time the honest word is
-    "may have run", for all that dispatched them is forgotten.
+    The callers' connections break. They retry with the same tickets through other nodes
+    while the owner is down, and through the owner after its restart. Each time the
+    verdict is may-have-run, since the owner's record of its dispatches is lost.
     """
     owner = "vydej-1"
     approvals = [
@@ -132,37 +135,37 @@
     fleet.node(owner).kill()
     assert all(reply.result().broken for reply in replies)
 
-    again = asker.together(lambda a: asker.ask(entry(fleet, "vydej-2"), a), approvals)
-    assert {reply.result().told for reply in again} == {
+    retries = asker.together(lambda a: asker.ask(entry(fleet, "vydej-2"), a), approvals)
+    assert {reply.result().told for reply in retries} == {
         (502, "may-have-run", "ticket-owner-unreachable")
     }
     fleet.node(owner).start()
     fleet.wait_ready([owner])
     wait_until("owner linked again", lambda: fleet.sees_all("vydej-2"))
     for host in (owner, "vydej-2"):
-        again = asker.together(
+        retries = asker.together(
             lambda a, h=host: asker.ask(entry(fleet, h), a), [*approvals, unused]
         )
-        assert {reply.result().told for reply in again} == {
+        assert {reply.result().told for reply in retries} == {
             (502, "may-have-run", "ticket-owner-restarted")
         }
     assert_at_most_once(fleet, [*approvals, unused])
     assert not runs_by_id(fleet, [unused], "approve-order")
 
 
-def test_killed_owner_of_a_child_call_never_repeats_it(fleet, asker):
-    """SIGKILL of the node whose backend server has just called on to a release.
+def test_child_call_of_a_killed_owner_is_never_retried(fleet, asker):
+    """SIGKILL of the node whose backend server has just made a child call, a release.
 
-    That node owned the release. Its backend server gets no answer and the approval
-    fails; the caller's repeat must not release a second time.
+    That node owned the release. Its backend server gets no response and the approval
+    fails; the caller's retry must not run the release a second time.
     """
-    through = entry(fleet, "vydej-2")
-    approval = asker.with_ticket(through, asker.new("POST", APPROVE))
-    (reply,) = asker.together(lambda a: asker.ask(through, a), [approval])
+    owner_address = entry(fleet, "vydej-2")
+    approval = asker.with_ticket(owner_address, asker.new("POST", APPROVE))
+    (reply,) = asker.together(lambda a: asker.ask(owner_address, a), [approval])
     wait_all_started(fleet, [approval], "release-order")
     fleet.node("schvaleni-2").kill()
     fleet.node("schvaleni-2").start()
 
     assert reply.result().verdict == "may-have-run"
-    assert asker.ask(through, approval).verdict == "may-have-run"
+    assert asker.ask(owner_address, approval).verdict == "may-have-run"
     assert_at_most_once(fleet, [approval])
--- a/packages/sassafraswinch-node/tests/test_process_path.py
+++ b/packages/sassafraswinch-node/tests/test_process_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: callers, nodes, backend servers and back."""
+"""Tests of complete calls through real processes: callers, nodes, backend servers."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 from sassafraswinch_standins.control import call_json
 from sassafraswinch_standins.recovery import recover
 
-LONGEST_BODY_BYTES = 1_048_576
+MAX_BODY_BYTES = 1_048_576
 FORGED_ROOT = "f" * 32
 
 
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("host", ["prehled-1", "prehled-2"])
-def test_lookup_calls_down_the_chain_and_its_answer_comes_back(fleet, asker, host):
+def test_lookup_runs_on_the_full_chain_and_is_answered(fleet, asker, host):
     lookup = asker.new("GET", LOOKUP)
     reply = asker.ask(entry(fleet, host), lookup)
 
@@ -79,11 +79,11 @@
     assert [run["operation"] for run in runs] == ["approve-order", "release-order"]
 
 
-def test_repeat_of_an_approval_through_any_node_gets_the_first_answer(fleet, asker):
-    """The caller loses the answer of an approval, and sends it again elsewhere.
+def test_retry_of_an_approval_through_any_node_gets_the_first_response(fleet, asker):
+    """The caller loses the response to an approval and retries it through another node.
 
-    Seen by a user: a second approval would make a supplier ship twice. The other
-    node, in another availability zone, knows nothing of the first one.
+    A second approval would make a supplier ship twice. The other node, in another
+    availability zone, has no record of the first one.
     """
     approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
     replies = [
@@ -96,8 +96,8 @@
     assert len(runs_of(fleet, approval.request_id)) == 2
 
 
-def test_repeats_that_come_together_join_one_run(fleet, asker):
-    """A nervous caller sends an approval eight times at once, through two nodes."""
+def test_concurrent_retries_share_one_run(fleet, asker):
+    """A caller sends an approval eight times concurrently through two nodes."""
     approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
     hosts = ["prehled-1", "prehled-2"] * 4
     replies = asker.together(lambda h: asker.ask(entry(fleet, h), approval), hosts)
@@ -106,11 +106,11 @@
     assert len(runs_of(fleet, approval.request_id)) == 2
 
 
-def test_answer_of_1_mb_comes_whole_through_three_hops(fleet, asker):
-    """Each hop hands an answer of 1 MB on, and each receiver checks it.
+def test_response_of_1_mb_is_complete_after_three_hops(fleet, asker):
+    """Each hop forwards a response of 1 MB, and each receiver checks it.
 
-    A truncated or mixed answer fails the checksum at whichever hop it happened: a
-    backend server then answers 502, and the caller sees the fault.
+    A truncated or mixed response fails the checksum at the hop where it happened: a
+    backend server then responds with 502, and the caller sees the fault.
     """
     archive = asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES)
     reply = asker.ask(entry(fleet), archive)
@@ -121,8 +121,8 @@
     assert len(runs_of(fleet, archive.request_id)) == 3
 
 
-def test_many_answers_of_1_mb_at_once_are_each_the_callers_own(fleet, asker):
-    """Twelve answers of 1 MB share the links; a mixture would fail a checksum."""
+def test_concurrent_responses_of_1_mb_are_not_mixed(fleet, asker):
+    """Twelve responses of 1 MB share the links; mixed data would fail a checksum."""
     archives = [
         asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES) for _ in range(12)
     ]
@@ -138,19 +138,19 @@
     assert [reply.fault for reply in replies] == [None] * 12
 
 
-def test_body_at_the_bound_passes_and_one_byte_more_is_refused(fleet, asker):
+def test_body_at_the_limit_passes_and_one_byte_more_is_refused(fleet, asker):
     approval = asker.new("POST", APPROVE)
     fields = orjson.dumps({"id": approval.request_id, "answer_bytes": 10})
-    at_bound = replace(approval, body=fields.ljust(LONGEST_BODY_BYTES))
-    above = replace(approval, body=fields.ljust(LONGEST_BODY_BYTES + 1))
+    at_limit = replace(approval, body=fields.ljust(MAX_BODY_BYTES))
+    too_long = replace(approval, body=fields.ljust(MAX_BODY_BYTES + 1))
 
-    refused = asker.ask(entry(fleet), above)
+    refused = asker.ask(entry(fleet), too_long)
     assert refused.told == (413, "not-run", "too-large")
     assert not runs_of(fleet, approval.request_id)
 
-    ticketed = asker.with_ticket(entry(fleet), at_bound)
-    refused = asker.ask(entry(fleet), replace(ticketed, body=above.body))
-    # Only the ticket's owner can know that nothing has run under it.
+    ticketed = asker.with_ticket(entry(fleet), at_limit)
+    refused = asker.ask(entry(fleet), replace(ticketed, body=too_long.body))
+    # Only the ticket's owner can know whether a request has run with it.
     assert refused.told == (413, "may-have-run", "too-large")
     reply = asker.ask(entry(fleet), ticketed)
     assert reply.told == (200, "answered", None)
@@ -177,10 +177,10 @@
 
 
 def test_context_headers_of_a_caller_are_stripped(fleet, asker):
-    """A caller forges the context: root, deadline, parent, class.
+    """A caller forges context headers: root, deadline, parent and class.
 
-    Were it passed on, the backend server would answer 504 within its 1 ms, its run
-    would carry the forged root, and a caller could pose as a running parent.
+    If they were forwarded, the backend server would respond with 504 after 1 ms, its
+    run would carry the forged root, and a caller could pose as a running parent call.
     """
     lookup = asker.new(
         "GET",
@@ -200,8 +200,8 @@
     assert FORGED_ROOT not in {run["root_id"] for run in runs}
 
 
-def test_a_caller_gets_the_labels_of_its_own_organisation_only(fleet):
-    """A trial caller names a paying organisation, to be served before trial work."""
+def test_caller_gets_only_the_labels_of_its_own_organisation(fleet):
+    """A trial caller claims a paying organisation to get a higher priority."""
     cases = {
         ("buyer", "distributor"): "paying",
         ("trial-buyer", "prospect"): "trial",
@@ -220,8 +220,8 @@
     assert gained == {"paying": 1, "trial": 1, "rest": 2}
 
 
-def test_ticket_of_one_organisation_is_no_good_for_another(fleet, asker):
-    """A rival distributor guesses, or overhears, the ticket of another's approval."""
+def test_ticket_of_one_organisation_is_invalid_for_another(fleet, asker):
+    """An organisation uses a guessed or intercepted ticket of another organisation."""
     approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
     rival = Asker(caller="dispatcher", organisation="carrier")
     reply = rival.ask(entry(fleet), approval)
--- a/packages/sassafraswinch-node/tests/test_process_settings.py
+++ b/packages/sassafraswinch-node/tests/test_process_settings.py
@@ -1,4 +1,4 @@
-"""The node's binary refuses bad settings: exit code 2, every fault on stderr."""
+"""Tests that the node's command refuses bad settings: exit code 2, faults on stderr."""
 
 import socket
 import subprocess
@@ -37,7 +37,7 @@
 
 
 def serve_all(paths):
-    """Start one process for each file at once; most of a start is imports."""
+    """Start one process for each file concurrently, since imports make a start slow."""
     with ThreadPoolExecutor(max_workers=len(paths)) as pool:
         return list(pool.map(serve, paths))
 
@@ -47,8 +47,8 @@
     return tmp_path / "node.yaml"
 
 
-def test_every_fault_is_named_at_once(settings_file):
-    """An operator starts a node with five faults, and shouldn't need five starts."""
+def test_all_faults_are_reported_in_one_start(settings_file):
+    """Settings with several faults are reported in full by a single start."""
     faulty = GOOD | {
         "entry": "somewhere",
         "gate": "magic",
@@ -69,7 +69,7 @@
     assert not ended.stdout
 
 
-def test_file_that_is_no_mapping_or_not_there_is_refused(tmp_path):
+def test_invalid_or_missing_file_is_refused(tmp_path):
     texts = {"list.yaml": "- a list", "open.yaml": "host: [", "nul.yaml": "\x00"}
     for name, text in texts.items():
         (tmp_path / name).write_text(text)
@@ -80,7 +80,7 @@
     assert "can't be read" in ended.stderr
 
 
-def test_address_in_use_ends_the_start(settings_file):
+def test_address_in_use_is_refused(settings_file):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
         settings_file.write_text(yaml.safe_dump(GOOD | {"link": address}))
--- a/packages/sassafraswinch-node/tests/test_process_silence.py
+++ b/packages/sassafraswinch-node/tests/test_process_silence.py
@@ -1,4 +1,4 @@
-"""Silent links and paused nodes: honest verdicts, and at most one run."""
+"""Tests of silent links and paused nodes: correct verdicts and at most one run."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 from sassafraswinch_standins.polling import wait_until
 
 FAR_ROUTES = {"brno-b>vydej-1": "schvaleni-2", "ostrava-c>vydej-1": "schvaleni-3"}
-"""Routes to the only server of vydej, and a host that calls over each."""
+"""Routes to the only backend server of vydej, each with a host that calls over it."""
 
 
 @pytest.fixture(scope="module")
@@ -22,12 +22,12 @@
 
 
 @pytest.fixture
-def patient(fleet):
-    """An asker whose deadline outlasts the faults, of a fleet that is whole."""
+def long_deadline_asker(fleet):
+    """Client with a deadline longer than the faults, in a fully linked fleet."""
     wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-    patient = Asker(caller="dispatcher", organisation="carrier")
-    yield patient
-    patient.close()
+    long_deadline_asker = Asker(caller="dispatcher", organisation="carrier")
+    yield long_deadline_asker
+    long_deadline_asker.close()
 
 
 def entry(fleet, host):
@@ -48,8 +48,8 @@
     )
 
 
-def assert_honest(fleet, replies, operation):
-    """An answer means one run, not-run means none, and anything else at most one."""
+def assert_verdicts_match_runs(fleet, replies, operation):
+    """Check the run counts: one for answered, none for not-run, else at most one."""
     runs = runs_by_id(fleet, operation)
     allowed = {"answered": {1}, "not-run": {0}, "may-have-run": {0, 1}}
     wrong = [
@@ -60,18 +60,22 @@
     assert not wrong
 
 
-def test_silent_links_cost_no_answer_and_no_second_run(fleet, patient):
+def test_silent_links_lose_no_response_and_cause_no_second_run(
+    fleet, long_deadline_asker
+):
     """Two links go silent, each in one direction, while new connections work.
 
-    Releases run behind them, and more are sent before anyone can know. Behind the
-    link that loses answers all of them run: their answers come over the new link.
-    Behind the link that loses calls the later ones never arrive: the executing node
-    proves it, and the callers are told not-run.
+    Releases are running over both, and more are sent before the fault is detected. On
+    the link that loses responses all of them run, and the responses arrive over the new
+    link. On the link that loses calls the later ones never arrive: the executing node
+    confirms that, and their verdict is not-run.
     """
     directions = dict(zip(FAR_ROUTES, ("to-client", "to-target"), strict=True))
     releases = {
         route: [
-            patient.with_ticket(entry(fleet, host), patient.new("POST", RELEASE))
+            long_deadline_asker.with_ticket(
+                entry(fleet, host), long_deadline_asker.new("POST", RELEASE)
+            )
             for _ in range(6)
         ]
         for route, host in FAR_ROUTES.items()
@@ -79,7 +83,9 @@
 
     def send(route, chosen):
         through = entry(fleet, FAR_ROUTES[route])
-        return patient.together(lambda r: patient.ask(through, r), chosen)
+        return long_deadline_asker.together(
+            lambda r: long_deadline_asker.ask(through, r), chosen
+        )
 
     replies = {route: send(route, releases[route][:3]) for route in FAR_ROUTES}
     for route in FAR_ROUTES:
@@ -91,75 +97,104 @@
         replies[route] += send(route, releases[route][3:])
     ended = {r: [reply.result() for reply in replies[r]] for r in FAR_ROUTES}
 
-    told = {route: [reply.told for reply in ended[route]] for route in FAR_ROUTES}
+    outcomes = {route: [reply.told for reply in ended[route]] for route in FAR_ROUTES}
     answered, fenced = (200, "answered", None), (503, "not-run", "fenced")
-    assert told["brno-b>vydej-1"] == [answered] * 6
-    assert told["ostrava-c>vydej-1"] == [answered] * 3 + [fenced] * 3
+    assert outcomes["brno-b>vydej-1"] == [answered] * 6
+    assert outcomes["ostrava-c>vydej-1"] == [answered] * 3 + [fenced] * 3
     for route in FAR_ROUTES:
-        assert_honest(fleet, ended[route], "release-order")
+        assert_verdicts_match_runs(fleet, ended[route], "release-order")
         assert {r.fault for r in ended[route] if r.status == 200} == {None}
 
 
-def test_call_that_was_told_not_run_never_runs_when_its_frame_comes_late(
-    fleet, patient
+def test_call_with_verdict_not_run_never_runs_from_a_late_frame(
+    fleet, long_deadline_asker
 ):
-    """A link goes silent with calls on their way, and delivers them much later.
+    """A link goes silent with calls in transit, and delivers them much later.
 
-    The owner made a new link meanwhile and heard "never started" over it; so the
-    callers were told not-run and went on with fresh tickets. The late frames must
-    not start: their session is below the fence.
+    Meanwhile the owner opened a new link and received "never started" over it, so the
+    callers got not-run and continued with new tickets. The calls in the late frames
+    must not start: their session is below the fence.
     """
     route, host = "brno-b>vydej-1", "schvaleni-2"
     through = entry(fleet, host)
     releases = [
-        patient.with_ticket(through, patient.new("POST", RELEASE)) for _ in range(5)
+        long_deadline_asker.with_ticket(
+            through, long_deadline_asker.new("POST", RELEASE)
+        )
+        for _ in range(5)
     ]
     fleet.control_relay([route], fault="held")
-    replies = patient.together(lambda r: patient.ask(through, r), releases)
+    replies = long_deadline_asker.together(
+        lambda r: long_deadline_asker.ask(through, r), releases
+    )
     ended = [reply.result() for reply in replies]
 
     assert {reply.told for reply in ended} == {(503, "not-run", "fenced")}
     assert fleet.held_by_relay(route) > 0
     fleet.control_relay([route], fault="none")
     wait_until("frames delivered", lambda: fleet.held_by_relay(route) == 0)
-    again = [patient.new("POST", RELEASE, ticket=reply.ticket) for reply in ended]
-    renewed = patient.together(lambda r: patient.ask(through, r), again)
+    renewed_requests = [
+        long_deadline_asker.new("POST", RELEASE, ticket=reply.ticket) for reply in ended
+    ]
+    renewed = long_deadline_asker.together(
+        lambda r: long_deadline_asker.ask(through, r), renewed_requests
+    )
     renewed = [reply.result() for reply in renewed]
     assert {reply.told for reply in renewed} == {(200, "answered", None)}
-    assert_honest(fleet, ended + renewed, "release-order")
+    assert_verdicts_match_runs(fleet, ended + renewed, "release-order")
 
 
-def test_paused_executing_node_runs_nothing_that_was_told_not_run(fleet, patient):
+def test_paused_executing_node_runs_no_call_with_verdict_not_run(
+    fleet, long_deadline_asker
+):
     """SIGSTOP of an executing node with calls in its buffers, SIGCONT much later.
 
-    Meanwhile its owner has retried lookups elsewhere and told the callers with a
-    short deadline that their approvals may have run. When the node wakes up it reads
-    the old frames first; the outcomes that were told must stay true.
+    Meanwhile the owner has retried lookups on another node, and returned may-have-run
+    for approvals with a short deadline. When the node resumes, it reads the old frames
+    first; the outcomes already returned must remain correct.
     """
-    paying = Asker()
+    short_deadline_asker = Asker()
     through, paused = entry(fleet, "vydej-1"), fleet.node("schvaleni-1")
-    hasty = [paying.with_ticket(through, paying.new("POST", APPROVE)) for _ in "123"]
+    short_deadline_approvals = [
+        short_deadline_asker.with_ticket(
+            through, short_deadline_asker.new("POST", APPROVE)
+        )
+        for _ in "123"
+    ]
     approvals = [
-        patient.with_ticket(through, patient.new("POST", APPROVE)) for _ in "123"
+        long_deadline_asker.with_ticket(
+            through, long_deadline_asker.new("POST", APPROVE)
+        )
+        for _ in "123"
     ]
-    lookups = [patient.new("GET", ORDER_STATE) for _ in "12"]
+    lookups = [long_deadline_asker.new("GET", ORDER_STATE) for _ in "12"]
     paused.pause()
     try:
-        early = paying.together(lambda a: paying.ask(through, a), hasty)
-        late = patient.together(lambda a: patient.ask(through, a), approvals)
-        looked_up = patient.together(lambda a: patient.ask(through, a), lookups)
-        early = [reply.result() for reply in early]
-        looked_up = [reply.result() for reply in looked_up]
+        short_deadline_replies = short_deadline_asker.together(
+            lambda a: short_deadline_asker.ask(through, a), short_deadline_approvals
+        )
+        long_deadline_replies = long_deadline_asker.together(
+            lambda a: long_deadline_asker.ask(through, a), approvals
+        )
+        lookup_replies = long_deadline_asker.together(
+            lambda a: long_deadline_asker.ask(through, a), lookups
+        )
+        short_deadline_replies = [reply.result() for reply in short_deadline_replies]
+        lookup_replies = [reply.result() for reply in lookup_replies]
     finally:
         paused.resume()
-    late = [reply.result() for reply in late]
-    paying.close()
+    long_deadline_replies = [reply.result() for reply in long_deadline_replies]
+    short_deadline_asker.close()
 
-    assert {reply.told for reply in looked_up} == {(200, "answered", None)}
-    assert {reply.told for reply in early} == {(504, "may-have-run", "deadline")}
-    wait_until("woken node serves", lambda: fleet.sees_all("schvaleni-1"))
+    assert {reply.told for reply in lookup_replies} == {(200, "answered", None)}
+    assert {reply.told for reply in short_deadline_replies} == {
+        (504, "may-have-run", "deadline")
+    }
+    wait_until("resumed node serves", lambda: fleet.sees_all("schvaleni-1"))
     wait_until("nothing runs", lambda: all(run["ended_at_ms"] for run in fleet.runs()))
-    print(Counter(reply.told for reply in late))
-    assert_honest(fleet, early + late, "approve-order")
+    print(Counter(reply.told for reply in long_deadline_replies))
+    assert_verdicts_match_runs(
+        fleet, short_deadline_replies + long_deadline_replies, "approve-order"
+    )
     lookup_runs = runs_by_id(fleet, "order-state")
     assert {lookup_runs[lookup.request_id] for lookup in lookups} <= {1, 2}
--- a/packages/sassafraswinch-node/tests/test_process_stop.py
+++ b/packages/sassafraswinch-node/tests/test_process_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops and leaving hosts under load: nothing is cut, no new work comes."""
+"""Tests of planned stops and leaving hosts under load: calls in flight complete."""
 
 import time
 from dataclasses import replace
@@ -18,12 +18,13 @@
 from sassafraswinch_standins.recovery import recover
 
 APPROVAL_MS = 2_500.0
-"""Longer than the notice, so that a stop has to wait; its release comes halfway."""
+"""Longer than the leave notice, so that a stop has to wait; the child call to release
+comes halfway through."""
 
 LEAVE_NOTICE_MS = 1_000
 
 NO_NEW_WORK_MS = 3_000
-"""The promise: after this time a leaving backend server gets no new work."""
+"""Guaranteed time after which a leaving backend server gets no new requests."""
 
 LOAD_MS = 5_000
 LOOKUPS_PER_S = 60
@@ -43,19 +44,19 @@
 
 
 @pytest.fixture
-def whole_fleet(fleet):
+def recovered_fleet(fleet):
     recover(fleet)
     return fleet
 
 
 @pytest.fixture
-def patient(fleet):
-    """An asker whose deadline outlasts a stop."""
+def long_deadline_asker(fleet):
+    """Client with a deadline longer than a stop."""
     for host in fleet.hosts:
         fleet.control_backend(host, forget_runs=True)
-    patient = Asker(caller="dispatcher", organisation="carrier")
-    yield patient
-    patient.close()
+    long_deadline_asker = Asker(caller="dispatcher", organisation="carrier")
+    yield long_deadline_asker
+    long_deadline_asker.close()
 
 
 def entry(fleet, host):
@@ -67,7 +68,7 @@
 
 
 def start_lookups(fleet, name):
-    """Begin a load of lookups at all entries, on kept connections."""
+    """Start a load of lookups at all ingress addresses, on persistent connections."""
     lookup = Traffic(
         name="lookup",
         class_name="paying",
@@ -88,7 +89,7 @@
 
 
 def assert_all_good(fleet, load):
-    """Every lookup was answered whole; none met a connection cut under it."""
+    """Check that every lookup got a complete response and no connection broke."""
     figures = fleet.collect(load, LOAD_MS / 1000)["traffic"]["lookup"]
     print(figures["attempt_outcomes"], figures["reasons"])
     assert figures["outcomes"]["good"] == figures["first_attempts"] > 0
@@ -97,7 +98,7 @@
     assert figures["attempt_outcomes"]["wrong"] == 0
 
 
-def assert_no_run_cut(fleet):
+def assert_no_run_aborted(fleet):
     assert {run["state"] for run in fleet.runs()} == {"answered"}
 
 
@@ -110,75 +111,79 @@
     assert not late
 
 
-def in_flight_on(fleet, patient, host, other):
-    """Begin approvals that a host executes, owns, or forwards to their owner."""
-    executed = patient.with_ticket(entry(fleet, other), patient.new("POST", APPROVE))
-    owned = patient.with_ticket(entry(fleet, host), patient.new("POST", APPROVE))
-    forwarded = patient.with_ticket(
-        entry(fleet, "schvaleni-2"), patient.new("POST", APPROVE)
+def in_flight_on(fleet, long_deadline_asker, host, other):
+    """Start approvals that a host executes, owns, or forwards to their owner."""
+    executed = long_deadline_asker.with_ticket(
+        entry(fleet, other), long_deadline_asker.new("POST", APPROVE)
+    )
+    owned = long_deadline_asker.with_ticket(
+        entry(fleet, host), long_deadline_asker.new("POST", APPROVE)
+    )
+    forwarded = long_deadline_asker.with_ticket(
+        entry(fleet, "schvaleni-2"), long_deadline_asker.new("POST", APPROVE)
     )
     sent = [(other, executed), (host, owned), (host, forwarded)]
-    replies = patient.together(
-        lambda pair: patient.ask(entry(fleet, pair[0]), pair[1]), sent
+    replies = long_deadline_asker.together(
+        lambda pair: long_deadline_asker.ask(entry(fleet, pair[0]), pair[1]), sent
     )
     ids = {approval.request_id for _, approval in sent}
 
-    def begun():
+    def all_started():
         return ids <= {run["request_id"] for run in fleet.runs()}
 
-    wait_until("approvals run", begun)
+    wait_until("approvals run", all_started)
     return replies
 
 
-def assert_sends_callers_elsewhere(fleet, patient, host, unused):
-    """A leaving node refuses, and gives no ticket that would soon have no owner.
+def assert_refuses_new_requests(fleet, long_deadline_asker, host, unused):
+    """Check that a leaving node refuses requests and issues no ticket.
 
-    Failure: a caller uses the ticket of a node that has stopped since, and all that
-    anyone can say is "may have run", though nothing ran.
+    Failure: a caller uses a ticket of a node that has stopped since. The only possible
+    verdict is may-have-run, although nothing ran.
     """
-    for ask in (replace(unused, ticket=None), unused):
-        reply = patient.ask(entry(fleet, host), ask)
+    for request in (replace(unused, ticket=None), unused):
+        reply = long_deadline_asker.ask(entry(fleet, host), request)
         assert reply.told == (503, "not-run", "leaving")
         assert reply.ticket is None
         assert reply.headers["connection"] == "close"
         assert int(reply.headers["retry-after-ms"]) > 0
 
 
-def test_planned_stop_cuts_nothing_in_flight(whole_fleet, patient):
-    """SIGTERM of a node under load, while the list of hosts never says leaving.
+def test_planned_stop_completes_calls_in_flight(recovered_fleet, long_deadline_asker):
+    """SIGTERM of a node under load, without a leaving mark in the host list.
 
-    In flight are approvals that it executes, that it owns, and that it forwards; the
-    releases below them are called after its notice is over, and lookups come in on
-    kept connections all the time. All are answered whole, the process ends by itself
-    with code 0, and its backend server gets no new work.
+    In flight are approvals that it executes, owns, and forwards; their child calls to
+    release are made after the leave notice, and lookups arrive on persistent
+    connections all the time. All get complete responses, the process exits with code
+    0, and its backend server gets no new requests.
     """
-    fleet = whole_fleet
+    fleet = recovered_fleet
     load = start_lookups(fleet, "stop")
-    replies = in_flight_on(fleet, patient, "schvaleni-1", "vydej-1")
-    unused = patient.with_ticket(
-        entry(fleet, "schvaleni-1"), patient.new("POST", APPROVE)
+    replies = in_flight_on(fleet, long_deadline_asker, "schvaleni-1", "vydej-1")
+    unused = long_deadline_asker.with_ticket(
+        entry(fleet, "schvaleni-1"), long_deadline_asker.new("POST", APPROVE)
     )
     stopped_at_ms = now_ms()
     fleet.node("schvaleni-1").terminate()
     wait_until("leaving", lambda: fleet.status("schvaleni-1")["state"] == "leaving")
-    assert_sends_callers_elsewhere(fleet, patient, "schvaleni-1", unused)
+    assert_refuses_new_requests(fleet, long_deadline_asker, "schvaleni-1", unused)
 
     assert {reply.result().told for reply in replies} == {(200, "answered", None)}
     assert {reply.result().fault for reply in replies} == {None}
     assert fleet.node("schvaleni-1").wait(timeout_s=30) == 0
     assert_all_good(fleet, load)
-    assert_no_run_cut(fleet)
+    assert_no_run_aborted(fleet)
     assert_no_new_work(fleet, "schvaleni-1", stopped_at_ms)
 
 
-def test_host_that_the_list_says_is_leaving_gets_no_new_work(whole_fleet, patient):
-    """The platform's list, not a signal, says that a host leaves, under load.
+def test_host_listed_as_leaving_gets_no_new_work(recovered_fleet, long_deadline_asker):
+    """The platform's host list, not a signal, marks a host as leaving under load.
 
-    Its node takes that as its planned stop: nothing is cut, and it ends with code 0.
+    Its node starts a planned stop: all calls complete, and it exits with code 0.
     """
-    fleet = whole_fleet
+    fleet = recovered_fleet
     load = start_lookups(fleet, "list")
-    replies = in_flight_on(fleet, patient, "schvaleni-1", "vydej-1")
+    replies = in_flight_on(fleet, long_deadline_asker, "schvaleni-1", "vydej-1")
     listed_at_ms = now_ms()
     fleet.publish_hosts(states={"schvaleni-1": "leaving"})
 
@@ -186,22 +191,28 @@
     assert fleet.node("schvaleni-1").wait(timeout_s=30) == 0
     fleet.publish_hosts()
     assert_all_good(fleet, load)
-    assert_no_run_cut(fleet)
+    assert_no_run_aborted(fleet)
     assert_no_new_work(fleet, "schvaleni-1", listed_at_ms)
 
 
-def test_second_sigterm_ends_at_once_and_names_what_it_cuts(fleet, patient):
-    """A backend server hangs, so that a planned stop doesn't come to its end.
+def test_second_sigterm_exits_at_once_and_logs_aborted_calls(
+    fleet, long_deadline_asker
+):
+    """A backend server hangs, so that a planned stop does not complete.
 
-    The operator sends a second SIGTERM: the process ends with code 1, its log names
-    the calls, and callers at its entry are told that they may have run.
+    The operator sends a second SIGTERM: the process exits with code 1, its log lists
+    the calls, and callers at its ingress get the verdict may-have-run.
     """
     fleet.control_backend("schvaleni-2", fault="hang")
-    through = entry(fleet, "schvaleni-2")
-    approval = patient.with_ticket(through, patient.new("POST", APPROVE))
-    asks = [approval, patient.new("GET", ORDER_STATE)]
-    replies = patient.together(lambda ask: patient.ask(through, ask), asks)
-    wait_until("hanging", lambda: len(fleet.runs()) == len(asks))
+    ingress = entry(fleet, "schvaleni-2")
+    approval = long_deadline_asker.with_ticket(
+        ingress, long_deadline_asker.new("POST", APPROVE)
+    )
+    requests = [approval, long_deadline_asker.new("GET", ORDER_STATE)]
+    replies = long_deadline_asker.together(
+        lambda request: long_deadline_asker.ask(ingress, request), requests
+    )
+    wait_until("hanging", lambda: len(fleet.runs()) == len(requests))
     node = fleet.node("schvaleni-2")
     node.terminate()
     wait_until("leaving", lambda: fleet.status("schvaleni-2")["state"] == "leaving")
@@ -210,11 +221,11 @@
     assert node.wait(timeout_s=30) == 1
     assert [reply.result().told for reply in replies] == [
         (502, "may-have-run", "cancelled")
-    ] * len(asks)
+    ] * len(requests)
     log = node.error_path.read_text()
     fleet.control_backend("schvaleni-2", fault="none")
-    cut = [line for line in log.splitlines() if " event=call_cut " in line]
-    assert sum("operation=approve-order" in line for line in cut) == 2
-    assert sum("operation=order-state" in line for line in cut) == 2
-    assert {line.split()[1] for line in cut} == {"level=warning"}
+    aborted = [line for line in log.splitlines() if " event=call_cut " in line]
+    assert sum("operation=approve-order" in line for line in aborted) == 2
+    assert sum("operation=order-state" in line for line in aborted) == 2
+    assert {line.split()[1] for line in aborted} == {"level=warning"}
     assert " event=node_cut in_flight=4" in log
--- a/packages/sassafraswinch-node/tests/test_settings.py
+++ b/packages/sassafraswinch-node/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault is named with file, field and reason."""
+"""Tests of settings: every fault is reported with file, field and reason."""
 
 import pytest
 import yaml
@@ -48,17 +48,17 @@
         ("stop_timeout_ms", -1),
     ],
 )
-def test_wrong_field_is_named(field, value):
+def test_invalid_field_is_reported(field, value):
     assert list(faults_of(GOOD | {field: value})) == [field]
 
 
 @pytest.mark.parametrize("field", list(GOOD))
-def test_missing_field_is_named(field):
+def test_missing_field_is_reported(field):
     fields = {name: value for name, value in GOOD.items() if name != field}
     assert list(faults_of(fields)) == [field]
 
 
-def test_all_faults_at_once():
+def test_all_faults_are_reported():
     found = faults_of(GOOD | {"host": "", "gate": "magic", "colour": "red"})
     assert set(found) == {"host", "gate", "colour"}
 
@@ -66,24 +66,24 @@
 @pytest.mark.parametrize(
     "url", ["nonsense", "https://127.0.0.1:1", "http://platform:1", "http://127.0.0.1?"]
 )
-def test_platform_url_is_named_by_its_place(url):
+def test_invalid_platform_url_is_reported_by_index(url):
     found = faults_of(GOOD | {"platform": ["http://127.0.0.1:9000", url + "x=1"]})
     assert list(found) == ["platform.1"]
 
 
-def test_listeners_on_one_address():
+def test_listeners_with_the_same_address_are_refused():
     found = faults_of(GOOD | {"entry": "127.0.0.1:80", "link": "127.0.0.1:80"})
     assert "must have different addresses" in found["(file)"]
 
 
 @pytest.mark.parametrize("text", ["- a\n- b\n", "host: [", ""])
-def test_not_a_mapping(text):
+def test_file_that_is_not_a_mapping_is_refused(text):
     with pytest.raises(InvalidFieldsError) as caught:
         parse_settings(text, source="node.yaml")
     assert caught.value.exceptions[0].source == "node.yaml"
 
 
-def test_missing_file(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     with pytest.raises(InvalidFieldsError) as caught:
         load_settings(tmp_path / "none.yaml")
     assert "can't be read" in caught.value.exceptions[0].reason
