--- a/packages/sassafraswinch-node/sassafraswinch_node/answer_reader.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/answer_reader.py
@@ -52,7 +52,7 @@
         except ResponseError as error:
             self._finish(error)
         else:
-            if self._parser.answer is not None:
+            if self._parser.response is not None:
                 self._finish(None)
 
     def eof_received(self) -> None:
