--- a/packages/sassafraswinch-node/sassafraswinch_node/daemon.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/daemon.py
@@ -32,9 +32,9 @@
         stop_signals += 1
         if stop_signals == 1:
             process.leave()
-            loop.call_later(settings.stop_timeout_ms / 1000, process.cut)
+            loop.call_later(settings.stop_timeout_ms / 1000, process.abort)
         else:
-            process.cut()
+            process.abort()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
@@ -43,7 +43,7 @@
     gc.freeze()
     await process.stopped.wait()
     await process.close()
-    return process.cut_calls == 0
+    return process.aborted_calls == 0
 
 
 def serve(*, settings: Path) -> int:
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_answer.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_answer.py
@@ -158,7 +158,7 @@
     def _complete(self) -> None:
         self.response = HttpResponse(
             status=self._parser.get_status_code(),
-            headers=end_to_end(self._headers),
+            headers=end_to_end_headers(self._headers),
             body=b"".join(self._chunks),
         )
 
@@ -172,7 +172,7 @@
         raise self._error
 
 
-def end_to_end(headers: list[tuple[str, str]] | Headers) -> Headers:
+def end_to_end_headers(headers: list[tuple[str, str]] | Headers) -> Headers:
     """Return the header fields without the hop-by-hop ones."""
     connection_tokens = {
         token.strip().lower()
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
@@ -85,7 +85,7 @@
             future.set_result(outcome)
         return True
 
-    def give_up(self) -> None:
+    def end_waiting_requests(self) -> None:
         """End all waiting requests with the verdict MAY_HAVE_RUN."""
         outcome = Outcome(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.CANCELLED)
         for handle in tuple(self.waiting):
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
@@ -26,7 +26,7 @@
     HttpResponse,
     ResponseError,
     ResponseParser,
-    end_to_end,
+    end_to_end_headers,
 )
 
 CONNECT_TIMEOUT_MS = 1_000
@@ -181,7 +181,9 @@
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> bytes:
         fields = [
-            field for field in end_to_end(headers) if field[0] not in _SET_BY_CLIENT
+            field
+            for field in end_to_end_headers(headers)
+            if field[0] not in _SET_BY_CLIENT
         ]
         if all(name != "host" for name, _ in fields):
             fields.insert(0, self._host)
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -33,7 +33,7 @@
 from sassafraswinch_node.platform import PlatformClient
 from sassafraswinch_node.platform_watch import PlatformWatch
 from sassafraswinch_node.settings import Address, Settings
-from sassafraswinch_node.snapshot import take_status
+from sassafraswinch_node.snapshot import build_status
 from sassafraswinch_node.stopping import log_aborted_calls
 from sassafraswinch_node.usage import UsageMeter
 
@@ -63,7 +63,7 @@
         )
         self.wake = WakeDetector(tick_ms=IDLE_TICK_MS)
         self.stopped = asyncio.Event()
-        self.cut_calls = 0
+        self.aborted_calls = 0
         """Number of calls in flight when the process was aborted."""
         self._handles = itertools.count(1)
         self._tasks: set[asyncio.Task] = set()
@@ -170,7 +170,7 @@
 
     def status(self) -> Status:
         """Return the current status of this node."""
-        return take_status(
+        return build_status(
             settings=self.settings,
             node=self.node,
             pool=self.links.pool,
@@ -189,17 +189,17 @@
         self.node.leave(self.now_ms())
         log_event("node_leaving", in_flight=self.node.in_flight)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Stop at once; log the calls in flight and end the waiting requests."""
-        self.cut_calls = log_aborted_calls(self.node)
-        self.ingress.give_up()
-        self.egress.give_up()
+        self.aborted_calls = log_aborted_calls(self.node)
+        self.ingress.end_waiting_requests()
+        self.egress.end_waiting_requests()
         self.node.lifecycle.cut()
         self.stopped.set()
 
     async def close(self) -> None:
         """Close listeners, links and tasks."""
-        timeout_s = ABORT_TIMEOUT_S if self.cut_calls else None
+        timeout_s = ABORT_TIMEOUT_S if self.aborted_calls else None
         for listener in self.http.values():
             await listener.stop(timeout_s=timeout_s)
         await self.links.stop()
@@ -329,7 +329,7 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log_event("task_failed", level="error", error=repr(task.exception()))
-            self.cut()
+            self.abort()
 
 
 def _link_refused(error: LinkRefusedError) -> None:
--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -9,7 +9,7 @@
 from sassafraswinch_node.usage import UsageMeter
 
 
-def take_status(
+def build_status(
     *, settings: Settings, node: Node, pool: LinkPool, usage: UsageMeter, now_ms: float
 ) -> Status:
     """Return the current status of a node."""
--- a/packages/sassafraswinch-node/tests/conftest.py
+++ b/packages/sassafraswinch-node/tests/conftest.py
@@ -8,7 +8,7 @@
 from sassafraswinch_standins.fleet import Fleet
 
 
-class RawServer:
+class ScriptedServer:
     """HTTP server that sends the next scripted reply to each request.
 
     A reply is bytes to send; None closes the connection without a reply, and a reply
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 async def server():
-    server = RawServer()
+    server = ScriptedServer()
     server.address = await server.start()
     yield server
     server.server.close()
