--- a/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
@@ -48,7 +48,7 @@
         self._unreachable = False
 
     async def run(self) -> None:
-        """Watch both streams until cancelled."""
+        """Watch the document and the host list until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._watch(self._document_schedule, self._read_document))
             group.create_task(self._watch(self._host_schedule, self._read_hosts))
--- a/packages/sassafraswinch-node/sassafraswinch_node/transit.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/transit.py
@@ -2,7 +2,7 @@
 
 import math
 
-MIN_WINDOW_MS = 30_000.0
+TRANSIT_WINDOW_MS = 30_000.0
 """Length of each of the two windows over which the minimum transit time is taken. Clock
 drift of 100 parts per million shifts the minimum by at most 6 ms over both."""
 
@@ -30,7 +30,7 @@
         if received_ms >= self._window_end_ms:
             self._previous_ms = self._current_ms
             self._current_ms = math.inf
-            self._window_end_ms = received_ms + MIN_WINDOW_MS
+            self._window_end_ms = received_ms + TRANSIT_WINDOW_MS
         transit_ms = received_ms - sent_ms
         self._current_ms = min(self._current_ms, transit_ms)
         return transit_ms - min(self._current_ms, self._previous_ms)
--- a/packages/sassafraswinch-node/tests/test_process_kill.py
+++ b/packages/sassafraswinch-node/tests/test_process_kill.py
@@ -33,7 +33,7 @@
     asker.close()
 
 
-def entry(fleet, host):
+def ingress_of(fleet, host):
     return fleet.hosts[host].entry
 
 
@@ -66,7 +66,7 @@
     node has restarted or the deadline has passed. The callers then retry with the same
     tickets through the owner and other nodes: nothing runs twice.
     """
-    owner_address = entry(fleet, "vydej-1")
+    owner_address = ingress_of(fleet, "vydej-1")
     approvals = [
         asker.with_ticket(owner_address, asker.new("POST", APPROVE))
         for _ in range(APPROVALS)
@@ -80,7 +80,7 @@
     assert outcomes == {"may-have-run": APPROVALS}
     for host in ("vydej-1", "vydej-2", "schvaleni-1"):
         retries = asker.together(
-            lambda a, h=host: asker.ask(entry(fleet, h), a), approvals
+            lambda a, h=host: asker.ask(ingress_of(fleet, h), a), approvals
         )
         assert {reply.result().verdict for reply in retries} == {"may-have-run"}
     assert_at_most_once(fleet, approvals)
@@ -94,7 +94,7 @@
     kill nothing was written to the dead node, so the other host serves all of them at
     once, approvals as well.
     """
-    owner_address = entry(fleet, "vydej-1")
+    owner_address = ingress_of(fleet, "vydej-1")
     lookups = [asker.new("GET", ORDER_STATE) for _ in range(LOOKUPS)]
     replies = asker.together(lambda a: asker.ask(owner_address, a), lookups)
     wait_all_started(fleet, lookups, "order-state")
@@ -126,16 +126,20 @@
     """
     owner = "vydej-1"
     approvals = [
-        asker.with_ticket(entry(fleet, owner), asker.new("POST", APPROVE))
+        asker.with_ticket(ingress_of(fleet, owner), asker.new("POST", APPROVE))
         for _ in range(APPROVALS)
     ]
-    unused = asker.with_ticket(entry(fleet, owner), asker.new("POST", APPROVE))
-    replies = asker.together(lambda a: asker.ask(entry(fleet, owner), a), approvals)
+    unused = asker.with_ticket(ingress_of(fleet, owner), asker.new("POST", APPROVE))
+    replies = asker.together(
+        lambda a: asker.ask(ingress_of(fleet, owner), a), approvals
+    )
     wait_all_started(fleet, approvals, "approve-order")
     fleet.node(owner).kill()
     assert all(reply.result().broken for reply in replies)
 
-    retries = asker.together(lambda a: asker.ask(entry(fleet, "vydej-2"), a), approvals)
+    retries = asker.together(
+        lambda a: asker.ask(ingress_of(fleet, "vydej-2"), a), approvals
+    )
     assert {reply.result().told for reply in retries} == {
         (502, "may-have-run", "ticket-owner-unreachable")
     }
@@ -144,7 +148,7 @@
     wait_until("owner linked again", lambda: fleet.sees_all("vydej-2"))
     for host in (owner, "vydej-2"):
         retries = asker.together(
-            lambda a, h=host: asker.ask(entry(fleet, h), a), [*approvals, unused]
+            lambda a, h=host: asker.ask(ingress_of(fleet, h), a), [*approvals, unused]
         )
         assert {reply.result().told for reply in retries} == {
             (502, "may-have-run", "ticket-owner-restarted")
@@ -159,7 +163,7 @@
     That node owned the release. Its backend server gets no response and the approval
     fails; the caller's retry must not run the release a second time.
     """
-    owner_address = entry(fleet, "vydej-2")
+    owner_address = ingress_of(fleet, "vydej-2")
     approval = asker.with_ticket(owner_address, asker.new("POST", APPROVE))
     (reply,) = asker.together(lambda a: asker.ask(owner_address, a), [approval])
     wait_all_started(fleet, [approval], "release-order")
--- a/packages/sassafraswinch-node/tests/test_process_path.py
+++ b/packages/sassafraswinch-node/tests/test_process_path.py
@@ -33,7 +33,7 @@
     asker.close()
 
 
-def entry(fleet, host="prehled-1"):
+def ingress_of(fleet, host="prehled-1"):
     return fleet.hosts[host].entry
 
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("host", ["prehled-1", "prehled-2"])
 def test_lookup_runs_on_the_full_chain_and_is_answered(fleet, asker, host):
     lookup = asker.new("GET", LOOKUP)
-    reply = asker.ask(entry(fleet, host), lookup)
+    reply = asker.ask(ingress_of(fleet, host), lookup)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -68,10 +68,10 @@
 
 
 def test_approval_with_a_ticket_runs_once_with_its_release(fleet, asker):
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     assert not runs_of(fleet, approval.request_id)
 
-    reply = asker.ask(entry(fleet), approval)
+    reply = asker.ask(ingress_of(fleet), approval)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -85,9 +85,9 @@
     A second approval would make a supplier ship twice. The other node, in another
     availability zone, has no record of the first one.
     """
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     replies = [
-        asker.ask(entry(fleet, host), approval)
+        asker.ask(ingress_of(fleet, host), approval)
         for host in ("prehled-1", "prehled-1", "prehled-2", "vydej-2")
     ]
 
@@ -98,9 +98,9 @@
 
 def test_concurrent_retries_share_one_run(fleet, asker):
     """A caller sends an approval eight times concurrently through two nodes."""
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     hosts = ["prehled-1", "prehled-2"] * 4
-    replies = asker.together(lambda h: asker.ask(entry(fleet, h), approval), hosts)
+    replies = asker.together(lambda h: asker.ask(ingress_of(fleet, h), approval), hosts)
 
     assert {reply.result().told for reply in replies} == {(200, "answered", None)}
     assert len(runs_of(fleet, approval.request_id)) == 2
@@ -113,7 +113,7 @@
     backend server then responds with 502, and the caller sees the fault.
     """
     archive = asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES)
-    reply = asker.ask(entry(fleet), archive)
+    reply = asker.ask(ingress_of(fleet), archive)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -126,7 +126,7 @@
     archives = [
         asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES) for _ in range(12)
     ]
-    entries = [entry(fleet, "prehled-1"), entry(fleet, "schvaleni-2")] * 6
+    entries = [ingress_of(fleet, "prehled-1"), ingress_of(fleet, "schvaleni-2")] * 6
     replies = [
         reply.result()
         for reply in asker.together(
@@ -144,15 +144,15 @@
     at_limit = replace(approval, body=fields.ljust(MAX_BODY_BYTES))
     too_long = replace(approval, body=fields.ljust(MAX_BODY_BYTES + 1))
 
-    refused = asker.ask(entry(fleet), too_long)
+    refused = asker.ask(ingress_of(fleet), too_long)
     assert refused.told == (413, "not-run", "too-large")
     assert not runs_of(fleet, approval.request_id)
 
-    ticketed = asker.with_ticket(entry(fleet), at_limit)
-    refused = asker.ask(entry(fleet), replace(ticketed, body=too_long.body))
+    ticketed = asker.with_ticket(ingress_of(fleet), at_limit)
+    refused = asker.ask(ingress_of(fleet), replace(ticketed, body=too_long.body))
     # Only the ticket's owner can know whether a request has run with it.
     assert refused.told == (413, "may-have-run", "too-large")
-    reply = asker.ask(entry(fleet), ticketed)
+    reply = asker.ask(ingress_of(fleet), ticketed)
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
 
@@ -170,7 +170,7 @@
     fleet, asker, method, path
 ):
     unknown = asker.new(method, path)
-    reply = asker.ask(entry(fleet), unknown)
+    reply = asker.ask(ingress_of(fleet), unknown)
 
     assert reply.told == (404, "not-run", "unknown-operation")
     assert not runs_of(fleet, unknown.request_id)
@@ -192,7 +192,7 @@
             "sassafraswinch-verdict": "answered",
         },
     )
-    reply = asker.ask(entry(fleet), lookup)
+    reply = asker.ask(ingress_of(fleet), lookup)
 
     assert reply.told == (200, "answered", None)
     runs = runs_of(fleet, lookup.request_id)
@@ -211,7 +211,9 @@
     before = answered_by_class(fleet, "schvaleni-1", "order-state")
     for caller, organisation in cases:
         asker = Asker(caller=caller, organisation=organisation)
-        reply = asker.ask(entry(fleet, "schvaleni-1"), asker.new("GET", ORDER_STATE))
+        reply = asker.ask(
+            ingress_of(fleet, "schvaleni-1"), asker.new("GET", ORDER_STATE)
+        )
         assert reply.told == (200, "answered", None)
         asker.close()
     after = answered_by_class(fleet, "schvaleni-1", "order-state")
@@ -222,11 +224,11 @@
 
 def test_ticket_of_one_organisation_is_invalid_for_another(fleet, asker):
     """An organisation uses a guessed or intercepted ticket of another organisation."""
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     rival = Asker(caller="dispatcher", organisation="carrier")
-    reply = rival.ask(entry(fleet), approval)
+    reply = rival.ask(ingress_of(fleet), approval)
     rival.close()
 
     assert (reply.status, reply.reason) == (400, "ticket-invalid")
     assert not runs_of(fleet, approval.request_id)
-    assert asker.ask(entry(fleet), approval).status == 200
+    assert asker.ask(ingress_of(fleet), approval).status == 200
--- a/packages/sassafraswinch-node/tests/test_process_silence.py
+++ b/packages/sassafraswinch-node/tests/test_process_silence.py
@@ -30,7 +30,7 @@
     long_deadline_asker.close()
 
 
-def entry(fleet, host):
+def ingress_of(fleet, host):
     return fleet.hosts[host].entry
 
 
@@ -74,7 +74,7 @@
     releases = {
         route: [
             long_deadline_asker.with_ticket(
-                entry(fleet, host), long_deadline_asker.new("POST", RELEASE)
+                ingress_of(fleet, host), long_deadline_asker.new("POST", RELEASE)
             )
             for _ in range(6)
         ]
@@ -82,9 +82,9 @@
     }
 
     def send(route, chosen):
-        through = entry(fleet, FAR_ROUTES[route])
+        ingress = ingress_of(fleet, FAR_ROUTES[route])
         return long_deadline_asker.together(
-            lambda r: long_deadline_asker.ask(through, r), chosen
+            lambda r: long_deadline_asker.ask(ingress, r), chosen
         )
 
     replies = {route: send(route, releases[route][:3]) for route in FAR_ROUTES}
@@ -116,16 +116,16 @@
     must not start: their session is below the fence.
     """
     route, host = "brno-b>vydej-1", "schvaleni-2"
-    through = entry(fleet, host)
+    ingress = ingress_of(fleet, host)
     releases = [
         long_deadline_asker.with_ticket(
-            through, long_deadline_asker.new("POST", RELEASE)
+            ingress, long_deadline_asker.new("POST", RELEASE)
         )
         for _ in range(5)
     ]
     fleet.control_relay([route], fault="held")
     replies = long_deadline_asker.together(
-        lambda r: long_deadline_asker.ask(through, r), releases
+        lambda r: long_deadline_asker.ask(ingress, r), releases
     )
     ended = [reply.result() for reply in replies]
 
@@ -137,7 +137,7 @@
         long_deadline_asker.new("POST", RELEASE, ticket=reply.ticket) for reply in ended
     ]
     renewed = long_deadline_asker.together(
-        lambda r: long_deadline_asker.ask(through, r), renewed_requests
+        lambda r: long_deadline_asker.ask(ingress, r), renewed_requests
     )
     renewed = [reply.result() for reply in renewed]
     assert {reply.told for reply in renewed} == {(200, "answered", None)}
@@ -154,16 +154,16 @@
     first; the outcomes already returned must remain correct.
     """
     short_deadline_asker = Asker()
-    through, paused = entry(fleet, "vydej-1"), fleet.node("schvaleni-1")
+    ingress, paused = ingress_of(fleet, "vydej-1"), fleet.node("schvaleni-1")
     short_deadline_approvals = [
         short_deadline_asker.with_ticket(
-            through, short_deadline_asker.new("POST", APPROVE)
+            ingress, short_deadline_asker.new("POST", APPROVE)
         )
         for _ in "123"
     ]
     approvals = [
         long_deadline_asker.with_ticket(
-            through, long_deadline_asker.new("POST", APPROVE)
+            ingress, long_deadline_asker.new("POST", APPROVE)
         )
         for _ in "123"
     ]
@@ -171,13 +171,13 @@
     paused.pause()
     try:
         short_deadline_replies = short_deadline_asker.together(
-            lambda a: short_deadline_asker.ask(through, a), short_deadline_approvals
+            lambda a: short_deadline_asker.ask(ingress, a), short_deadline_approvals
         )
         long_deadline_replies = long_deadline_asker.together(
-            lambda a: long_deadline_asker.ask(through, a), approvals
+            lambda a: long_deadline_asker.ask(ingress, a), approvals
         )
         lookup_replies = long_deadline_asker.together(
-            lambda a: long_deadline_asker.ask(through, a), lookups
+            lambda a: long_deadline_asker.ask(ingress, a), lookups
         )
         short_deadline_replies = [reply.result() for reply in short_deadline_replies]
         lookup_replies = [reply.result() for reply in lookup_replies]
--- a/packages/sassafraswinch-node/tests/test_process_stop.py
+++ b/packages/sassafraswinch-node/tests/test_process_stop.py
@@ -59,7 +59,7 @@
     long_deadline_asker.close()
 
 
-def entry(fleet, host):
+def ingress_of(fleet, host):
     return fleet.hosts[host].entry
 
 
@@ -114,17 +114,17 @@
 def in_flight_on(fleet, long_deadline_asker, host, other):
     """Start approvals that a host executes, owns, or forwards to their owner."""
     executed = long_deadline_asker.with_ticket(
-        entry(fleet, other), long_deadline_asker.new("POST", APPROVE)
+        ingress_of(fleet, other), long_deadline_asker.new("POST", APPROVE)
     )
     owned = long_deadline_asker.with_ticket(
-        entry(fleet, host), long_deadline_asker.new("POST", APPROVE)
+        ingress_of(fleet, host), long_deadline_asker.new("POST", APPROVE)
     )
     forwarded = long_deadline_asker.with_ticket(
-        entry(fleet, "schvaleni-2"), long_deadline_asker.new("POST", APPROVE)
+        ingress_of(fleet, "schvaleni-2"), long_deadline_asker.new("POST", APPROVE)
     )
     sent = [(other, executed), (host, owned), (host, forwarded)]
     replies = long_deadline_asker.together(
-        lambda pair: long_deadline_asker.ask(entry(fleet, pair[0]), pair[1]), sent
+        lambda pair: long_deadline_asker.ask(ingress_of(fleet, pair[0]), pair[1]), sent
     )
     ids = {approval.request_id for _, approval in sent}
 
@@ -142,7 +142,7 @@
     verdict is may-have-run, although nothing ran.
     """
     for request in (replace(unused, ticket=None), unused):
-        reply = long_deadline_asker.ask(entry(fleet, host), request)
+        reply = long_deadline_asker.ask(ingress_of(fleet, host), request)
         assert reply.told == (503, "not-run", "leaving")
         assert reply.ticket is None
         assert reply.headers["connection"] == "close"
@@ -161,7 +161,7 @@
     load = start_lookups(fleet, "stop")
     replies = in_flight_on(fleet, long_deadline_asker, "schvaleni-1", "vydej-1")
     unused = long_deadline_asker.with_ticket(
-        entry(fleet, "schvaleni-1"), long_deadline_asker.new("POST", APPROVE)
+        ingress_of(fleet, "schvaleni-1"), long_deadline_asker.new("POST", APPROVE)
     )
     stopped_at_ms = now_ms()
     fleet.node("schvaleni-1").terminate()
@@ -204,7 +204,7 @@
     the calls, and callers at its ingress get the verdict may-have-run.
     """
     fleet.control_backend("schvaleni-2", fault="hang")
-    ingress = entry(fleet, "schvaleni-2")
+    ingress = ingress_of(fleet, "schvaleni-2")
     approval = long_deadline_asker.with_ticket(
         ingress, long_deadline_asker.new("POST", APPROVE)
     )
