--- a/packages/sassafraswinch-node/sassafraswinch_node/building.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/building.py
@@ -8,7 +8,7 @@
 from sassafraswinch.document import Document, digest, parse_document
 from sassafraswinch.execution import ExecutionLedger
 from sassafraswinch.gate import Gate, OpenGate, StaticGate
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.membership import Membership
 from sassafraswinch.messages import NodeId
 from sassafraswinch.node import Node
@@ -56,7 +56,7 @@
             max_answer_bytes=MAX_STORED_RESPONSE_BYTES,
         ),
         ledger=ExecutionLedger(max_answer_bytes=MAX_STORED_RESPONSE_BYTES),
-        shedder=EntryShedder(),
+        shedder=IngressShedder(),
         budget=CallerRetryBudget(share_percent=10),
         keeper=make_keeper(rng),
         service=settings.service,
