--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -2,7 +2,7 @@
 
 from sassafraswinch.hosts import HostView
 from sassafraswinch.node import Node
-from sassafraswinch.offers import KeeperReport
+from sassafraswinch.offers import DocumentReport
 from sassafraswinch.status import HostStatus, LinkStatus, Status
 from sassafraswinch_node.links import LinkPool
 from sassafraswinch_node.settings import Settings
@@ -41,7 +41,7 @@
     )
 
 
-def document_faults(report: KeeperReport) -> tuple[str, ...]:
+def document_faults(report: DocumentReport) -> tuple[str, ...]:
     """Describe refused, conflicting and undelivered versions of the document."""
     faults = [str(error) for error in report.refusal.errors] if report.refusal else []
     faults += [
