--- a/packages/sassafraswinch-node/sassafraswinch_node/building.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/building.py
@@ -16,7 +16,7 @@
 from sassafraswinch.retry import CallerRetryBudget
 from sassafraswinch.routing import Router
 from sassafraswinch.tickets import TicketLedger
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 from sassafraswinch_node.settings import Settings
 
 TICKET_LIFETIME_MS = 120_000
@@ -58,7 +58,7 @@
         ledger=ExecutionLedger(max_answer_bytes=MAX_STORED_RESPONSE_BYTES),
         shedder=IngressShedder(),
         budget=CallerRetryBudget(share_percent=10),
-        keeper=make_keeper(rng),
+        document_store=make_keeper(rng),
         service=settings.service,
         rng=rng,
         recorder=recorder,
@@ -79,9 +79,9 @@
             return AdaptiveGate(slots=settings.slots_hint, rng=rng)
 
 
-def make_keeper(rng: random.Random) -> ConfigKeeper:
+def make_keeper(rng: random.Random) -> DocumentStore:
     """Return the store that selects which document of the platform is in force."""
-    return ConfigKeeper(
+    return DocumentStore(
         parse=lambda body: parse_document(body, source="document"),
         digest=digest,
         rng=rng,
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
@@ -88,7 +88,7 @@
         nodes = len(self.membership.records())
         if nodes <= 1:
             nodes = 0  # Only its own host: the fleet size isn't known yet.
-        isolated = self.membership.isolated()
+        isolated = self.membership.is_isolated()
         for schedule in (self._document_schedule, self._host_schedule):
             schedule.set_isolated(isolated)
             schedule.set_nodes(nodes or ASSUMED_FLEET_SIZE)
@@ -118,7 +118,7 @@
             return False
         self._document_version = published.version
         keeper = self.configuration.keeper
-        candidate = await asyncio.to_thread(keeper.read, published.body)
+        candidate = await asyncio.to_thread(keeper.parse_body, published.body)
         result = self.configuration.platform_read(candidate, self.now_ms())
         for error in result.errors:
             log_event("document_refused", level="warning", reason=str(error))
@@ -131,5 +131,5 @@
         if published is None:
             return False
         now_ms = self.now_ms()
-        self.membership.replace(published.records, published.version, now_ms)
+        self.membership.apply_host_list(published.records, published.version, now_ms)
         return True
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -59,7 +59,7 @@
         self.rng = rng or random.Random(int.from_bytes(os.urandom(16), "big"))
         self.node_id = NodeId(settings.host, self.rng.getrandbits(63))
         self.membership = Membership(
-            self_host=settings.host, own_mark_ms=settings.list_leave_delay_ms
+            self_host=settings.host, self_leaving_grace_ms=settings.list_leave_delay_ms
         )
         self.wake = WakeDetector(tick_ms=IDLE_TICK_MS)
         self.stopped = asyncio.Event()
@@ -138,7 +138,7 @@
         for listener in self.http.values():
             await listener.start()
         link = await self.links.start(settings.link)
-        self.membership.learn([self._own_record(link)], self.now_ms())
+        self.membership.add_hosts([self._own_record(link)], self.now_ms())
         self.node.start(self.now_ms())
         self._start_task(self.watch.run())
         self._start_task(self._tick())
@@ -219,7 +219,7 @@
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
         """Pass a received message to the node."""
-        self.node.message(node, session, message, self._checked_now_ms())
+        self.node.handle_message(node, session, message, self._checked_now_ms())
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
@@ -268,7 +268,7 @@
         now_ms = self.now_ms()
         if self.wake.observe(monotonic_ms=now_ms, wall_ms=time.time() * 1000):
             log_event("node_woke", host=self.settings.host)
-            self.node.woke(now_ms)
+            self.node.resume_after_pause(now_ms)
         return now_ms
 
     def _submit(self, request: Request) -> None:
--- a/packages/sassafraswinch-node/sassafraswinch_node/settings.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/settings.py
@@ -18,7 +18,7 @@
 
 from sassafraswinch.errors import InvalidFieldError, InvalidFieldsError
 from sassafraswinch.lifecycle import LEAVE_NOTICE_MS
-from sassafraswinch.membership import OWN_MARK_MS
+from sassafraswinch.membership import SELF_LEAVING_GRACE_MS
 from sassafraswinch_node.addresses import Address, parse_address
 
 
@@ -60,7 +60,7 @@
     slots_hint: int | None = Field(default=None, ge=1, le=100_000)
     max_connections: int = Field(default=512, ge=1, le=100_000)
     max_body_bytes: int = Field(default=1_048_576, ge=1024, le=1_500_000)
-    list_leave_delay_ms: int = Field(default=OWN_MARK_MS, ge=0, le=3_600_000)
+    list_leave_delay_ms: int = Field(default=SELF_LEAVING_GRACE_MS, ge=0, le=3_600_000)
     leave_notice_ms: int = Field(default=LEAVE_NOTICE_MS, ge=0, le=60_000)
     stop_timeout_ms: int = Field(default=30_000, ge=0, le=600_000)
     log_level: Literal["debug", "info", "warning", "error"] = "info"
--- a/packages/sassafraswinch-node/tests/test_platform_watch.py
+++ b/packages/sassafraswinch-node/tests/test_platform_watch.py
@@ -55,7 +55,7 @@
 def make_watch(platform, membership, seed):
     configuration = SimpleNamespace(
         keeper=SimpleNamespace(
-            read=lambda body: body, stamp=SimpleNamespace(version=0)
+            parse_body=lambda body: body, stamp=SimpleNamespace(version=0)
         ),
         platform_read=lambda candidate, now_ms: SimpleNamespace(errors=()),
     )
@@ -71,7 +71,7 @@
 def connect(membership, host):
     now_ms = asyncio.get_running_loop().time() * 1000
     membership.link_up(host, 1, now_ms)
-    membership.heard(NodeId(host, 1), Load(), now_ms)
+    membership.record_report(NodeId(host, 1), Load(), now_ms)
 
 
 @pytest.mark.looptime
@@ -101,7 +101,7 @@
     """A node pauses for minutes and relies on its peers, whose links are then lost."""
     membership = Membership(self_host="vydej-1")
     hosts = [f"vydej-{number}" for number in range(1, 561)]
-    membership.learn(map(record, hosts), 0)
+    membership.add_hosts(map(record, hosts), 0)
     platform = FakePlatform(hosts=hosts, list_after_s=0)
     connect(membership, "vydej-2")
     watch_task = asyncio.create_task(make_watch(platform, membership, seed).run())
