--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -76,13 +76,13 @@
         self.usage = UsageMeter(now_ms=self.now_ms(), traffic=self._traffic)
         self.links = LinkAdapter(
             receiver=self,
-            hello=self._hello,
-            heartbeat=self._heartbeat,
+            build_hello=self._hello,
+            build_heartbeat=self._heartbeat,
             membership=self.membership,
             plan=LinkPlan(
                 host=settings.host, availability_zone=settings.availability_zone
             ),
-            refused=_link_refused,
+            on_refused=_link_refused,
             traffic=self._traffic,
         )
         self.dispatcher = Dispatcher(
@@ -104,7 +104,7 @@
             membership=self.membership,
             recorder=self.recorder,
             document_changed=self._document_changed,
-            service_called=self.links.need_service,
+            service_called=self.links.record_service_demand,
             rng=self.rng,
         )
         self.platform = PlatformClient(urls=settings.platform)
@@ -316,7 +316,7 @@
 
     def _update_links(self, now_ms: float) -> None:
         self.usage.tick(now_ms)
-        self.links.follow_plan()
+        self.links.apply_plan()
         if self.membership.self_leaving:
             self.leave()
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -57,7 +57,7 @@
 
 
 def _link_statuses(pool: LinkPool) -> tuple[LinkStatus, ...]:
-    errors = pool.errors()
+    errors = pool.dial_errors()
     open_links = [
         LinkStatus(
             host=host,
