--- a/packages/sassafraswinch-node/sassafraswinch_node/burn_page.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/burn_page.py
@@ -2,16 +2,16 @@
 
 from xml.etree import ElementTree
 
-from sassafraswinch.burn_rates import ALERT_RULES
-from sassafraswinch.burn_report import BurnReport, SeriesBurn, WindowBurn
-from sassafraswinch.burn_windows import BURN_WINDOWS_MS, MINUTE_MS, window_name
-from sassafraswinch.burn_words import (
+from sassafraswinch.burn_format import (
     describe_alerts,
     format_objective,
     format_rate,
     format_reasons,
     series_name,
 )
+from sassafraswinch.burn_rates import ALERT_RULES
+from sassafraswinch.burn_report import BurnReport, SeriesBurn, WindowBurn
+from sassafraswinch.burn_windows import BURN_WINDOWS_MS, MINUTE_MS, window_name
 
 SHARE_WINDOW_MS = 5 * MINUTE_MS
 """Window whose outcome shares are drawn."""
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform_watch.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from sassafraswinch.configuration import Configuration
+from sassafraswinch.document_exchange import DocumentExchange
 from sassafraswinch.membership import Membership
 from sassafraswinch.read_budget import (
     DOCUMENT_WATCHES,
@@ -29,13 +29,13 @@
         self,
         *,
         client: PlatformClient,
-        configuration: Configuration,
+        document_exchange: DocumentExchange,
         membership: Membership,
         now_ms: Callable[[], float],
         rng: random.Random,
     ):
         self.client = client
-        self.configuration = configuration
+        self.document_exchange = document_exchange
         self.membership = membership
         self.now_ms = now_ms
         self._document_schedule = WatchSchedule(
@@ -111,15 +111,17 @@
 
     async def _read_document(self, wait_ms: int) -> bool:
         held_version = max(
-            self._document_version, self.configuration.keeper.stamp.version
+            self._document_version, self.document_exchange.keeper.stamp.version
         )
         published = await self.client.document(after=held_version, wait_ms=wait_ms)
         if published is None:
             return False
         self._document_version = published.version
-        keeper = self.configuration.keeper
+        keeper = self.document_exchange.keeper
         candidate = await asyncio.to_thread(keeper.parse_body, published.body)
-        result = self.configuration.platform_read(candidate, self.now_ms())
+        result = self.document_exchange.apply_platform_document(
+            candidate, self.now_ms()
+        )
         for error in result.errors:
             log_event("document_refused", level="warning", reason=str(error))
         return True
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -110,7 +110,7 @@
         self.platform = PlatformClient(urls=settings.platform)
         self.watch = PlatformWatch(
             client=self.platform,
-            configuration=self.node.configuration,
+            document_exchange=self.node.document_exchange,
             membership=self.membership,
             now_ms=self.now_ms,
             rng=self.rng,
@@ -213,7 +213,7 @@
         """Pass a new link and the peer's document version to the node."""
         now_ms = self._checked_now_ms()
         self.node.link_up(hello.node, session, dialled=dialled, now_ms=now_ms)
-        self.node.configuration.greeted(hello, now_ms)
+        self.node.document_exchange.record_hello(hello, now_ms)
 
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
@@ -284,7 +284,7 @@
         self.node.backend_done(key, result, self._checked_now_ms())
 
     def _hello(self, session: int) -> Hello:
-        stamp = self.node.configuration.keeper.stamp
+        stamp = self.node.document_exchange.keeper.stamp
         return Hello(
             protocol_version=PROTOCOL_VERSION,
             node=self.node_id,
--- a/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/snapshot.py
@@ -14,7 +14,7 @@
 ) -> Status:
     """Return the current status of a node."""
     load = node.executor.load(now_ms)
-    report = node.configuration.keeper.report(now_ms)
+    report = node.document_exchange.keeper.report(now_ms)
     return Status(
         host=settings.host,
         availability_zone=settings.availability_zone,
--- a/packages/sassafraswinch-node/tests/test_platform_watch.py
+++ b/packages/sassafraswinch-node/tests/test_platform_watch.py
@@ -53,15 +53,15 @@
 
 
 def make_watch(platform, membership, seed):
-    configuration = SimpleNamespace(
+    document_exchange = SimpleNamespace(
         keeper=SimpleNamespace(
             parse_body=lambda body: body, stamp=SimpleNamespace(version=0)
         ),
-        platform_read=lambda candidate, now_ms: SimpleNamespace(errors=()),
+        apply_platform_document=lambda candidate, now_ms: SimpleNamespace(errors=()),
     )
     return PlatformWatch(
         client=platform,
-        configuration=configuration,
+        document_exchange=document_exchange,
         membership=membership,
         now_ms=lambda: asyncio.get_running_loop().time() * 1000,
         rng=random.Random(seed),
