--- a/packages/sassafraswinch-node/tests/test_process_path.py
+++ b/packages/sassafraswinch-node/tests/test_process_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: callers, nodes, backend servers and back."""
+"""Tests of complete calls through real processes: callers, nodes, backend servers."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 from sassafraswinch_standins.control import call_json
 from sassafraswinch_standins.recovery import recover
 
-LONGEST_BODY_BYTES = 1_048_576
+MAX_BODY_BYTES = 1_048_576
 FORGED_ROOT = "f" * 32
 
 
@@ -33,7 +33,7 @@
     asker.close()
 
 
-def entry(fleet, host="prehled-1"):
+def ingress_of(fleet, host="prehled-1"):
     return fleet.hosts[host].entry
 
 
@@ -56,9 +56,9 @@
 
 
 @pytest.mark.parametrize("host", ["prehled-1", "prehled-2"])
-def test_lookup_calls_down_the_chain_and_its_answer_comes_back(fleet, asker, host):
+def test_lookup_runs_on_the_full_chain_and_is_answered(fleet, asker, host):
     lookup = asker.new("GET", LOOKUP)
-    reply = asker.ask(entry(fleet, host), lookup)
+    reply = asker.ask(ingress_of(fleet, host), lookup)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -68,10 +68,10 @@
 
 
 def test_approval_with_a_ticket_runs_once_with_its_release(fleet, asker):
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     assert not runs_of(fleet, approval.request_id)
 
-    reply = asker.ask(entry(fleet), approval)
+    reply = asker.ask(ingress_of(fleet), approval)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -79,15 +79,15 @@
     assert [run["operation"] for run in runs] == ["approve-order", "release-order"]
 
 
-def test_repeat_of_an_approval_through_any_node_gets_the_first_answer(fleet, asker):
-    """The caller loses the answer of an approval, and sends it again elsewhere.
+def test_retry_of_an_approval_through_any_node_gets_the_first_response(fleet, asker):
+    """The caller loses the response to an approval and retries it through another node.
 
-    Seen by a user: a second approval would make a supplier ship twice. The other
-    node, in another availability zone, knows nothing of the first one.
+    A second approval would make a supplier ship twice. The other node, in another
+    availability zone, has no record of the first one.
     """
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     replies = [
-        asker.ask(entry(fleet, host), approval)
+        asker.ask(ingress_of(fleet, host), approval)
         for host in ("prehled-1", "prehled-1", "prehled-2", "vydej-2")
     ]
 
@@ -96,24 +96,24 @@
     assert len(runs_of(fleet, approval.request_id)) == 2
 
 
-def test_repeats_that_come_together_join_one_run(fleet, asker):
-    """A nervous caller sends an approval eight times at once, through two nodes."""
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+def test_concurrent_retries_share_one_run(fleet, asker):
+    """A caller sends an approval eight times concurrently through two nodes."""
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     hosts = ["prehled-1", "prehled-2"] * 4
-    replies = asker.together(lambda h: asker.ask(entry(fleet, h), approval), hosts)
+    replies = asker.together(lambda h: asker.ask(ingress_of(fleet, h), approval), hosts)
 
     assert {reply.result().told for reply in replies} == {(200, "answered", None)}
     assert len(runs_of(fleet, approval.request_id)) == 2
 
 
-def test_answer_of_1_mb_comes_whole_through_three_hops(fleet, asker):
-    """Each hop hands an answer of 1 MB on, and each receiver checks it.
+def test_response_of_1_mb_is_complete_after_three_hops(fleet, asker):
+    """Each hop forwards a response of 1 MB, and each receiver checks it.
 
-    A truncated or mixed answer fails the checksum at whichever hop it happened: a
-    backend server then answers 502, and the caller sees the fault.
+    A truncated or mixed response fails the checksum at the hop where it happened: a
+    backend server then responds with 502, and the caller sees the fault.
     """
     archive = asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES)
-    reply = asker.ask(entry(fleet), archive)
+    reply = asker.ask(ingress_of(fleet), archive)
 
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
@@ -121,12 +121,12 @@
     assert len(runs_of(fleet, archive.request_id)) == 3
 
 
-def test_many_answers_of_1_mb_at_once_are_each_the_callers_own(fleet, asker):
-    """Twelve answers of 1 MB share the links; a mixture would fail a checksum."""
+def test_concurrent_responses_of_1_mb_are_not_mixed(fleet, asker):
+    """Twelve responses of 1 MB share the links; mixed data would fail a checksum."""
     archives = [
         asker.new("GET", ARCHIVE, answer_bytes=MAX_FILLER_BYTES) for _ in range(12)
     ]
-    entries = [entry(fleet, "prehled-1"), entry(fleet, "schvaleni-2")] * 6
+    entries = [ingress_of(fleet, "prehled-1"), ingress_of(fleet, "schvaleni-2")] * 6
     replies = [
         reply.result()
         for reply in asker.together(
@@ -138,21 +138,21 @@
     assert [reply.fault for reply in replies] == [None] * 12
 
 
-def test_body_at_the_bound_passes_and_one_byte_more_is_refused(fleet, asker):
+def test_body_at_the_limit_passes_and_one_byte_more_is_refused(fleet, asker):
     approval = asker.new("POST", APPROVE)
     fields = orjson.dumps({"id": approval.request_id, "answer_bytes": 10})
-    at_bound = replace(approval, body=fields.ljust(LONGEST_BODY_BYTES))
-    above = replace(approval, body=fields.ljust(LONGEST_BODY_BYTES + 1))
+    at_limit = replace(approval, body=fields.ljust(MAX_BODY_BYTES))
+    too_long = replace(approval, body=fields.ljust(MAX_BODY_BYTES + 1))
 
-    refused = asker.ask(entry(fleet), above)
+    refused = asker.ask(ingress_of(fleet), too_long)
     assert refused.told == (413, "not-run", "too-large")
     assert not runs_of(fleet, approval.request_id)
 
-    ticketed = asker.with_ticket(entry(fleet), at_bound)
-    refused = asker.ask(entry(fleet), replace(ticketed, body=above.body))
-    # Only the ticket's owner can know that nothing has run under it.
+    ticketed = asker.with_ticket(ingress_of(fleet), at_limit)
+    refused = asker.ask(ingress_of(fleet), replace(ticketed, body=too_long.body))
+    # Only the ticket's owner can know whether a request has run with it.
     assert refused.told == (413, "may-have-run", "too-large")
-    reply = asker.ask(entry(fleet), ticketed)
+    reply = asker.ask(ingress_of(fleet), ticketed)
     assert reply.told == (200, "answered", None)
     assert reply.fault is None
 
@@ -170,17 +170,17 @@
     fleet, asker, method, path
 ):
     unknown = asker.new(method, path)
-    reply = asker.ask(entry(fleet), unknown)
+    reply = asker.ask(ingress_of(fleet), unknown)
 
     assert reply.told == (404, "not-run", "unknown-operation")
     assert not runs_of(fleet, unknown.request_id)
 
 
 def test_context_headers_of_a_caller_are_stripped(fleet, asker):
-    """A caller forges the context: root, deadline, parent, class.
+    """A caller forges context headers: root, deadline, parent and class.
 
-    Were it passed on, the backend server would answer 504 within its 1 ms, its run
-    would carry the forged root, and a caller could pose as a running parent.
+    If they were forwarded, the backend server would respond with 504 after 1 ms, its
+    run would carry the forged root, and a caller could pose as a running parent call.
     """
     lookup = asker.new(
         "GET",
@@ -192,7 +192,7 @@
             "sassafraswinch-verdict": "answered",
         },
     )
-    reply = asker.ask(entry(fleet), lookup)
+    reply = asker.ask(ingress_of(fleet), lookup)
 
     assert reply.told == (200, "answered", None)
     runs = runs_of(fleet, lookup.request_id)
@@ -200,8 +200,8 @@
     assert FORGED_ROOT not in {run["root_id"] for run in runs}
 
 
-def test_a_caller_gets_the_labels_of_its_own_organisation_only(fleet):
-    """A trial caller names a paying organisation, to be served before trial work."""
+def test_caller_gets_only_the_labels_of_its_own_organisation(fleet):
+    """A trial caller claims a paying organisation to get a higher priority."""
     cases = {
         ("buyer", "distributor"): "paying",
         ("trial-buyer", "prospect"): "trial",
@@ -211,7 +211,9 @@
     before = answered_by_class(fleet, "schvaleni-1", "order-state")
     for caller, organisation in cases:
         asker = Asker(caller=caller, organisation=organisation)
-        reply = asker.ask(entry(fleet, "schvaleni-1"), asker.new("GET", ORDER_STATE))
+        reply = asker.ask(
+            ingress_of(fleet, "schvaleni-1"), asker.new("GET", ORDER_STATE)
+        )
         assert reply.told == (200, "answered", None)
         asker.close()
     after = answered_by_class(fleet, "schvaleni-1", "order-state")
@@ -220,13 +222,13 @@
     assert gained == {"paying": 1, "trial": 1, "rest": 2}
 
 
-def test_ticket_of_one_organisation_is_no_good_for_another(fleet, asker):
-    """A rival distributor guesses, or overhears, the ticket of another's approval."""
-    approval = asker.with_ticket(entry(fleet), asker.new("POST", APPROVE))
+def test_ticket_of_one_organisation_is_invalid_for_another(fleet, asker):
+    """An organisation uses a guessed or intercepted ticket of another organisation."""
+    approval = asker.with_ticket(ingress_of(fleet), asker.new("POST", APPROVE))
     rival = Asker(caller="dispatcher", organisation="carrier")
-    reply = rival.ask(entry(fleet), approval)
+    reply = rival.ask(ingress_of(fleet), approval)
     rival.close()
 
     assert (reply.status, reply.reason) == (400, "ticket-invalid")
     assert not runs_of(fleet, approval.request_id)
-    assert asker.ask(entry(fleet), approval).status == 200
+    assert asker.ask(ingress_of(fleet), approval).status == 200
