--- a/packages/sassafraswinch-node/sassafraswinch_node/backend.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/backend.py
@@ -1,13 +1,13 @@
 """Client for the backend server on this node's host."""
 
 from sassafraswinch.messages import Headers
-from sassafraswinch_node.http_answer import HttpResponse as BackendResponse
 from sassafraswinch_node.http_client import (
     MAX_IDLE_MS,
     MAX_RESPONSE_BYTES,
     HttpClient,
     HttpClientError as BackendError,
 )
+from sassafraswinch_node.http_response import HttpResponse as BackendResponse
 
 __all__ = ["BackendResponse", "BackendClient", "BackendError"]
 
@@ -19,7 +19,7 @@
         ip: IP address of the backend server.
         port: port of the backend server.
         max_connections: maximum number of connections; further calls wait for one.
-        max_answer_bytes: maximum length of a response body.
+        max_response_bytes: maximum length of a response body.
         max_idle_ms: idle time after which a persistent connection is not reused.
     """
 
@@ -29,14 +29,14 @@
         ip: str,
         port: int,
         max_connections: int,
-        max_answer_bytes: int = MAX_RESPONSE_BYTES,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
         max_idle_ms: int = MAX_IDLE_MS,
     ):
         self._client = HttpClient(
             ip=ip,
             port=port,
             max_connections=max_connections,
-            max_answer_bytes=max_answer_bytes,
+            max_response_bytes=max_response_bytes,
             max_idle_ms=max_idle_ms,
         )
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_client.py
@@ -21,13 +21,13 @@
 from sassafraswinch.errors import SassafraswinchError
 from sassafraswinch.messages import Headers
 from sassafraswinch.verdict import Reason, Verdict
-from sassafraswinch_node.answer_reader import ResponseReader
-from sassafraswinch_node.http_answer import (
+from sassafraswinch_node.http_response import (
     HttpResponse,
     ResponseError,
     ResponseParser,
     end_to_end_headers,
 )
+from sassafraswinch_node.response_reader import ResponseReader
 
 CONNECT_TIMEOUT_MS = 1_000
 """Time limit for opening a connection, which normally takes about 1 ms."""
@@ -71,7 +71,7 @@
         ip: IP address of the server.
         port: port of the server.
         max_connections: maximum number of connections; further requests wait for one.
-        max_answer_bytes: maximum length of a response body.
+        max_response_bytes: maximum length of a response body.
         max_idle_ms: idle time after which a persistent connection is not reused.
     """
 
@@ -81,12 +81,12 @@
         ip: str,
         port: int,
         max_connections: int,
-        max_answer_bytes: int = MAX_RESPONSE_BYTES,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
         max_idle_ms: int = MAX_IDLE_MS,
     ):
         host = f"[{ip}]:{port}" if ":" in ip else f"{ip}:{port}"
         self._host = ("host", host)
-        self._max_response_bytes = max_answer_bytes
+        self._max_response_bytes = max_response_bytes
         self._url = get_url_parsed(f"http://{host}")
         self._timeouts = Timeouts(sock_connect=CONNECT_TIMEOUT_MS / 1000)
         pool = PoolConfig(
--- a/packages/sassafraswinch-node/sassafraswinch_node/link.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/link.py
@@ -23,7 +23,7 @@
     Message,
 )
 from sassafraswinch_node.frames import FrameSplitter, frame_prefix
-from sassafraswinch_node.transit import TransitClock
+from sassafraswinch_node.transit_delay import TransitDelayEstimator
 from sassafraswinch_node.wire import WireError, decode_frame, encode
 
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
@@ -134,7 +134,7 @@
         self._pending_heartbeats: deque[tuple[int, float]] = deque()
         self._transport: asyncio.Transport | None = None
         self._splitter = FrameSplitter()
-        self._transit = TransitClock()
+        self._transit = TransitDelayEstimator()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
         self._flush_scheduled = False
@@ -261,7 +261,9 @@
 
     def _decode(self, payload: bytes) -> Message:
         sent_ms, message = decode_frame(payload)
-        delay_ms = self._transit.delay_ms(sent_ms=sent_ms, received_ms=self._now_ms())
+        delay_ms = self._transit.record_frame(
+            sent_ms=sent_ms, received_ms=self._now_ms()
+        )
         if delay_ms >= MIN_TRANSIT_DELAY_MS and isinstance(message, Call | Forward):
             remaining_ms = max(0, message.remaining_ms - int(delay_ms))
             return replace(message, remaining_ms=remaining_ms)
--- a/packages/sassafraswinch-node/sassafraswinch_node/building.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/node_factory.py
@@ -58,7 +58,7 @@
         ledger=ExecutionLedger(max_answer_bytes=MAX_STORED_RESPONSE_BYTES),
         shedder=IngressShedder(),
         budget=CallerRetryBudget(share_percent=10),
-        document_store=make_keeper(rng),
+        document_store=make_document_store(rng),
         service=settings.service,
         rng=rng,
         recorder=recorder,
@@ -79,7 +79,7 @@
             return AdaptiveGate(slots=settings.slots_hint, rng=rng)
 
 
-def make_keeper(rng: random.Random) -> DocumentStore:
+def make_document_store(rng: random.Random) -> DocumentStore:
     """Return the store that selects which document of the platform is in force."""
     return DocumentStore(
         parse=lambda body: parse_document(body, source="document"),
--- a/packages/sassafraswinch-node/sassafraswinch_node/platform.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/platform.py
@@ -184,7 +184,7 @@
             ip=ip,
             port=parts.port or 80,
             max_connections=CONNECTIONS_PER_ADDRESS,
-            max_answer_bytes=MAX_PUBLISHED_BYTES,
+            max_response_bytes=MAX_PUBLISHED_BYTES,
         )
 
 
--- a/packages/sassafraswinch-node/sassafraswinch_node/process.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/process.py
@@ -22,13 +22,13 @@
 from sassafraswinch.status import Status
 from sassafraswinch.wake import WakeDetector
 from sassafraswinch_node.backend import BackendClient
-from sassafraswinch_node.building import make_node
 from sassafraswinch_node.dispatcher import Dispatcher
 from sassafraswinch_node.http_calls import CallListener, IdentityHeaders
 from sassafraswinch_node.link import LinkRefusedError, LinkTraffic
 from sassafraswinch_node.link_adapter import LinkAdapter
 from sassafraswinch_node.listeners import HttpListener
 from sassafraswinch_node.logs import log_event
+from sassafraswinch_node.node_factory import make_node
 from sassafraswinch_node.operators import operators_app
 from sassafraswinch_node.platform import PlatformClient
 from sassafraswinch_node.platform_watch import PlatformWatch
--- a/packages/sassafraswinch-node/sassafraswinch_node/answer_reader.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/response_reader.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-from sassafraswinch_node.http_answer import ResponseError, ResponseParser
+from sassafraswinch_node.http_response import ResponseError, ResponseParser
 
 
 class ResponseReader(asyncio.Protocol):
--- a/packages/sassafraswinch-node/sassafraswinch_node/transit.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/transit_delay.py
@@ -7,7 +7,7 @@
 drift of 100 parts per million shifts the minimum by at most 6 ms over both."""
 
 
-class TransitClock:
+class TransitDelayEstimator:
     """Estimates the transit delay of the frames of one link.
 
     The clocks of the two hosts are not synchronised. The smallest recent difference
@@ -25,7 +25,7 @@
         self._previous_ms = math.inf
         self._window_end_ms = -math.inf
 
-    def delay_ms(self, *, sent_ms: float, received_ms: float) -> float:
+    def record_frame(self, *, sent_ms: float, received_ms: float) -> float:
         """Record one frame and return its delay beyond the fastest recent transit."""
         if received_ms >= self._window_end_ms:
             self._previous_ms = self._current_ms
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
@@ -154,7 +154,7 @@
         ip=address.ip,
         port=address.port,
         max_connections=1,
-        max_answer_bytes=MAX_ANSWER_BYTES,
+        max_response_bytes=MAX_ANSWER_BYTES,
     )
     try:
         answer = await client.request(
