--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter."""
+"""Tests that the platform's names occur in its adapter only."""
 
 import re
 from pathlib import Path
@@ -11,7 +11,7 @@
 )
 
 
-def test_platform_names_are_found_in_its_folder_only():
+def test_platform_names_occur_in_the_adapter_only():
     sources = [
         path
         for path in ROOT.glob("packages/**/*.py")
@@ -21,8 +21,8 @@
     assert [p.name for p in sources if NAMES.search(p.read_text())] == []
 
 
-def test_the_folder_does_not_hide_the_standard_library():
-    """With the repository's root on the path, a package named ``platform`` would hide
-    the module of that name, which many libraries import.
+def test_adapter_directory_does_not_shadow_the_standard_library():
+    """With the repository root on ``sys.path``, a package named ``platform`` would
+    shadow the standard library module of that name, which many libraries import.
     """
     assert not (ROOT / "platform" / "__init__.py").exists()
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's values, read once into the product's types."""
+"""Tests of the decoder of the platform's values."""
 
 import contextlib
 import json
@@ -45,20 +45,22 @@
 }
 
 
-def coded(value, **changes):
+def encode_value(value, **changes):
     return json.dumps(value | changes).encode()
 
 
-def test_server_becomes_an_instance():
-    found = PlatformDecoder().parse_instance("i-7", coded(SERVER))
+def test_server_registration_is_parsed_to_an_instance():
+    found = PlatformDecoder().parse_instance("i-7", encode_value(SERVER))
     assert (found.id, found.service, found.ip) == ("i-7", "huvo11a", "10.128.0.9")
     assert (found.slots, found.leaving, found.cold_ms) == (108, False, 1_500.0)
-    drained = PlatformDecoder().parse_instance("i-7", coded(SERVER, state="draining"))
+    drained = PlatformDecoder().parse_instance(
+        "i-7", encode_value(SERVER, state="draining")
+    )
     assert drained.leaving
 
 
-def test_config_becomes_a_route_table():
-    table = PlatformDecoder().parse_route_table(coded(CONFIG))
+def test_config_is_parsed_to_a_route_table():
+    table = PlatformDecoder().parse_route_table(encode_value(CONFIG))
     assert table.version == 12
     found = table.find("hulo84.example", "/leny950/2f")
     assert (found.timeout_ms, found.target_latency_ms) == (1_200.0, 1_500.0)
@@ -80,35 +82,37 @@
 
 
 def with_tenants(*tenants):
-    return coded(CONFIG, tenants=list(tenants))
+    return encode_value(CONFIG, tenants=list(tenants))
 
 
-def test_tenants_become_organisations():
+def test_tenants_are_parsed_to_organisations():
     table = PlatformDecoder().parse_route_table(with_tenants(TENANT))
     found = table.organisations.find("3nax")
     assert (found.name, found.priority) == ("pulo780", 1)
     assert (found.limit.rate_per_s, found.limit.burst) == (163, 20)
 
 
-def test_without_tenants_anybody_may_send():
-    assert PlatformDecoder().parse_route_table(coded(CONFIG)).organisations is None
+def test_missing_tenants_accept_requests_without_a_key():
+    assert (
+        PlatformDecoder().parse_route_table(encode_value(CONFIG)).organisations is None
+    )
 
 
-def test_an_empty_list_of_tenants_lets_nobody_send():
+def test_empty_list_of_tenants_is_not_a_missing_one():
     table = PlatformDecoder().parse_route_table(with_tenants())
     assert table.organisations is not None
 
 
 @pytest.mark.parametrize("rates", [{"rate_per_s": 0}, {}])
-def test_a_rate_of_zero_or_none_is_no_limit(rates):
+def test_zero_or_missing_rate_is_no_limit(rates):
     tenant = {"name": "a", "api_keys": ["k"]} | rates
     table = PlatformDecoder().parse_route_table(with_tenants(tenant))
     assert table.organisations.find("k").limit is None
 
 
-def test_a_route_may_be_public():
+def test_route_may_be_public():
     config = CONFIG | {"hosts": [{"host": "a", "paths": [PATH | {"public": True}]}]}
-    (found,) = PlatformDecoder().parse_route_table(coded(config)).routes
+    (found,) = PlatformDecoder().parse_route_table(encode_value(config)).routes
     assert found.public
 
 
@@ -124,7 +128,7 @@
         [TENANT, TENANT | {"api_keys": ["other"]}],
     ],
 )
-def test_wrong_tenants_are_refused_without_showing_a_key(tenants):
+def test_invalid_tenants_are_rejected_without_disclosing_a_key(tenants):
     with pytest.raises(InvalidFieldsError) as caught:
         PlatformDecoder().parse_route_table(with_tenants(*tenants))
     texts = [str(error) for error in caught.value.exceptions]
@@ -132,10 +136,10 @@
     assert not any("gjy5" in text for text in texts)
 
 
-def test_one_service_is_a_split_of_one_part():
+def test_single_service_is_parsed_to_one_share():
     path = {k: v for k, v in PATH.items() if k != "traffic_split"}
     config = CONFIG | {"hosts": [{"host": "a", "paths": [path | {"service": "x"}]}]}
-    (found,) = PlatformDecoder().parse_route_table(coded(config)).routes
+    (found,) = PlatformDecoder().parse_route_table(encode_value(config)).routes
     assert [share.service for share in found.shares] == ["x"]
 
 
@@ -148,26 +152,26 @@
         ({"hosts": [{"host": "a", "paths": [PATH | {"timeout_s": 0}]}]}, "timeout_s"),
     ],
 )
-def test_wrong_config_names_its_field(changes, field):
+def test_error_names_the_invalid_field_of_the_config(changes, field):
     with pytest.raises(InvalidFieldsError) as caught:
-        PlatformDecoder().parse_route_table(coded(CONFIG, **changes))
+        PlatformDecoder().parse_route_table(encode_value(CONFIG, **changes))
     assert any(field in error.field for error in caught.value.exceptions)
 
 
-def test_wrong_server_names_its_field():
+def test_error_names_the_invalid_field_of_a_registration():
     with pytest.raises(InvalidFieldsError) as caught:
-        PlatformDecoder().parse_instance("i-7", coded(SERVER, slots=0))
+        PlatformDecoder().parse_instance("i-7", encode_value(SERVER, slots=0))
     assert [error.field for error in caught.value.exceptions] == ["slots"]
 
 
-def test_keys_are_told_apart():
+def test_registration_and_config_keys_are_distinguished():
     decoder = PlatformDecoder()
     assert decoder.instance_id("servers/i-7") == "i-7"
     assert decoder.instance_id("op/config") is None
     assert decoder.is_route_table("op/config")
 
 
-def test_list_is_no_object():
+def test_json_list_is_rejected():
     with pytest.raises(ValueError, match="object"):
         parse_json(b"[]")
 
@@ -190,27 +194,30 @@
     ],
     ids=lambda changes: str(changes)[:40],
 )
-def test_value_of_another_writer_names_no_server(changes):
-    """Something else writes an entry whose fields look like a server's. Taken at its
-    word, it would send requests to an address that doesn't exist, or end the process.
+def test_malformed_registration_of_another_writer_is_rejected(changes):
+    """Another writer stores a value whose fields resemble a server's. If it were
+    accepted, requests would go to an address that doesn't exist, or the sidecar's
+    process would exit.
     """
     with pytest.raises(InvalidFieldsError):
-        PlatformDecoder().parse_instance("i-7", coded(SERVER, **changes))
+        PlatformDecoder().parse_instance("i-7", encode_value(SERVER, **changes))
 
 
-def test_start_of_a_server_tells_its_lifetimes_apart():
+def test_start_time_distinguishes_incarnations_of_a_server():
     decoder = PlatformDecoder()
-    first = decoder.parse_instance("i-7", coded(SERVER, born=1_790_000_000_000))
-    again = decoder.parse_instance("i-7", coded(SERVER, born=1_790_000_009_000))
-    assert first.id == again.id
-    assert first.identity != again.identity
-    assert decoder.parse_instance("i-7", coded(SERVER)).incarnation == 0
+    first = decoder.parse_instance("i-7", encode_value(SERVER, born=1_790_000_000_000))
+    restarted = decoder.parse_instance(
+        "i-7", encode_value(SERVER, born=1_790_000_009_000)
+    )
+    assert first.id == restarted.id
+    assert first.identity != restarted.identity
+    assert decoder.parse_instance("i-7", encode_value(SERVER)).incarnation == 0
 
 
 @pytest.mark.parametrize("version", [31, None, "", "0x1f", "1_0", "-1", "123456789"])
-def test_version_of_another_form_is_an_error_with_a_name(version):
+def test_error_names_a_malformed_version(version):
     with pytest.raises(InvalidFieldsError) as caught:
-        PlatformDecoder().parse_route_table(coded(CONFIG, version=version))
+        PlatformDecoder().parse_route_table(encode_value(CONFIG, version=version))
     assert [error.field for error in caught.value.exceptions] == ["version"]
 
 
@@ -228,23 +235,23 @@
 @given(
     value=st.one_of(
         st.binary(max_size=200),
-        JSON.map(lambda read: json.dumps(read).encode()),
+        JSON.map(lambda data: json.dumps(data).encode()),
         st.dictionaries(st.sampled_from([*SERVER, "born"]), JSON).map(
-            lambda changes: coded(SERVER, **changes)
+            lambda changes: encode_value(SERVER, **changes)
         ),
         st.dictionaries(st.sampled_from([*CONFIG]), JSON).map(
-            lambda changes: coded(CONFIG, **changes)
+            lambda changes: encode_value(CONFIG, **changes)
         ),
         st.dictionaries(st.sampled_from([*PATH]), JSON).map(
-            lambda changes: coded(
+            lambda changes: encode_value(
                 CONFIG, hosts=[{"host": "a", "paths": [PATH | changes]}]
             )
         ),
     )
 )
-def test_only_the_declared_error_leaves_the_decoder(value):
-    """One value that nobody foresaw would end the task that follows the platform, and
-    with it the sidecar, which starts again and reads the same value.
+def test_decoder_raises_declared_errors_only(value):
+    """An unexpected exception would end the task that follows the platform, and with it
+    the sidecar, which would restart and read the same value again.
     """
     decoder = PlatformDecoder()
     for parse in (
@@ -256,7 +263,7 @@
             parse(value)
 
 
-def test_json_that_is_nested_too_deeply_is_unreadable():
+def test_json_nested_too_deeply_is_rejected():
     deep = b"[" * 200_000
     with pytest.raises(ValueError, match="deep"):
         parse_json(deep)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -1,4 +1,4 @@
-"""The adapter's program as a process."""
+"""Tests of the sidecar program in a process of its own."""
 
 import os
 import signal
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-HANG_UP_AT_START = """
+SIGHUP_DURING_IMPORT = """
 import os, signal, sys
 from sassafraswinch_platform.__main__ import main
 
@@ -22,21 +22,22 @@
 """
 
 
-def test_settings_that_change_while_the_program_starts_dont_end_it():
-    """The settings change right after a restart, and the platform says so by SIGHUP
-    while the libraries are still imported: the process dies without a line.
+def test_sighup_during_startup_does_not_end_the_program():
+    """The settings change right after a restart, and the platform sends SIGHUP while
+    libraries are still being imported. Without a handler the process dies silently.
     """
-    ended = run_python(HANG_UP_AT_START)
-    assert ended.returncode != -signal.SIGHUP
-    assert ended.returncode == 2
-    assert "/nowhere/sidecar.yaml" in ended.stderr
+    completed = run_python(SIGHUP_DURING_IMPORT)
+    assert completed.returncode != -signal.SIGHUP
+    assert completed.returncode == 2
+    assert "/nowhere/sidecar.yaml" in completed.stderr
 
 
-def test_start_imports_what_it_needs_and_no_more():
-    """All hosts lose power at once, and callers wait for their sidecars. Most of a
-    start was the import of libraries that only reports and other programs use.
+def test_startup_does_not_import_unneeded_libraries():
+    """After a power failure all hosts start at once, and callers wait for their
+    sidecars. Libraries that only reports and other programs use took most of the
+    start-up time.
     """
-    ended = run_python(
+    completed = run_python(
         "import sys, sassafraswinch_platform.program\n"
         "print(*(sys.modules.keys() & set(sys.argv[1:])))",
         "pydantic",
@@ -46,11 +47,11 @@
         "sassafraswinch.messages",
         "sassafraswinch_node.link_protocol.ttypes",
     )
-    assert (ended.returncode, ended.stdout.split()) == (0, [])
+    assert (completed.returncode, completed.stdout.split()) == (0, [])
 
 
 def run_python(script, *arguments):
-    """Run a script with the product's packages on the path."""
+    """Run a script with the project's packages on the import path."""
     paths = ["platform", *(f"packages/{name.name}" for name in _packages())]
     return subprocess.run(
         [sys.executable, "-c", script, *arguments],
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, against a small one that speaks its protocol."""
+"""Tests of the store client against a stand-in that implements the store's protocol."""
 
 import asyncio
 import base64
@@ -24,14 +24,23 @@
 
 
 class StandInStore:
-    """Answers each path with what a test puts there."""
+    """Responds to each path with the answer that a test configures.
+
+    Attributes:
+        answers: by path, a function from the query to the status and the body; without
+            a status the connection is closed.
+        era: value of the era's header field; None to omit the field.
+        before_answer: awaited before each response, if set.
+        connections: number of accepted connections.
+        requests: path and query of each request.
+    """
 
     def __init__(self):
         self.answers = {}
         self.era = None
         self.before_answer = None
         self.connections = 0
-        self.asked = []
+        self.requests = []
 
     async def open(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -43,7 +52,7 @@
             await reader.readuntil(b"\r\n\r\n")
             target = urlsplit(line.split()[1].decode())
             query = {name: values[0] for name, values in parse_qs(target.query).items()}
-            self.asked.append((target.path, query))
+            self.requests.append((target.path, query))
             if self.before_answer is not None:
                 await self.before_answer()
             status, body = self.answers[target.path](query)
@@ -72,9 +81,9 @@
     return ReadOnlyStore(ip="127.0.0.1", port=standin.port)
 
 
-async def test_reading_follows_the_pages_and_takes_the_first_revision(standin, store):
-    """A server leaves between two pages. The watch that follows must begin before
-    it, or nobody ever hears of it.
+async def test_read_fetches_all_pages_and_returns_the_first_revision(standin, store):
+    """A server's registration is removed between two pages. The watch that follows must
+    begin before the removal, otherwise the removal is never reported.
     """
     routes = item("op/config", 2, b'{"version": "01"}')
     first = [routes, item("servers/a", 3)]
@@ -90,18 +99,18 @@
         "servers/a",
         "servers/b",
     ]
-    assert [path for path, _ in standin.asked] == ["/v1/kv-range"] * 2
+    assert [path for path, _ in standin.requests] == ["/v1/kv-range"] * 2
     assert delta.entries[0].value == b'{"version": "01"}'
 
 
-async def test_store_without_routes_yet_is_read(standin, store):
+async def test_empty_store_is_read(standin, store):
     empty = {"items": [], "has_more": False, "at_rev": 1}
     standin.answers["/v1/kv-range"] = lambda query: (200, empty)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     assert (await store.read()).entries == ()
 
 
-async def test_watch_tells_changes_and_removals_of_what_matters(standin, store):
+async def test_watch_returns_changes_and_removals_of_relevant_keys(standin, store):
     events = [
         item("servers/a", 6),
         {"key": "servers/b", "rev": 7, "compacted": True},
@@ -117,12 +126,12 @@
         ("servers/a", b"{}"),
         ("servers/b", None),
     ]
-    assert standin.asked == [
+    assert standin.requests == [
         ("/v1/kv-watch", {"after": "5", "wait_ms": "1000"}),
     ]
 
 
-async def test_lost_history_and_outages_are_told_apart(standin, store):
+async def test_lost_history_and_outages_are_distinguished(standin, store):
     standin.answers["/v1/kv-watch"] = lambda query: (410, {})
     with pytest.raises(HistoryGoneError):
         await store.watch(Revision(0, 5), 1_000)
@@ -142,23 +151,24 @@
         {"events": [], "at_rev": "4"},
     ],
     ids=[
-        "no object",
+        "not an object",
         "no revision",
         "events that aren't a list",
         "no events",
         "revision that isn't a number",
     ],
 )
-async def test_answer_of_another_shape_is_an_outage_not_an_end(standin, store, answer):
-    """The store answers something else for once. Whoever follows it must go on."""
+async def test_malformed_response_is_reported_as_an_outage(standin, store, answer):
+    """An unexpected exception would end the task that follows the store."""
     standin.answers["/v1/kv-watch"] = lambda query: (200, answer)
     with pytest.raises(PlatformUnavailableError):
         await store.watch(Revision(0, 5), 1_000)
 
 
-async def test_one_unreadable_item_costs_that_item_only(standin, store):
-    """Another writer puts a value that isn't base64, or no text at all, beside the
-    servers. If the page counted as unreadable, the platform would be away for good.
+async def test_malformed_item_affects_that_item_only(standin, store):
+    """Another writer stores a value that isn't base64, or isn't a string, next to the
+    server registrations. If the whole page were rejected, the platform would seem to
+    be unavailable until the item is removed.
     """
     odd = [
         item("servers/a", 6) | {"value": "%%%"},
@@ -190,7 +200,7 @@
         ]
 
 
-async def test_next_page_begins_after_the_last_item_that_has_a_key(standin, store):
+async def test_next_page_begins_after_the_last_item_with_a_key(standin, store):
     pages = {
         None: {"items": [item("servers/a", 3), {"rev": 4}], "has_more": True}
         | {"at_rev": 5},
@@ -202,7 +212,7 @@
     assert [entry.key for entry in delta.entries] == ["servers/a", "servers/b"]
 
 
-async def test_store_tells_whether_it_lists_a_server(standin, store):
+async def test_lists_reports_whether_a_server_is_registered(standin, store):
     standin.answers["/v1/kv-key"] = lambda query: (
         (200, item("servers/a", 3)) if query["key"] == "servers/a" else (404, {})
     )
@@ -213,15 +223,17 @@
 @pytest.mark.parametrize(
     ("status", "answered"), [(503, True), (429, True), (None, False)]
 )
-async def test_refusal_of_the_store_is_an_answer(standin, store, status, answered):
+async def test_error_status_counts_as_an_answer(standin, store, status, answered):
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with pytest.raises(PlatformUnavailableError) as caught:
         await store.lists("a")
     assert caught.value.answered is answered
 
 
-async def test_era_of_each_answer_goes_before_its_revision(standin, store):
-    """Guards against revisions of a restored store that pass for older ones."""
+async def test_revisions_are_ordered_by_era_first(standin, store):
+    """After a restore the store's revision numbers start lower. Without the era, new
+    revisions would be taken for older ones.
+    """
     standin.era = 3
     standin.answers["/v1/kv-watch"] = lambda query: (
         200,
@@ -230,12 +242,12 @@
     delta = await store.watch(Revision(3, 5), 1_000)
     assert delta.revision == Revision(3, 8)
     assert delta.entries[0].revision == Revision(3, 6)
-    assert standin.asked[-1][1]["after"] == "5"
+    assert standin.requests[-1][1]["after"] == "5"
 
 
 @pytest.mark.parametrize("status", [404, 410, 429, 503])
-async def test_refusals_tell_the_era_too(standin, store, status):
-    """Guards against a new era that is unknown until the next good answer."""
+async def test_error_responses_report_the_era(standin, store, status):
+    """Otherwise a new era would stay unknown until the next successful response."""
     standin.era = 2
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with contextlib.suppress(HistoryGoneError, PlatformUnavailableError):
@@ -243,8 +255,10 @@
     assert store.era == 2
 
 
-async def test_odd_era_of_one_answer_is_forgotten_with_the_next(standin, store):
-    """Guards against a store that is read whole for ever, as its era seems ahead."""
+async def test_outlier_era_is_replaced_by_the_next_response(standin, store):
+    """If one wrong, high era were kept, the store would seem to be ahead of the replica
+    and would be read in full again and again.
+    """
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     for era in (2, 900, 2):
         standin.era = era
@@ -252,8 +266,10 @@
     assert store.era == 2
 
 
-async def test_pages_of_two_eras_are_read_anew(standin, store):
-    """Guards against a reading that mixes what the store held before and after."""
+async def test_pages_of_two_eras_are_not_combined(standin, store):
+    """The store is restored between two pages. Combining them would mix its contents
+    from before and after the restore.
+    """
 
     def page(query):
         standin.era = 1 + ("after" in query)
@@ -264,39 +280,43 @@
         await store.read()
 
 
-async def test_era_that_is_no_number_is_an_outage_not_an_end(standin, store):
-    """Guards against a foreign value that ends whoever follows the store."""
+async def test_non_numeric_era_is_reported_as_an_outage(standin, store):
+    """An unexpected exception would end the task that follows the store."""
     standin.era = "odd"
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
     with pytest.raises(PlatformUnavailableError):
         await store.watch(Revision(0, 5), 1_000)
 
 
-STABLE_WINDOW_S = 3.0
-"""Time after which a host must follow changes again, though its connections fell
-silent."""
+RECOVERY_LIMIT_S = 3.0
+"""Time limit for a host to follow changes again after its connections stopped
+responding."""
 
 TAKE_OVER_S = 0.4
-"""Time in which the next host of the zone steps in, and tells the others."""
+"""Time for the next host of the zone to take over and publish changes to the others."""
 
 
-def test_silent_watch_is_given_up_before_changes_are_due():
-    """Guards against a zone that relies on a host whose watch nobody answers."""
-    assert WATCH_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= STABLE_WINDOW_S
+def test_silent_watch_times_out_before_changes_are_due():
+    """A zone relies on one host to follow the platform. If that host's watch gets no
+    response, another host must have taken over within the limit.
+    """
+    assert WATCH_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= RECOVERY_LIMIT_S
 
 
-async def test_silent_connections_are_not_used_again(standin, store, monkeypatch):
-    """Guards against one lost answer after the other, each on an old connection."""
+async def test_unresponsive_connections_are_not_reused(standin, store, monkeypatch):
+    """If idle connections were kept after a timeout, each of the next calls could time
+    out on one of them.
+    """
     monkeypatch.setattr(store_module, "WATCH_ANSWER_S", 0.05)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
     await asyncio.gather(store.lists("a"), store.lists("b"))
-    silent = asyncio.Event()
-    standin.before_answer = silent.wait
+    release = asyncio.Event()
+    standin.before_answer = release.wait
     with pytest.raises(PlatformUnavailableError):
         await store.watch(Revision(0, 5), 50)
-    known = standin.connections
+    connections_before = standin.connections
     standin.before_answer = None
     assert (await store.watch(Revision(0, 5), 50)).revision == Revision(0, 8)
-    assert standin.connections == known + 1
-    silent.set()
+    assert standin.connections == connections_before + 1
+    release.set()
