--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests of KNOWN-RED.txt, and prints them."""
+"""Pytest hooks that expect the tests listed in KNOWN-RED.txt to fail and print them."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -7,14 +7,20 @@
 
 KNOWN_RED = Path(__file__).with_name("KNOWN-RED.txt")
 MOST_KNOWN_RED = 3
-"""More red tests than these may not be passed over."""
+"""Largest number of listed tests."""
 
 SOMETIMES = "seen at times:"
-"""Marks a test that fails on some runs only, so that its success says nothing."""
+"""Marks the cause of a flaky test, which may pass although its fault remains."""
 
 
 class KnownRed(NamedTuple):
-    """A test that fails for a fault which is known and not mended yet."""
+    """A test that fails because of a known fault that isn't fixed yet.
+
+    Attributes:
+        test: node id of the test.
+        cause: command and seed, and the observed failure.
+        issue: issue that tracks the fault.
+    """
 
     test: str
     cause: str
@@ -22,15 +28,16 @@
 
     @property
     def always_fails(self) -> bool:
-        """Whether the test must leave the list once it passes."""
+        """Whether a pass is unexpected and the test must be removed from the list."""
         return SOMETIMES not in self.cause
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Read lines of ``test | cause | issue``.
+    """Parse lines of ``test | cause | issue``.
 
     Raises:
-        ValueError: if a line has another form, or there are too many.
+        TypeError: a line has another number of fields.
+        ValueError: there are too many lines.
     """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MOST_KNOWN_RED:
@@ -41,25 +48,27 @@
 
 
 def known_red() -> list[KnownRed]:
-    """Return the tests that are known to fail."""
+    """Return the tests listed in KNOWN-RED.txt."""
     return parse_known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
 
 
 def pytest_collection_modifyitems(items) -> None:
-    """Expect the known tests to fail; one that passes must leave the list.
+    """Expect the listed tests to fail, and report a listed test that passes as failed.
 
-    Not so one that fails at times: its line stays until its cause is mended.
+    A flaky test may pass: it stays on the list until its fault is fixed.
     """
-    causes = {red.test: red for red in known_red()}
+    listed_tests = {listed.test: listed for listed in known_red()}
     for item in items:
-        red = causes.get(item.nodeid)
-        if red is not None:
-            reason = f"{red.cause} ({red.issue})"
-            marker = pytest.mark.xfail(reason=reason, strict=red.always_fails)
+        listed = listed_tests.get(item.nodeid)
+        if listed is not None:
+            reason = f"{listed.cause} ({listed.issue})"
+            marker = pytest.mark.xfail(reason=reason, strict=listed.always_fails)
             item.add_marker(marker)
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the known red tests with each run."""
-    for red in known_red():
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} ({red.issue})")
+    """Print the listed tests with each run."""
+    for listed in known_red():
+        terminalreporter.write_line(
+            f"known red: {listed.test}: {listed.cause} ({listed.issue})"
+        )
--- a/tests/fault_soak/callers.py
+++ b/tests/fault_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers at each host, on kept connections until their sidecar is gone."""
+"""Callers at each host, which send requests to its sidecar over kept connections."""
 
 import asyncio
 import itertools
@@ -10,19 +10,28 @@
 from .record import Record, Sent, body_of
 
 ANSWER_CEILING_S = 12.0
-"""Longest wait for an answer: far beyond every time limit, so that a process that is
-paused, or a busy machine, isn't taken for a lost answer."""
+"""Longest wait for a response. It is far above every deadline, so that a paused process
+or a busy host isn't mistaken for a lost response."""
 
 Key = tuple[str, str] | None
-"""A key and the organisation that holds it."""
+"""An API key and the organisation that holds it."""
 
 IDLE_MOST = 20
-"""Idle connections that callers of a host keep."""
+"""Largest number of idle connections kept by the callers of a host."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kind:
-    """A kind of request."""
+    """A kind of request.
+
+    Attributes:
+        prefix: path prefix of the route.
+        method: HTTP method.
+        idempotent: whether the route is idempotent.
+        time_left_ms: deadline that the caller sends.
+        version: version of the routes that the path belongs to; 0 if it is in all.
+        same_target: whether all requests share one target instead of one each.
+    """
 
     prefix: str
     method: str
@@ -30,11 +39,14 @@
     time_left_ms: int
     version: int = 0
     same_target: bool = False
-    """Whether all its requests are for one target, in place of one each."""
 
 
 class Caller:
-    """Sends requests to one sidecar and records what comes of each."""
+    """Sends requests to one sidecar and records their outcomes.
+
+    Attributes:
+        lifetime: number of starts of the sidecar's process.
+    """
 
     _numbers = itertools.count(1)
 
@@ -55,12 +67,19 @@
         self._port = port
         self._record = record
         self._draw_key = draw_key
-        self._idle: deque[tuple] = deque()
+        self._idle_connections: deque[tuple] = deque()
 
     async def ask(self, kind: Kind, *, parent: str = "", key: Key = None) -> Sent:
-        """Send one request; a parent's id makes it a call of that run, without a key.
+        """Send one request and wait for its response.
+
+        Args:
+            kind: kind of the request.
+            parent: id of the request whose execution makes this child call, or empty.
+                A child call carries no key.
+            key: API key and its organisation; drawn at random if omitted.
 
-        Without a key and an organisation given, one is drawn.
+        Returns:
+            The record of the request.
         """
         key, organisation = key or ("", "") if parent else key or self._draw_key()
         if parent in self._record.sent:
@@ -92,32 +111,33 @@
 
     def close(self) -> None:
         """Close the idle connections."""
-        while self._idle:
-            self._idle.pop()[1].close()
+        while self._idle_connections:
+            self._idle_connections.pop()[1].close()
 
     async def _exchange(self, sent: Sent, kind: Kind, key: str) -> None:
-        reader, writer = await self._connection()
-        kept = False
+        reader, writer = await self._get_connection()
+        reusable = False
         try:
-            writer.write(_request_bytes(sent, kind, key))
-            kept = await _read_answer(reader, sent)
+            writer.write(_encode_request(sent, kind, key))
+            reusable = await _read_response(reader, sent)
         finally:
-            if kept and len(self._idle) < IDLE_MOST:
-                self._idle.append((reader, writer))
+            if reusable and len(self._idle_connections) < IDLE_MOST:
+                self._idle_connections.append((reader, writer))
             else:
                 writer.close()
 
-    async def _connection(self) -> tuple:
-        while self._idle:
-            reader, writer = self._idle.pop()
+    async def _get_connection(self) -> tuple:
+        while self._idle_connections:
+            reader, writer = self._idle_connections.pop()
             if not reader.at_eof():
                 return reader, writer
             writer.close()
         return await asyncio.open_connection(self._ip, self._port)
 
 
-def _request_bytes(sent: Sent, kind: Kind, key: str) -> bytes:
-    # A false origin and organisation: the sidecar must put the true ones there.
+def _encode_request(sent: Sent, kind: Kind, key: str) -> bytes:
+    # The request claims a false service and organisation, which the sidecar must
+    # replace by the true ones.
     credentials = f"Authorization: Bearer {key}\r\n" if key else ""
     body = b"x" * 300 if kind.method == "POST" else b""
     return (
@@ -128,19 +148,19 @@
     ).encode() + body
 
 
-async def _read_answer(reader: asyncio.StreamReader, sent: Sent) -> bool:
-    """Read and check one answer; return whether its connection may be used again."""
+async def _read_response(reader: asyncio.StreamReader, sent: Sent) -> bool:
+    """Read and check one response; return whether the connection may be reused."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = [line.split(": ", 1) for line in head[1:] if line]
     fields = {name.lower(): value for name, value in pairs}
     body = await reader.readexactly(int(fields.get("content-length", 0)))
     sent.status = int(head[0].split()[1])
     if fields.get("request-id", sent.request_id) != sent.request_id:
-        sent.fault = "answer of another request"
+        sent.fault = "response to another request"
     elif sent.status == 200 and "server-signature" not in fields:
         sent.fault = "success without a signature"
     elif sent.status == 200 and body != body_of(sent.request_id):
-        sent.fault = "success without the server's whole body"
+        sent.fault = "success without the server's complete body"
     return fields.get("connection", "").lower() != "close"
 
 
@@ -150,10 +170,10 @@
     """Send requests at a mean rate until cancelled.
 
     Args:
-        caller: sends them.
+        caller: sends the requests.
         kinds: returns the kinds of request to draw from.
-        per_s: requests a second.
-        rng: source of times and kinds.
+        per_s: mean number of requests per second.
+        rng: source of intervals and kinds.
     """
     async with asyncio.TaskGroup() as group:
         while True:
--- a/tests/fault_soak/chaos.py
+++ b/tests/fault_soak/chaos.py
@@ -1,4 +1,4 @@
-"""Random faults, in series that overlap."""
+"""Injector of random, overlapping faults."""
 
 import asyncio
 import contextlib
@@ -14,20 +14,20 @@
 Act = Callable[[], Awaitable[None]]
 
 RESTORES = 4
-"""Weight of a restored store among the faults, where it comes at all."""
+"""Weight of store restores among the faults, if they are enabled."""
 
 
 class Chaos:
-    """Draws faults and carries them out; each ends by itself.
+    """Injects random faults, each of which ends after a random time.
 
     Args:
-        play: what they befall.
-        rng: source of the draws.
-        restores: whether the store comes back from older copies as well.
+        play: hosts and store that the faults are injected into.
+        rng: source of faults and durations.
+        restores: whether the store is also restored from older copies.
 
     Attributes:
-        counts: faults so far, by kind.
-        unclean_stops: stops that outlasted their grace time.
+        counts: number of faults so far, by kind.
+        unclean_stops: stops that exceeded the grace period.
     """
 
     def __init__(self, *, play: Play, rng: random.Random, restores: bool = False):
@@ -35,8 +35,8 @@
         self.unclean_stops = 0
         self._play = play
         self._rng = rng
-        self._busy: set[str] = set()
-        self._acts: list[Act] = [
+        self._faulty_hosts: set[str] = set()
+        self._actions: list[Act] = [
             self.pause,
             self.kill,
             self.stop,
@@ -56,20 +56,20 @@
             self.change_routes,
         ]
         if restores:
-            self._acts += [self.store_restored] * RESTORES
+            self._actions += [self.store_restored] * RESTORES
 
     async def run(self, seconds: float) -> None:
-        """Begin faults for a while; return once all have ended."""
+        """Start faults for some seconds; return once all of them have ended."""
         ends_s = asyncio.get_running_loop().time() + seconds
         async with asyncio.TaskGroup() as group:
             while asyncio.get_running_loop().time() < ends_s:
                 await asyncio.sleep(self._rng.uniform(0.1, 0.9))
-                act = self._rng.choice(self._acts)
-                group.create_task(act())
+                action = self._rng.choice(self._actions)
+                group.create_task(action())
 
     async def pause(self) -> None:
-        """Freeze a process for a while."""
-        async with self._host("pause") as host:
+        """Suspend a sidecar's process for a random time."""
+        async with self._reserve_host("pause") as host:
             if host is None:
                 return
             host.signal(signal.SIGSTOP)
@@ -77,32 +77,32 @@
             host.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        async with self._host("kill") as host:
+        async with self._reserve_host("kill") as host:
             if host is not None:
                 host.kill()
                 await self._wait(0.1, 1.0)
                 host.start()
 
     async def stop(self) -> None:
-        """Stop a process and start it again, while its callers go on."""
-        async with self._host("stop") as host:
+        """Stop and restart a process while its callers continue to send requests."""
+        async with self._reserve_host("stop") as host:
             if host is not None:
                 self.unclean_stops += not await host.stop()
                 await self._wait(0.1, 0.5)
                 host.start()
 
     async def hang_up(self) -> None:
-        async with self._host("hang-up") as host:
+        async with self._reserve_host("hang-up") as host:
             if host is not None:
                 host.signal(signal.SIGHUP)
 
     async def kill_all(self) -> None:
-        """Kill all processes at once, at times right after a change of the routes."""
-        if self._busy or self._rng.random() < 0.5:
+        """Kill all processes at once, sometimes right after a change of the routes."""
+        if self._faulty_hosts or self._rng.random() < 0.5:
             return
         self.counts["kill-all"] += 1
         hosts = self._play.hosts
-        self._busy |= {host.name for host in hosts}
+        self._faulty_hosts |= {host.name for host in hosts}
         if self._rng.random() < 0.5:
             await self._play.change_routes()
         for host in hosts:
@@ -111,11 +111,11 @@
         await self._wait(0.1, 1.0)
         for host in hosts:
             host.start()
-        self._busy -= {host.name for host in hosts}
+        self._faulty_hosts -= {host.name for host in hosts}
 
     async def silence(self) -> None:
-        """Drop what goes over open connections, or over all, one way or both."""
-        await self._fault(
+        """Drop the traffic of open or all connections, in one or both directions."""
+        await self._inject_relay_fault(
             "silence",
             Fault.SILENT,
             direction=self._rng.choice(list(Direction)),
@@ -123,22 +123,24 @@
         )
 
     async def cut(self) -> None:
-        await self._fault("cut", Fault.CUT, only_open=self._rng.random() < 0.5)
+        await self._inject_relay_fault(
+            "cut", Fault.CUT, only_open=self._rng.random() < 0.5
+        )
 
     async def hold(self) -> None:
-        """Deliver what open connections carry only much later."""
-        await self._fault(
+        """Hold the traffic of open connections until the fault ends."""
+        await self._inject_relay_fault(
             "hold", Fault.HELD, direction=self._rng.choice(list(Direction))
         )
 
-    async def _fault(self, name: str, fault: Fault, **options) -> None:
-        route = self._route(name)
+    async def _inject_relay_fault(self, name: str, fault: Fault, **options) -> None:
+        route = self._choose_route(name)
         route.set_fault(fault, **options)
         await self._wait(0.3, 3.0)
         route.set_fault(Fault.NONE)
 
     async def delay(self) -> None:
-        route = self._route("delay")
+        route = self._choose_route("delay")
         route.delay_ms = self._rng.uniform(20, 300)
         await self._wait(0.5, 2.0)
         route.delay_ms = 0.0
@@ -161,7 +163,7 @@
         await self._play.store.forget_history()
 
     async def store_restored(self) -> None:
-        """The store is away and comes back from a copy, while changes are made."""
+        """Restore the store from an older copy after an outage, amid changes."""
         store = self._play.store
         if self._rng.random() < 0.5:
             await self.change_routes()
@@ -180,34 +182,37 @@
         await store.write_again()
 
     async def server_crash(self) -> None:
-        """A server ends without a word, and another lifetime begins in its place."""
-        async with self._host("server-crash") as host:
+        """Crash a backend server and start a new instance at the same address.
+
+        The crashed instance's registration is removed later, as if it had expired.
+        """
+        async with self._reserve_host("server-crash") as host:
             if host is not None:
-                old = host.server.instance_id
+                old_id = host.server.instance_id
                 host.server.crash()
                 await self._wait(0.3, 1.5)
                 await host.server.start()
                 await host.publish()
                 await self._wait(0.5, 2.0)
-                await self._play.store.remove(f"servers/{old}")
+                await self._play.store.remove(f"servers/{old_id}")
 
     async def server_leaves(self) -> None:
-        """A server drains and leaves; later another one starts in its place."""
-        async with self._host("server-leaves") as host:
+        """Drain and stop a backend server; start a new one at its address later."""
+        async with self._reserve_host("server-leaves") as host:
             if host is None:
                 return
-            old = host.server.instance_id
+            old_id = host.server.instance_id
             await host.publish("draining")
             host.server.drain()
             await self._wait(2.5, 4.0)
             host.server.crash()
-            await self._play.store.remove(f"servers/{old}")
+            await self._play.store.remove(f"servers/{old_id}")
             await self._wait(0.2, 1.0)
             await host.server.start()
             await host.publish()
 
     async def server_misbehaves(self) -> None:
-        async with self._host("server-misbehaves") as host:
+        async with self._reserve_host("server-misbehaves") as host:
             if host is None:
                 return
             server = host.server
@@ -229,26 +234,28 @@
         await self._play.change_routes()
 
     @contextlib.asynccontextmanager
-    async def _host(self, name: str):
-        """Yield a host that no other fault has now; None if there is none."""
-        free = [host for host in self._play.hosts if host.name not in self._busy]
-        if not free:
+    async def _reserve_host(self, name: str):
+        """Yield a random host without another fault, or None if there is none."""
+        available = [
+            host for host in self._play.hosts if host.name not in self._faulty_hosts
+        ]
+        if not available:
             yield None
             return
-        host: Host = self._rng.choice(free)
+        host: Host = self._rng.choice(available)
         self.counts[name] += 1
-        self._busy.add(host.name)
+        self._faulty_hosts.add(host.name)
         try:
             yield host
         finally:
-            self._busy.discard(host.name)
+            self._faulty_hosts.discard(host.name)
 
-    def _route(self, name: str):
+    def _choose_route(self, name: str):
         host = self._rng.choice(self._play.hosts)
         kind = self._rng.choice(["link", "link", "store", "server"])
         kind = kind if kind in host.routes else "link"
         self.counts[f"{name}-{kind}"] += 1
         return host.routes[kind]
 
-    async def _wait(self, least_s: float, most_s: float) -> None:
-        await asyncio.sleep(self._rng.uniform(least_s, most_s))
+    async def _wait(self, min_s: float, max_s: float) -> None:
+        await asyncio.sleep(self._rng.uniform(min_s, max_s))
--- a/tests/fault_soak/fleet.py
+++ b/tests/fault_soak/fleet.py
@@ -1,4 +1,4 @@
-"""Sidecars as processes, each with its server, callers and proxied connections."""
+"""Fleet of the soak: sidecar processes with their servers, callers and relays."""
 
 import asyncio
 import os
@@ -28,12 +28,13 @@
     "platform",
 )
 SERVICES = ("archiv", "archiv", "schvaleni", "schvaleni", "prehled", "prehled")
-"""The service of each host; hosts with even and odd numbers are in two zones."""
+"""Service of each host. Hosts with even numbers are in one zone, those with odd numbers
+in another."""
 
 LINK_PORT, DIAL_PORT, OUTBOUND_PORT, READY_PORT, METRICS_PORT = range(21_310, 21_315)
 GRACE_S = 6.0
 REQUESTS_PER_S = 8.0
-"""Requests of the callers at each host: a third of what the servers carry."""
+"""Mean request rate of the callers at each host: a third of the servers' capacity."""
 
 ORDERS = Kind(prefix="/orders/", method="GET", idempotent=True, time_left_ms=3_000)
 PRICES = Kind(prefix="/prices/", method="GET", idempotent=True, time_left_ms=1_500)
@@ -46,21 +47,21 @@
     same_target=True,
 )
 FATAL_PER_S = 2.0
-"""Requests that end servers, in all."""
+"""Total mean rate of requests that crash backend servers."""
 
 OWN_KEY = ("own-key", OWN)
-"""A key that every version holds."""
+"""A key that is valid in every version of the routes, with its organisation."""
 
 RESTART_S = (0.3, 1.5)
-"""Shortest and longest time in which a server that has ended starts again."""
+"""Shortest and longest time until a crashed backend server starts again."""
 
 
 class Host:
-    """A sidecar's process, the server beside it, and callers.
+    """One host: a sidecar process, its backend server and its callers.
 
     Attributes:
-        stopped: whether its process was ended or paused by the play.
-        routes: proxied connections by what they lead to: link, store, server.
+        stopped: whether the soak has ended the process or not started it yet.
+        routes: relayed connections by destination: link, store, server.
     """
 
     def __init__(self, *, number: int, prefix: str, play: "Play"):
@@ -78,15 +79,15 @@
             service=self.service,
             ip=self.ip,
             record=play.record,
-            call=self._calls,
-            ended=self._server_ended,
+            call=self._make_child_calls,
+            ended=self._restart_server_later,
             rng=play.rng,
         )
         self.caller = self._new_caller()
-        self._inner = self._new_caller()
+        self._child_caller = self._new_caller()
 
     async def open(self) -> None:
-        """Start the server and the proxies; the process comes with ``start``."""
+        """Start the server and the relay; the process is started by ``start``."""
         await self.server.start()
         link = RouteSettings(
             name="link",
@@ -95,16 +96,16 @@
         )
         store = RouteSettings(name="store", target=self._play.store_address)
         server = RouteSettings(name="server", target=f"{self.ip}:{self.server.port}")
-        # A proxy would listen for a server that has ended.
-        proxied = [link, store] if self._play.fatal else [link, store, server]
-        self._relay = Relay(routes=proxied)
+        # A relay would keep accepting connections for a crashed server.
+        relayed = [link, store] if self._play.fatal else [link, store, server]
+        self._relay = Relay(routes=relayed)
         addresses = await self._relay.start()
         self.routes = self._relay.routes
         backend = addresses.get("server", server.target)
-        settings = self._settings(backend=backend, store=addresses["store"])
+        settings = self._build_settings(backend=backend, store=addresses["store"])
         self._settings_path.write_text(yaml.safe_dump(settings))
 
-    def _settings(self, *, backend: str, store: str) -> dict[str, Any]:
+    def _build_settings(self, *, backend: str, store: str) -> dict[str, Any]:
         return {
             "host": self.name,
             "ip": self.ip,
@@ -121,12 +122,12 @@
         }
 
     def close(self) -> None:
-        """End the process and everything around it."""
+        """Kill the process and close its server, relay and callers."""
         self.kill()
         self.server.crash()
         self._relay.stop()
         self.caller.close()
-        self._inner.close()
+        self._child_caller.close()
 
     @property
     def alive(self) -> bool:
@@ -151,7 +152,7 @@
         self.stopped = False
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it runs."""
+        """Send a signal to the process if it is running."""
         if self.alive:
             self._popen.send_signal(number)
 
@@ -163,7 +164,11 @@
             self._popen.wait()
 
     async def stop(self) -> bool:
-        """Stop the process with SIGTERM; return whether it ended in its time."""
+        """Stop the process with SIGTERM, or kill it after the grace period.
+
+        Returns:
+            Whether the process ended within the grace period.
+        """
         self.stopped = True
         self.signal(signal.SIGTERM)
         for _ in range(int(GRACE_S / 0.05)):
@@ -173,10 +178,10 @@
         self.kill()
         return False
 
-    def _server_ended(self) -> None:
-        """Start the server again, some time after a request has ended it."""
+    def _restart_server_later(self) -> None:
+        """Crash the server and schedule its restart."""
         self.server.crash()
-        self._restarting = asyncio.create_task(self._restart_server())
+        self._restart_task = asyncio.create_task(self._restart_server())
 
     async def _restart_server(self) -> None:
         await asyncio.sleep(self._play.rng.uniform(*RESTART_S))
@@ -184,7 +189,7 @@
         await self.publish()
 
     async def publish(self, state: str = "ready") -> None:
-        """Write the server's entry."""
+        """Write the server's registration to the store."""
         key = f"servers/{self.server.instance_id}"
         await self._play.store.put(key, self.server.entry(self.zone, state))
 
@@ -198,25 +203,29 @@
             draw_key=lambda: self._play.keys.draw(self._play.version),
         )
 
-    async def _calls(self, request_id: str) -> int:
-        """Make the calls of a run: orders look up two prices in turn."""
+    async def _make_child_calls(self, request_id: str) -> int:
+        """Make the child calls of a request: an order looks up two prices in sequence.
+
+        Returns:
+            The status with which the server responds to the request.
+        """
         if self.service != "archiv" or request_id.count("."):
             return 200
         for _ in range(2):
-            sent = await self._inner.ask(PRICES, parent=request_id)
+            sent = await self._child_caller.ask(PRICES, parent=request_id)
             if sent.status != 200:
                 return 500
         return 200
 
 
 class Play:
-    """Everything of one seed.
+    """Fleet and store of one soak run.
 
     Args:
-        seed: seed of all that is drawn.
-        directory: where the processes' settings and logs go.
-        copies: hosts for each entry of ``SERVICES``; 41 at most.
-        fatal: whether callers send a request that ends the servers that run it.
+        seed: seed of all random choices.
+        directory: directory for the processes' settings and logs.
+        copies: number of hosts for each item of ``SERVICES``; 41 at most.
+        fatal: whether callers send a request that crashes each server that runs it.
 
     Attributes:
         version: version of the routes in the store.
@@ -240,7 +249,7 @@
         ]
 
     async def open(self) -> None:
-        """Start everything; return once all routes are served at all hosts."""
+        """Start the store and all hosts; return once all hosts serve all routes."""
         self.store_address = await self.store.open(self.hosts[0].ip)
         await self.change_routes()
         for host in self.hosts:
@@ -256,13 +265,13 @@
         self.store.close()
 
     async def change_routes(self) -> None:
-        """Publish the next version, which has a route of its own that others lack."""
+        """Publish the next version of the routes, with a probe route of its own."""
         self.version += 1
         paths = [
-            self._path(ORDERS, "archiv", 1, attempts=3),
-            self._path(PRICES, "prehled", 1, attempts=3),
-            self._path(APPROVE, "schvaleni", 0, attempts=2),
-            self._path(self.probe(), "prehled", 1, attempts=3),
+            self._build_path(ORDERS, "archiv", 1, attempts=3),
+            self._build_path(PRICES, "prehled", 1, attempts=3),
+            self._build_path(APPROVE, "schvaleni", 0, attempts=2),
+            self._build_path(self.probe(), "prehled", 1, attempts=3),
         ]
         limits = {
             "max_header_bytes": 32_768,
@@ -279,7 +288,7 @@
         await self.store.put("op/config", config)
 
     def probe(self) -> Kind:
-        """Return requests that only the newest version of the routes serves."""
+        """Return the kind of request that only the latest route version serves."""
         return Kind(
             prefix=f"/version-{self.version}/",
             method="GET",
@@ -302,7 +311,7 @@
         ]
 
     async def send_fatal(self) -> None:
-        """Send the request that ends servers, at any host, until cancelled."""
+        """Send the request that crashes servers from random hosts until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await asyncio.sleep(self.rng.expovariate(FATAL_PER_S))
@@ -310,10 +319,10 @@
                 group.create_task(host.caller.ask(FATAL, key=OWN_KEY))
 
     async def until_served(self, ceiling_s: float = 40.0) -> None:
-        """Wait until every host serves every kind of request, the newest included.
+        """Wait until all hosts serve all kinds of request, including the latest probe.
 
         Raises:
-            TimeoutError: one doesn't within the ceiling.
+            TimeoutError: a host doesn't serve a kind within ``ceiling_s``.
         """
         kinds = [ORDERS, APPROVE, self.probe()]
         async with asyncio.timeout(ceiling_s):
@@ -322,7 +331,9 @@
                     while (await host.caller.ask(kind, key=OWN_KEY)).status != 200:
                         await asyncio.sleep(0.1)
 
-    def _path(self, kind: Kind, service: str, priority: int, attempts: int) -> dict:
+    def _build_path(
+        self, kind: Kind, service: str, priority: int, attempts: int
+    ) -> dict:
         self.record.services_of[kind.prefix].add(service)
         return {
             "name": kind.prefix.strip("/"),
--- a/tests/fault_soak/organisations.py
+++ b/tests/fault_soak/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations of the soak, their keys, and what must hold of them."""
+"""Organisations of the soak, their API keys and the check of their rate limit."""
 
 import bisect
 import random
@@ -6,18 +6,20 @@
 from collections.abc import Iterable
 
 OWN, LIMITED, ROTATED = "own", "limited", "rotated"
-"""Organisations: without a limit, with one, and with another key in each version."""
+"""Organisations: one without a rate limit, one with a limit, and one whose key changes
+with each version of the routes."""
 
 FORGED_KEY = "forged-key"
-"""Key that no version ever holds."""
+"""Key that is never valid."""
 
 RATE_PER_S, BURST = 4, 4
 WINDOW_S, SLACK, EXCESS = 5.0, 20, 1.25
-"""What a limited organisation may send within a window, all hosts together."""
+"""Bounds of the check over all hosts: within ``WINDOW_S``, the requests that start to
+run may exceed the rate limit by the factor ``EXCESS`` plus ``SLACK`` requests."""
 
 
 def tenants(version: int) -> list[dict]:
-    """Return the organisations of a version of the routes, as the store has them."""
+    """Return the organisations of a route version, in the platform's format."""
     return [
         {"name": OWN, "api_keys": ["own-key"], "priority": 1},
         {
@@ -32,22 +34,23 @@
 
 
 def rotated_key(version: int) -> str:
-    """Return the key that only one version holds."""
+    """Return the key that is valid in one version of the routes only."""
     return f"rotated-key-{version}"
 
 
 class KeyRing:
-    """Draws the keys that callers send, each with its organisation.
+    """Chooses the API keys that callers send, with their organisations.
 
     Args:
-        seed: seeds its own draws, so that faults are drawn as without keys.
+        seed: seed of a separate random generator, so that the choice of keys doesn't
+            affect the choice of faults.
     """
 
     def __init__(self, *, seed: int):
         self._rng = random.Random(f"keys-{seed}")
 
     def draw(self, version: int) -> tuple[str, str]:
-        """Return a key and the organisation that holds it; none for a forged one."""
+        """Return a random key and its organisation, which is empty for a forged key."""
         keys = [("own-key", OWN)] * 7 + [
             ("limited-key", LIMITED),
             ("limited-key", LIMITED),
@@ -58,21 +61,25 @@
 
 
 def windows_over_limit(first_runs_s: Iterable[float]) -> list[str]:
-    """Return a line for the fullest window of the limited organisation, if too full."""
+    """Return a line if the limited organisation exceeded its limit within a window."""
     times_s = sorted(first_runs_s)
     allowed = (RATE_PER_S * WINDOW_S + BURST) * EXCESS + SLACK
     counts = [
-        bisect.bisect_left(times_s, at + WINDOW_S) - index
-        for index, at in enumerate(times_s)
+        bisect.bisect_left(times_s, start_s + WINDOW_S) - index
+        for index, start_s in enumerate(times_s)
     ]
-    most = max(counts, default=0)
-    return [f"over the limit: {most} runs of {allowed}"] if most > allowed else []
+    highest = max(counts, default=0)
+    return (
+        [f"rate limit exceeded: {highest} runs, limit {allowed}"]
+        if highest > allowed
+        else []
+    )
 
 
 def first_runs_s(runs) -> list[float]:
-    """Return when each of the limited organisation's requests first ran."""
+    """Return the start time of each request of the limited organisation."""
     starts: dict[str, list[float]] = defaultdict(list)
     for run in runs:
         if run.organisation == LIMITED and "." not in run.request_id:
             starts[run.request_id].append(run.started_s)
-    return [min(each) for each in starts.values()]
+    return [min(times_s) for times_s in starts.values()]
--- a/tests/fault_soak/play.py
+++ b/tests/fault_soak/play.py
@@ -1,6 +1,6 @@
-"""Plays seeds of the soak, and tells which promises were broken.
+"""Runner of the fault soak: runs seeds and reports violated invariants.
 
-``make fault-soak SEED=1 SEEDS=50`` plays fifty.
+``make fault-soak SEED=1 SEEDS=50`` runs fifty seeds.
 """
 
 import asyncio
@@ -18,15 +18,23 @@
 from .fleet import Play
 
 CHAOS_S = 8.0
-"""Time in which faults begin."""
+"""Duration of the phase in which faults are started."""
 
 SETTLE_S = 1.5
-"""Time after the last request in which a server might still run one."""
+"""Wait after the last request, during which a server may still run one."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one seed brought."""
+    """Result of one seed.
+
+    Attributes:
+        seed: the seed.
+        broken: a line for each violated invariant.
+        faults: number of injected faults by kind.
+        statuses: number of responses by status; None or 0 for missing ones.
+        runs: number of requests that backend servers started to run.
+    """
 
     seed: int
     broken: list[str] = field(default_factory=list)
@@ -44,37 +52,37 @@
     fatal: bool = False,
     restores: bool = False,
 ) -> Outcome:
-    """Play one seed; logs of the processes stay in the directory."""
+    """Run one seed; the processes' logs remain in the directory."""
     outcome = Outcome(seed)
-    game = Play(seed=seed, directory=directory, copies=copies, fatal=fatal)
-    chaos = Chaos(play=game, rng=random.Random(seed + 1), restores=restores)
+    fleet = Play(seed=seed, directory=directory, copies=copies, fatal=fatal)
+    chaos = Chaos(play=fleet, rng=random.Random(seed + 1), restores=restores)
     try:
-        await game.open()
-        asking = game.ask_everywhere()
+        await fleet.open()
+        callers = fleet.ask_everywhere()
         if fatal:
-            asking.append(asyncio.create_task(game.send_fatal()))
+            callers.append(asyncio.create_task(fleet.send_fatal()))
         await chaos.run(chaos_s)
         try:
-            await game.until_served()
+            await fleet.until_served()
         except TimeoutError:
-            outcome.broken.append("not every host serves every kind of request again")
-        for task in asking:
+            outcome.broken.append("a host did not serve every kind of request again")
+        for task in callers:
             task.cancel()
-        await asyncio.gather(*asking, return_exceptions=True)
+        await asyncio.gather(*callers, return_exceptions=True)
         await asyncio.sleep(SETTLE_S)
         outcome.broken += [
-            f"{host.name} ended by itself"
-            for host in game.hosts
+            f"{host.name} exited unexpectedly"
+            for host in fleet.hosts
             if not host.alive and not host.stopped
         ]
     finally:
-        game.close()
-    outcome.broken += game.record.broken_promises()
+        fleet.close()
+    outcome.broken += fleet.record.broken_promises()
     outcome.faults = chaos.counts
     if chaos.unclean_stops:
-        outcome.faults["stops beyond the grace time"] = chaos.unclean_stops
-    outcome.statuses = Counter(sent.status for sent in game.record.sent.values())
-    outcome.runs = len(game.record.runs)
+        outcome.faults["stops beyond the grace period"] = chaos.unclean_stops
+    outcome.statuses = Counter(sent.status for sent in fleet.record.sent.values())
+    outcome.runs = len(fleet.record.runs)
     return outcome
 
 
@@ -87,20 +95,20 @@
     fatal: bool = False,
     restores: bool = False,
 ) -> None:
-    """Play seeds in turn; the exit code is 1 if a promise was broken.
+    """Run consecutive seeds; the exit code is 1 if an invariant was violated.
 
     Args:
-        first: the first seed; the others follow it.
-        seeds: how many.
-        chaos_s: time in which faults begin, in seconds.
-        copies: six hosts each.
-        fatal: send a request that ends the servers that run it as well.
-        restores: let the store come back from older copies as well.
+        first: first seed.
+        seeds: number of seeds.
+        chaos_s: duration of the phase in which faults are started, in seconds.
+        copies: size of the fleet, in units of six hosts.
+        fatal: also send a request that crashes each server that runs it.
+        restores: also restore the store from older copies.
     """
     failed = []
     for seed in range(first, first + seeds):
         directory = Path(tempfile.mkdtemp(prefix=f"fault-soak-{seed}-"))
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         outcome = asyncio.run(
             play(
                 seed,
@@ -111,15 +119,15 @@
                 restores=restores,
             )
         )
-        took_s = time.monotonic() - began_s
+        elapsed_s = time.monotonic() - started_s
         statuses = {str(key): n for key, n in outcome.statuses.most_common()}
-        print(f"seed {seed}: {took_s:.0f} s, {outcome.runs} runs, {statuses}")
+        print(f"seed {seed}: {elapsed_s:.0f} s, {outcome.runs} runs, {statuses}")
         print(f"  {dict(outcome.faults)}", flush=True)
         for line in outcome.broken[:10]:
             print(f"  BROKEN {line}; logs in {directory}", flush=True)
         if outcome.broken:
             failed.append(seed)
-    print(f"{seeds - len(failed)} seeds kept all promises, failed: {failed}")
+    print(f"{seeds - len(failed)} seeds without violations, failed: {failed}")
     sys.exit(1 if failed else 0)
 
 
--- a/tests/fault_soak/record.py
+++ b/tests/fault_soak/record.py
@@ -1,4 +1,4 @@
-"""What callers sent and servers ran, and the promises that must hold between them."""
+"""Record of the requests sent and run in a soak, and the invariants checked on it."""
 
 import hashlib
 import itertools
@@ -9,32 +9,52 @@
 from .organisations import OWN, first_runs_s, windows_over_limit
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-"""Statuses that promise that a request has not run and never will."""
+"""Statuses which guarantee that a request has not run and never will."""
 
 DENIED_STATUS = 401
-"""Status of a request whose key isn't known."""
+"""Status of a request whose API key is unknown."""
 
 VERSION_SLACK_S = 0.5
-"""Time after an answer by a version in which requests that overtook it may still be
-handled by an older one."""
+"""Time after a response by one route version in which concurrent requests may still be
+handled by an older version."""
 
 DRAIN_CEILING_S = 8.0
-"""Time after a server's leaving was published in which requests may still come: the
-two seconds of the platform, and room for a busy machine."""
+"""Time after a server was published as draining in which requests may still arrive: the
+two seconds that the platform allows, and a margin for a busy host."""
 
 FATAL_TARGET = "/orders/fatal"
-"""Target of the request that ends each server that runs it."""
+"""Target of the request that crashes each server that runs it."""
 
 FATAL_ENDS = 3
-"""Servers that may end under it, and retries that may follow those in the long run."""
+"""Largest number of server crashes before the request must be held back, and of further
+runs after all hosts must have received the reports of these crashes."""
 
 SPREAD_S = 3.0
-"""Time after the last of these ends in which all hosts must know of them."""
+"""Time after the last of these crashes by which all hosts must have received the
+reports."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Sent:
-    """A caller's request, or a call of a backend server."""
+    """Record of a caller's request or of a backend server's child call.
+
+    Attributes:
+        request_id: id of the request.
+        host: name of the host where it was sent.
+        caller_service: service of that host.
+        method: HTTP method.
+        target: path of the request.
+        idempotent: whether its route is idempotent.
+        version: version of the routes that its path belongs to; 0 if it is in all.
+        lifetime: number of starts of the host's process when it was sent.
+        sent_s: time when it was sent.
+        status: status of the response; None without a complete response, 0 if the
+            connection was closed instead.
+        done_s: time when the response arrived or the request failed; 0 until then.
+        organisation: organisation that holds the request's key, or the parent
+            request's key for a child call; empty if there is none.
+        fault: description of an invalid response, or empty.
+    """
 
     request_id: str
     host: str
@@ -43,22 +63,30 @@
     target: str
     idempotent: bool
     version: int = 0
-    """Version of the routes that its path tells about; 0 where any may serve it."""
     lifetime: int = 0
-    """Starts of the host's process when it was sent."""
     sent_s: float
     status: int | None = None
-    """None while there is no whole answer; 0 where the connection ended without."""
     done_s: float = 0.0
     organisation: str = ""
-    """Whose key it carries; of a call, whose request made it. Empty for none."""
     fault: str = ""
-    """What was wrong with its answer."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """A request that a server began to run."""
+    """Record of a request that a backend server started to run.
+
+    Attributes:
+        request_id: id of the request.
+        instance_id: instance that ran it.
+        service: service of the instance.
+        method: HTTP method as received.
+        target: path as received.
+        caller_service: service of the caller as received.
+        started_s: time of the start.
+        organisation: organisation as received.
+        has_key: whether the server received an API key.
+        drained_since_s: time when the server was published as draining, or None.
+    """
 
     request_id: str
     instance_id: str
@@ -68,84 +96,94 @@
     caller_service: str
     started_s: float
     organisation: str = ""
-    """What the server was told of it."""
     has_key: bool = False
-    """Whether the key came with it."""
     drained_since_s: float | None
-    """When the server's leaving was published, if it was."""
 
 
 @dataclass(slots=True)
 class Record:
-    """All requests and runs of one play."""
+    """All requests and runs of one soak run.
+
+    Attributes:
+        sent: requests by id.
+        runs: runs in the order of their starts.
+        services_of: services that any version of the routes assigned to a path prefix.
+        forgot_s: times when all processes were killed, which discards all state.
+    """
 
     sent: dict[str, Sent] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     services_of: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    """Services to which any version of the routes sent a path prefix."""
     forgot_s: list[float] = field(default_factory=list)
-    """When all processes were killed, so that nobody knew anything any more."""
 
     def broken_promises(self) -> list[str]:
-        """Return a line for each promise that was broken."""
-        runs_of = defaultdict(list)
+        """Return a line for each violated invariant."""
+        runs_by_request = defaultdict(list)
         for run in self.runs:
-            runs_of[run.request_id].append(run)
+            runs_by_request[run.request_id].append(run)
         return [
-            *(line for run in self.runs for line in self._wrong_run(run)),
+            *(line for run in self.runs for line in self._check_run(run)),
             *(
                 line
                 for sent in self.sent.values()
-                for line in _wrong_answer(sent, runs_of[sent.request_id])
+                for line in _check_response(sent, runs_by_request[sent.request_id])
             ),
-            *self._falling_versions(),
-            *self._fatal_runs(),
+            *self._check_versions(),
+            *self._check_fatal_runs(),
             *windows_over_limit(first_runs_s(self.runs)),
         ]
 
-    def _fatal_runs(self) -> list[str]:
-        """Return where servers went on to end under a request that ended three."""
-        fatal = [run for run in self.runs if run.target == FATAL_TARGET]
+    def _check_fatal_runs(self) -> list[str]:
+        """Return a line if a request continued to crash servers after three crashes."""
+        fatal_runs = [run for run in self.runs if run.target == FATAL_TARGET]
         lines = []
         for since_s, until_s in itertools.pairwise([0.0, *self.forgot_s, math.inf]):
-            runs_s = sorted(
-                r.started_s for r in fatal if since_s < r.started_s < until_s
+            starts_s = sorted(
+                fatal.started_s
+                for fatal in fatal_runs
+                if since_s < fatal.started_s < until_s
             )
-            known_s = [at + SPREAD_S for at in runs_s[FATAL_ENDS - 1 : FATAL_ENDS]]
-            late = [at for at in runs_s if known_s and at > known_s[0]]
-            if len(late) > FATAL_ENDS:
-                lines.append(f"went on ending servers: {len(runs_s)} runs, {late} late")
+            known_s = [
+                start_s + SPREAD_S for start_s in starts_s[FATAL_ENDS - 1 : FATAL_ENDS]
+            ]
+            late_s = [
+                start_s for start_s in starts_s if known_s and start_s > known_s[0]
+            ]
+            if len(late_s) > FATAL_ENDS:
+                lines.append(
+                    f"continued to crash servers: {len(starts_s)} runs, {late_s} late"
+                )
         return lines
 
-    def _wrong_run(self, run: Run) -> list[str]:
+    def _check_run(self, run: Run) -> list[str]:
         sent = self.sent.get(run.request_id)
         if sent is None:
             return [f"unasked: {run}"]
         lines = []
         if (run.method, run.target) != (sent.method, sent.target):
-            lines.append(f"changed on the way: {sent} {run}")
+            lines.append(f"changed in transit: {sent} {run}")
         if run.caller_service != sent.caller_service:
-            lines.append(f"wrong origin: {sent} {run}")
+            lines.append(f"wrong caller service: {sent} {run}")
         if run.organisation != sent.organisation or not run.organisation:
             lines.append(f"wrong organisation: {sent} {run}")
         if run.has_key:
-            lines.append(f"key passed on: {run}")
+            lines.append(f"key forwarded to the server: {run}")
         if run.service not in self.services_of[prefix_of(run.target)]:
             lines.append(f"wrong service: {run}")
-        leaving_s = run.drained_since_s
-        if leaving_s is not None and run.started_s - leaving_s > DRAIN_CEILING_S:
-            lines.append(f"sent to a server that leaves: {run}")
+        drained_s = run.drained_since_s
+        if drained_s is not None and run.started_s - drained_s > DRAIN_CEILING_S:
+            lines.append(f"sent to a draining server: {run}")
         return lines
 
-    def _falling_versions(self) -> list[str]:
-        """Return where a process took up an older version after a newer one."""
-        seen: dict[tuple[str, int], list[Sent]] = defaultdict(list)
+    def _check_versions(self) -> list[str]:
+        """Return a line for each return of a process to an older route version."""
+        probes_by_process: dict[tuple[str, int], list[Sent]] = defaultdict(list)
         for sent in self.sent.values():
             if sent.version and sent.status == 200:
-                seen[sent.host, sent.lifetime].append(sent)
+                probes_by_process[sent.host, sent.lifetime].append(sent)
         return [
-            f"version fell: {old} after {new}"
-            for probes in seen.values()
+            f"older route version: {old} after {new}"
+            for probes in probes_by_process.values()
             for new in probes
             for old in probes
             if old.version < new.version and old.sent_s > new.done_s + VERSION_SLACK_S
@@ -153,26 +191,26 @@
 
 
 def prefix_of(target: str) -> str:
-    """Return the route prefix of a target; the stand-ins' routes have one segment."""
+    """Return the route prefix of a target. The soak's routes have one path segment."""
     return f"/{target.split('/')[1]}/"
 
 
 def body_of(request_id: str) -> bytes:
-    """Return the body that a server answers to a request: up to some 20 KB."""
+    """Return the body of the response to a request: up to some 20 KB."""
     digest = hashlib.sha256(request_id.encode()).hexdigest().encode()
     return digest * (1 + digest[0] % 8 * 40)
 
 
-def _wrong_answer(sent: Sent, runs: list[Run]) -> list[str]:
+def _check_response(sent: Sent, runs: list[Run]) -> list[str]:
     lines = [f"{sent.fault}: {sent}"] if sent.fault else []
     if sent.status is None and sent.done_s:
-        lines.append(f"no answer: {sent}")
+        lines.append(f"no response: {sent}")
     if not sent.idempotent and len(runs) > 1:
         lines.append(f"ran twice: {sent} {runs}")
     if not sent.idempotent and sent.status in NOT_RUN_STATUSES and runs:
-        lines.append(f"ran though refused: {sent} {runs}")
+        lines.append(f"ran despite its refusal: {sent} {runs}")
     if sent.status == DENIED_STATUS and sent.organisation == OWN:
         lines.append(f"denied: {sent}")
     if sent.status == 200 and not runs:
-        lines.append(f"answered without a run: {sent}")
+        lines.append(f"success without a run: {sent}")
     return lines
--- a/tests/fault_soak/server.py
+++ b/tests/fault_soak/server.py
@@ -1,4 +1,4 @@
-"""A backend server of the platform, which misbehaves on demand."""
+"""Stand-in for a backend server of the platform, with faults on demand."""
 
 import asyncio
 import itertools
@@ -11,16 +11,16 @@
 
 SLOTS = 8
 RUN_S = (0.02, 0.12)
-"""Shortest and longest time of a run without its calls."""
+"""Shortest and longest execution time of a request without its child calls."""
 
 Call = Callable[[str], Awaitable[int]]
-"""Makes the calls of a run with this request id; returns the status to answer."""
+"""Makes the child calls of the request with this id; returns the response's status."""
 
 _numbers = itertools.count(1)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection, with one request at a time."""
+    """HTTP connection to the server, with one request at a time."""
 
     def __init__(self, server: "ServerStandIn"):
         self._server = server
@@ -62,7 +62,7 @@
     def answer(
         self, request_id: str, status: int, fields: dict[str, str], body: bytes = b""
     ) -> None:
-        """Write an answer."""
+        """Write a response."""
         fields = {"Request-Id": request_id} | fields
         lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         head = f"HTTP/1.1 {status} Any\r\n{lines}Content-Length: {len(body)}\r\n\r\n"
@@ -70,14 +70,14 @@
 
 
 class ServerStandIn:
-    """One server at one address, over several lifetimes.
+    """Backend server at a fixed address; each restart is a new instance.
 
     Attributes:
-        lose_share: part of the runs whose connection is reset before the answer.
-        double_share: part of the answers that are sent twice, the second one late.
-        cut_share: part of the answers that end early.
-        shed_share: part of the requests that are turned away.
-        slow_x: factor on the time of runs.
+        lose_share: share of responses replaced by a connection reset.
+        double_share: share of responses sent twice, the second time with a delay.
+        cut_share: share of responses that are truncated.
+        shed_share: share of requests that are rejected.
+        slow_x: factor on the execution time.
     """
 
     def __init__(
@@ -96,25 +96,25 @@
         self.record = record
         self.connections: set[ServerConnection] = set()
         self.well()
-        self._call = call
-        self._ended = ended
+        self._make_child_calls = call
+        self._on_fatal_request = ended
         self._rng = rng
-        self._running = 0
+        self._in_flight = 0
         self._drained_since_s: float | None = None
         self._server: asyncio.Server | None = None
         self.instance_id = ""
 
     def well(self) -> None:
-        """End all misbehaviour."""
+        """Disable all faults."""
         self.lose_share = self.double_share = self.cut_share = self.shed_share = 0.0
         self.slow_x = 1.0
 
     async def start(self) -> None:
-        """Begin a new lifetime at the same address, unless one runs there."""
+        """Start a new instance at the same address unless one is running."""
         if self._server is not None:
             return
         self.instance_id = f"i-{next(_numbers):04x}"
-        self._running = 0
+        self._in_flight = 0
         self._drained_since_s = None
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -123,7 +123,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """End without a word."""
+        """Close the listener and abort all connections."""
         if self._server is None:
             return
         self._server.close()
@@ -132,11 +132,11 @@
             connection.transport.abort()
 
     def drain(self) -> None:
-        """Note that the leaving was published."""
+        """Record the time when the server was published as draining."""
         self._drained_since_s = _now_s()
 
     def entry(self, zone: str, state: str) -> dict:
-        """Return the server's item of the store."""
+        """Return the server's registration, in the platform's format."""
         return {
             "service": self.service,
             "address": f"{self.ip}:{self.port}",
@@ -154,17 +154,17 @@
         if expected and expected != self.instance_id:
             connection.answer(request_id, 421, {"Instance-Id": self.instance_id})
             return
-        full = self._running >= SLOTS or self._rng.random() < self.shed_share
-        if full or not request_id:
-            status = 503 if full else 400
+        overloaded = self._in_flight >= SLOTS or self._rng.random() < self.shed_share
+        if overloaded or not request_id:
+            status = 503 if overloaded else 400
             connection.answer(request_id, status, {"Not-Executed": "1"})
             return
-        self._running += 1
+        self._in_flight += 1
         try:
             status = await self._run(connection, request_id)
         finally:
-            self._running -= 1
-        await self._answer(connection, status, request_id)
+            self._in_flight -= 1
+        await self._respond(connection, status, request_id)
 
     async def _run(self, connection: ServerConnection, request_id: str) -> int:
         self.record.runs.append(
@@ -183,16 +183,16 @@
         )
         await asyncio.sleep(self._rng.uniform(*RUN_S) * self.slow_x)
         if connection.target.decode() == FATAL_TARGET:
-            self._ended()
-        return await self._call(request_id)
+            self._on_fatal_request()
+        return await self._make_child_calls(request_id)
 
-    async def _answer(self, connection, status: int, request_id: str) -> None:
+    async def _respond(self, connection, status: int, request_id: str) -> None:
         body = body_of(request_id)
         fields = {"Server-Signature": f"{self.instance_id}.{len(body)}"}
-        drawn = self._rng.random()
-        if drawn < self.lose_share:
+        draw = self._rng.random()
+        if draw < self.lose_share:
             connection.transport.abort()
-        elif drawn < self.lose_share + self.cut_share:
+        elif draw < self.lose_share + self.cut_share:
             connection.transport.write(
                 b"HTTP/1.1 200 Any\r\nContent-Length: 90\r\n\r\n"
             )
--- a/tests/fault_soak/store.py
+++ b/tests/fault_soak/store.py
@@ -1,4 +1,4 @@
-"""A store that speaks the platform's protocol, and fails on demand."""
+"""Stand-in for the platform's store, with outages and restores on demand."""
 
 import asyncio
 import base64
@@ -7,20 +7,24 @@
 from urllib.parse import parse_qs, urlsplit
 
 HISTORY = 200
-"""Changes that are kept for watches."""
+"""Number of changes kept for watches."""
 
 COPIES = 400
-"""Changes that it can go back."""
+"""Number of copies kept for restores, one after each change."""
 
 
 class StoreStandIn:
-    """Items, one revision counter, watches.
+    """Key-value store with one revision counter and long-polling watches.
 
     Attributes:
-        outage: "" or what calls meet: "busy", "many", "reset" or "silent".
-        delay_s: added to each answer.
-        era: how often it has come back from an older copy.
-        written: what was last written to each key; None where it was removed.
+        items: current items by key.
+        revision: revision of the latest change.
+        outage: current outage, or "": "busy" (status 503), "many" (status 429),
+            "reset" (connections are closed) or "silent" (calls get no response).
+        delay_s: delay of each response.
+        era: 1, plus the number of restores from older copies.
+        written: value last written to each key, including writes lost in a restore;
+            None if the key was removed.
     """
 
     def __init__(self):
@@ -32,12 +36,12 @@
         self.written: dict[str, dict | None] = {}
         self._copies: deque[tuple[float, dict[str, dict], int]] = deque(maxlen=COPIES)
         self._history: deque[dict] = deque(maxlen=HISTORY)
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
 
     async def open(self, ip: str) -> str:
-        """Listen; return the address."""
+        """Start listening; return the address."""
         self._server = await asyncio.start_server(self._serve, ip, 0)
         return f"{ip}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -45,31 +49,31 @@
         self._server.close()
 
     async def put(self, key: str, value: dict) -> None:
-        """Write an item; the end of this call is its acknowledgement."""
+        """Write an item; the write is acknowledged when this call returns."""
         self.written[key] = value
         self.revision += 1
         text = base64.b64encode(json.dumps(value).encode()).decode()
-        known = self.items.get(key, {})
+        previous = self.items.get(key, {})
         item = {"key": key, "value": text, "rev": self.revision, "lease": 0}
-        item["created_rev"] = known.get("created_rev", self.revision)
+        item["created_rev"] = previous.get("created_rev", self.revision)
         self.items[key] = item
-        await self._tell(item)
+        await self._publish_event(item)
 
     async def remove(self, key: str) -> None:
         self.written[key] = None
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
-        await self._tell({"key": key, "rev": self.revision, "compacted": True})
+        await self._publish_event({"key": key, "rev": self.revision, "compacted": True})
 
     async def forget_history(self) -> None:
-        """Answer 410 to watches from before now."""
+        """Discard the change history; watches from earlier revisions get status 410."""
         self._history.clear()
-        self._forgotten = self.revision
-        await self._wake()
+        self._compacted_revision = self.revision
+        await self._notify_watches()
 
     async def restore(self, age_s: float) -> None:
-        """Come back from a copy of that age: what was written since is lost."""
+        """Restore from a copy of the given age; later writes are lost."""
         latest_s = asyncio.get_running_loop().time() - age_s
         while len(self._copies) > 1 and self._copies[-1][0] > latest_s:
             self._copies.pop()
@@ -80,29 +84,29 @@
             (event for event in self._history if event["rev"] <= self.revision),
             maxlen=HISTORY,
         )
-        await self._wake()
+        await self._notify_watches()
 
     async def write_again(self) -> None:
-        """Write what was written and is lost."""
+        """Repeat the writes that were lost in a restore."""
         for key, value in tuple(self.written.items()):
             if value is None:
                 await self.remove(key)
-            elif key not in self.items or _decoded(self.items[key]) != value:
+            elif key not in self.items or _decode_value(self.items[key]) != value:
                 await self.put(key, value)
 
     async def set_outage(self, outage: str) -> None:
         self.outage = outage
-        await self._wake()
+        await self._notify_watches()
 
-    async def _tell(self, event: dict) -> None:
+    async def _publish_event(self, event: dict) -> None:
         if len(self._history) == HISTORY:
-            self._forgotten = self._history[0]["rev"]
+            self._compacted_revision = self._history[0]["rev"]
         self._history.append(event)
         now_s = asyncio.get_running_loop().time()
         self._copies.append((now_s, dict(self.items), self.revision))
-        await self._wake()
+        await self._notify_watches()
 
-    async def _wake(self) -> None:
+    async def _notify_watches(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
@@ -112,7 +116,7 @@
                 await reader.readuntil(b"\r\n\r\n")
                 target = urlsplit(line.split()[1].decode())
                 query = {k: v[0] for k, v in parse_qs(target.query).items()}
-                status, body = await self._answer(target.path, query)
+                status, body = await self._handle(target.path, query)
                 if status is None:
                     break
                 payload = json.dumps(body).encode()
@@ -122,33 +126,33 @@
                     % (status, self.era, len(payload), payload)
                 )
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            # The sidecar was killed, its connection cut, or the play has ended.
+            # The sidecar was killed, its connection was reset, or the soak has ended.
             pass
         finally:
             writer.transport.abort()
 
-    async def _answer(self, path: str, query: dict) -> tuple[int | None, dict]:
+    async def _handle(self, path: str, query: dict) -> tuple[int | None, dict]:
         await asyncio.sleep(self.delay_s)
-        refusal = await self._refusal()
-        if refusal is not None:
-            return refusal
+        outage_response = await self._outage_response()
+        if outage_response is not None:
+            return outage_response
         if path == "/v1/kv-watch":
             return await self._watch(int(query["after"]), int(query["wait_ms"]))
         if path == "/v1/kv-key":
             item = self.items.get(query["key"])
             return (200, item | {"at_rev": self.revision}) if item else (404, {})
         prefix, after = query.get("path_prefix", ""), query.get("after", "")
-        found = [self.items[k] for k in sorted(self.items) if k.startswith(prefix)]
-        page = [item for item in found if item["key"] > after][:10]
-        more = bool(page) and page[-1] is not found[-1]
-        return 200, {"items": page, "has_more": more, "at_rev": self.revision}
+        matches = [self.items[k] for k in sorted(self.items) if k.startswith(prefix)]
+        page = [item for item in matches if item["key"] > after][:10]
+        has_more = bool(page) and page[-1] is not matches[-1]
+        return 200, {"items": page, "has_more": has_more, "at_rev": self.revision}
 
-    async def _refusal(self) -> tuple[int | None, dict] | None:
+    async def _outage_response(self) -> tuple[int | None, dict] | None:
         if self.outage == "silent":
             async with self._changed:
                 await self._changed.wait_for(lambda: self.outage != "silent")
-        answers = {"busy": (503, {}), "many": (429, {}), "reset": (None, {})}
-        return answers.get(self.outage)
+        responses = {"busy": (503, {}), "many": (429, {}), "reset": (None, {})}
+        return responses.get(self.outage)
 
     async def _watch(self, after: int, wait_ms: int) -> tuple[int | None, dict]:
         era = self.era
@@ -165,11 +169,11 @@
             return 200, {"events": [], "at_rev": self.revision}
         if self.outage or self.era > era:
             return None, {}
-        if after < self._forgotten:
+        if after < self._compacted_revision:
             return 410, {}
         events = [event for event in self._history if event["rev"] > after]
         return 200, {"events": events, "at_rev": self.revision}
 
 
-def _decoded(item: dict) -> dict:
+def _decode_value(item: dict) -> dict:
     return json.loads(base64.b64decode(item["value"]))
