--- a/conftest.py
+++ b/conftest.py
@@ -6,10 +6,10 @@
 import pytest
 
 KNOWN_RED = Path(__file__).with_name("KNOWN-RED.txt")
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 """Largest number of listed tests."""
 
-SOMETIMES = "seen at times:"
+FLAKY_MARK = "seen at times:"
 """Marks the cause of a flaky test, which may pass although its fault remains."""
 
 
@@ -29,7 +29,7 @@
     @property
     def always_fails(self) -> bool:
         """Whether a pass is unexpected and the test must be removed from the list."""
-        return SOMETIMES not in self.cause
+        return FLAKY_MARK not in self.cause
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
@@ -40,9 +40,9 @@
         ValueError: there are too many lines.
     """
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
+    if len(lines) > MAX_KNOWN_RED:
         raise ValueError(
-            f"{KNOWN_RED.name}: {len(lines)} lines, {MOST_KNOWN_RED} at most"
+            f"{KNOWN_RED.name}: {len(lines)} lines, {MAX_KNOWN_RED} at most"
         )
     return [KnownRed(*(part.strip() for part in line.split(" | "))) for line in lines]
 
--- a/tests/fault_soak/callers.py
+++ b/tests/fault_soak/callers.py
@@ -13,7 +13,7 @@
 """Longest wait for a response. It is far above every deadline, so that a paused process
 or a busy host isn't mistaken for a lost response."""
 
-Key = tuple[str, str] | None
+KeyAndOrganisation = tuple[str, str] | None
 """An API key and the organisation that holds it."""
 
 IDLE_MOST = 20
@@ -69,7 +69,9 @@
         self._draw_key = draw_key
         self._idle_connections: deque[tuple] = deque()
 
-    async def ask(self, kind: Kind, *, parent: str = "", key: Key = None) -> Sent:
+    async def ask(
+        self, kind: Kind, *, parent: str = "", key: KeyAndOrganisation = None
+    ) -> Sent:
         """Send one request and wait for its response.
 
         Args:
--- a/tests/fault_soak/chaos.py
+++ b/tests/fault_soak/chaos.py
@@ -11,7 +11,7 @@
 
 from .fleet import Host, Play
 
-Act = Callable[[], Awaitable[None]]
+FaultAction = Callable[[], Awaitable[None]]
 
 RESTORES = 4
 """Weight of store restores among the faults, if they are enabled."""
@@ -33,10 +33,10 @@
     def __init__(self, *, play: Play, rng: random.Random, restores: bool = False):
         self.counts: Counter[str] = Counter()
         self.unclean_stops = 0
-        self._play = play
+        self._fleet = play
         self._rng = rng
         self._faulty_hosts: set[str] = set()
-        self._actions: list[Act] = [
+        self._actions: list[FaultAction] = [
             self.pause,
             self.kill,
             self.stop,
@@ -101,13 +101,13 @@
         if self._faulty_hosts or self._rng.random() < 0.5:
             return
         self.counts["kill-all"] += 1
-        hosts = self._play.hosts
+        hosts = self._fleet.hosts
         self._faulty_hosts |= {host.name for host in hosts}
         if self._rng.random() < 0.5:
-            await self._play.change_routes()
+            await self._fleet.change_routes()
         for host in hosts:
             host.kill()
-        self._play.record.forgot_s.append(asyncio.get_running_loop().time())
+        self._fleet.record.forgot_s.append(asyncio.get_running_loop().time())
         await self._wait(0.1, 1.0)
         for host in hosts:
             host.start()
@@ -148,23 +148,23 @@
     async def store_outage(self) -> None:
         self.counts["store-outage"] += 1
         outage = self._rng.choice(["busy", "many", "reset", "silent"])
-        await self._play.store.set_outage(outage)
+        await self._fleet.store.set_outage(outage)
         await self._wait(0.3, 3.0)
-        await self._play.store.set_outage("")
+        await self._fleet.store.set_outage("")
 
     async def store_slow(self) -> None:
         self.counts["store-slow"] += 1
-        self._play.store.delay_s = self._rng.uniform(0.05, 0.4)
+        self._fleet.store.delay_s = self._rng.uniform(0.05, 0.4)
         await self._wait(0.5, 2.0)
-        self._play.store.delay_s = 0.0
+        self._fleet.store.delay_s = 0.0
 
     async def forget_history(self) -> None:
         self.counts["forget-history"] += 1
-        await self._play.store.forget_history()
+        await self._fleet.store.forget_history()
 
     async def store_restored(self) -> None:
         """Restore the store from an older copy after an outage, amid changes."""
-        store = self._play.store
+        store = self._fleet.store
         if self._rng.random() < 0.5:
             await self.change_routes()
         if self._rng.random() < 0.5:
@@ -194,7 +194,7 @@
                 await host.server.start()
                 await host.publish()
                 await self._wait(0.5, 2.0)
-                await self._play.store.remove(f"servers/{old_id}")
+                await self._fleet.store.remove(f"servers/{old_id}")
 
     async def server_leaves(self) -> None:
         """Drain and stop a backend server; start a new one at its address later."""
@@ -206,7 +206,7 @@
             host.server.drain()
             await self._wait(2.5, 4.0)
             host.server.crash()
-            await self._play.store.remove(f"servers/{old_id}")
+            await self._fleet.store.remove(f"servers/{old_id}")
             await self._wait(0.2, 1.0)
             await host.server.start()
             await host.publish()
@@ -231,13 +231,13 @@
 
     async def change_routes(self) -> None:
         self.counts["change-routes"] += 1
-        await self._play.change_routes()
+        await self._fleet.change_routes()
 
     @contextlib.asynccontextmanager
     async def _reserve_host(self, name: str):
         """Yield a random host without another fault, or None if there is none."""
         available = [
-            host for host in self._play.hosts if host.name not in self._faulty_hosts
+            host for host in self._fleet.hosts if host.name not in self._faulty_hosts
         ]
         if not available:
             yield None
@@ -251,7 +251,7 @@
             self._faulty_hosts.discard(host.name)
 
     def _choose_route(self, name: str):
-        host = self._rng.choice(self._play.hosts)
+        host = self._rng.choice(self._fleet.hosts)
         kind = self._rng.choice(["link", "link", "store", "server"])
         kind = kind if kind in host.routes else "link"
         self.counts[f"{name}-{kind}"] += 1
--- a/tests/fault_soak/fleet.py
+++ b/tests/fault_soak/fleet.py
@@ -71,7 +71,7 @@
         self.service = SERVICES[(number - 1) % len(SERVICES)]
         self.stopped = True
         self.routes = {}
-        self._play = play
+        self._fleet = play
         self._out_path = play.directory / f"{self.name}.out"
         self._settings_path = play.directory / f"{self.name}.yaml"
         self._popen: subprocess.Popen | None = None
@@ -94,10 +94,10 @@
             listen=f"{self.ip}:{DIAL_PORT}",
             target=f"{self.ip}:{LINK_PORT}",
         )
-        store = RouteSettings(name="store", target=self._play.store_address)
+        store = RouteSettings(name="store", target=self._fleet.store_address)
         server = RouteSettings(name="server", target=f"{self.ip}:{self.server.port}")
         # A relay would keep accepting connections for a crashed server.
-        relayed = [link, store] if self._play.fatal else [link, store, server]
+        relayed = [link, store] if self._fleet.fatal else [link, store, server]
         self._relay = Relay(routes=relayed)
         addresses = await self._relay.start()
         self.routes = self._relay.routes
@@ -184,14 +184,14 @@
         self._restart_task = asyncio.create_task(self._restart_server())
 
     async def _restart_server(self) -> None:
-        await asyncio.sleep(self._play.rng.uniform(*RESTART_S))
+        await asyncio.sleep(self._fleet.rng.uniform(*RESTART_S))
         await self.server.start()
         await self.publish()
 
     async def publish(self, state: str = "ready") -> None:
         """Write the server's registration to the store."""
         key = f"servers/{self.server.instance_id}"
-        await self._play.store.put(key, self.server.entry(self.zone, state))
+        await self._fleet.store.put(key, self.server.entry(self.zone, state))
 
     def _new_caller(self) -> Caller:
         return Caller(
@@ -199,8 +199,8 @@
             service=self.service,
             ip=self.ip,
             port=OUTBOUND_PORT,
-            record=self._play.record,
-            draw_key=lambda: self._play.keys.draw(self._play.version),
+            record=self._fleet.record,
+            draw_key=lambda: self._fleet.keys.draw(self._fleet.version),
         )
 
     async def _make_child_calls(self, request_id: str) -> int:
--- a/tests/fault_soak/organisations.py
+++ b/tests/fault_soak/organisations.py
@@ -13,9 +13,10 @@
 """Key that is never valid."""
 
 RATE_PER_S, BURST = 4, 4
-WINDOW_S, SLACK, EXCESS = 5.0, 20, 1.25
+WINDOW_S, SLACK_REQUESTS, EXCESS_FACTOR = 5.0, 20, 1.25
 """Bounds of the check over all hosts: within ``WINDOW_S``, the requests that start to
-run may exceed the rate limit by the factor ``EXCESS`` plus ``SLACK`` requests."""
+run may exceed the rate limit by the factor ``EXCESS_FACTOR``, and by another
+``SLACK_REQUESTS`` requests."""
 
 
 def tenants(version: int) -> list[dict]:
@@ -63,7 +64,7 @@
 def windows_over_limit(first_runs_s: Iterable[float]) -> list[str]:
     """Return a line if the limited organisation exceeded its limit within a window."""
     times_s = sorted(first_runs_s)
-    allowed = (RATE_PER_S * WINDOW_S + BURST) * EXCESS + SLACK
+    allowed = (RATE_PER_S * WINDOW_S + BURST) * EXCESS_FACTOR + SLACK_REQUESTS
     counts = [
         bisect.bisect_left(times_s, start_s + WINDOW_S) - index
         for index, start_s in enumerate(times_s)
--- a/tests/fault_soak/play.py
+++ b/tests/fault_soak/play.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class SeedResult:
     """Result of one seed.
 
     Attributes:
@@ -51,9 +51,9 @@
     copies: int = 1,
     fatal: bool = False,
     restores: bool = False,
-) -> Outcome:
+) -> SeedResult:
     """Run one seed; the processes' logs remain in the directory."""
-    outcome = Outcome(seed)
+    result = SeedResult(seed)
     fleet = Play(seed=seed, directory=directory, copies=copies, fatal=fatal)
     chaos = Chaos(play=fleet, rng=random.Random(seed + 1), restores=restores)
     try:
@@ -65,25 +65,25 @@
         try:
             await fleet.until_served()
         except TimeoutError:
-            outcome.broken.append("a host did not serve every kind of request again")
+            result.broken.append("a host did not serve every kind of request again")
         for task in callers:
             task.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
         await asyncio.sleep(SETTLE_S)
-        outcome.broken += [
+        result.broken += [
             f"{host.name} exited unexpectedly"
             for host in fleet.hosts
             if not host.alive and not host.stopped
         ]
     finally:
         fleet.close()
-    outcome.broken += fleet.record.broken_promises()
-    outcome.faults = chaos.counts
+    result.broken += fleet.record.broken_promises()
+    result.faults = chaos.counts
     if chaos.unclean_stops:
-        outcome.faults["stops beyond the grace period"] = chaos.unclean_stops
-    outcome.statuses = Counter(sent.status for sent in fleet.record.sent.values())
-    outcome.runs = len(fleet.record.runs)
-    return outcome
+        result.faults["stops beyond the grace period"] = chaos.unclean_stops
+    result.statuses = Counter(sent.status for sent in fleet.record.sent.values())
+    result.runs = len(fleet.record.runs)
+    return result
 
 
 def main(
@@ -109,7 +109,7 @@
     for seed in range(first, first + seeds):
         directory = Path(tempfile.mkdtemp(prefix=f"fault-soak-{seed}-"))
         started_s = time.monotonic()
-        outcome = asyncio.run(
+        result = asyncio.run(
             play(
                 seed,
                 directory,
@@ -120,12 +120,12 @@
             )
         )
         elapsed_s = time.monotonic() - started_s
-        statuses = {str(key): n for key, n in outcome.statuses.most_common()}
-        print(f"seed {seed}: {elapsed_s:.0f} s, {outcome.runs} runs, {statuses}")
-        print(f"  {dict(outcome.faults)}", flush=True)
-        for line in outcome.broken[:10]:
+        statuses = {str(key): n for key, n in result.statuses.most_common()}
+        print(f"seed {seed}: {elapsed_s:.0f} s, {result.runs} runs, {statuses}")
+        print(f"  {dict(result.faults)}", flush=True)
+        for line in result.broken[:10]:
             print(f"  BROKEN {line}; logs in {directory}", flush=True)
-        if outcome.broken:
+        if result.broken:
             failed.append(seed)
     print(f"{seeds - len(failed)} seeds without violations, failed: {failed}")
     sys.exit(1 if failed else 0)
--- a/tests/fault_soak/record.py
+++ b/tests/fault_soak/record.py
@@ -26,8 +26,8 @@
 """Target of the request that crashes each server that runs it."""
 
 FATAL_ENDS = 3
-"""Largest number of server crashes before the request must be held back, and of further
-runs after all hosts must have received the reports of these crashes."""
+"""Largest number of server crashes before the request must be held back, and of retries
+that may run after all hosts must have received the reports of these crashes."""
 
 SPREAD_S = 3.0
 """Time after the last of these crashes by which all hosts must have received the
--- a/tests/fault_soak/server.py
+++ b/tests/fault_soak/server.py
@@ -10,10 +10,10 @@
 from .record import FATAL_TARGET, Record, Run, body_of
 
 SLOTS = 8
-RUN_S = (0.02, 0.12)
+EXECUTION_TIME_S = (0.02, 0.12)
 """Shortest and longest execution time of a request without its child calls."""
 
-Call = Callable[[str], Awaitable[int]]
+ChildCallHandler = Callable[[str], Awaitable[int]]
 """Makes the child calls of the request with this id; returns the response's status."""
 
 _numbers = itertools.count(1)
@@ -86,7 +86,7 @@
         service: str,
         ip: str,
         record: Record,
-        call: Call,
+        call: ChildCallHandler,
         ended: Callable[[], None],
         rng: random.Random,
     ):
@@ -181,7 +181,7 @@
                 drained_since_s=self._drained_since_s,
             )
         )
-        await asyncio.sleep(self._rng.uniform(*RUN_S) * self.slow_x)
+        await asyncio.sleep(self._rng.uniform(*EXECUTION_TIME_S) * self.slow_x)
         if connection.target.decode() == FATAL_TARGET:
             self._on_fatal_request()
         return await self._make_child_calls(request_id)
