--- a/tests/fault_soak/callers.py
+++ b/tests/fault_soak/callers.py
@@ -167,12 +167,12 @@
 
 
 async def keep_asking(
-    caller: Caller, kinds, *, per_s: float, rng: random.Random
+    external_caller: Caller, kinds, *, per_s: float, rng: random.Random
 ) -> None:
     """Send requests at a mean rate until cancelled.
 
     Args:
-        caller: sends the requests.
+        external_caller: sends the requests.
         kinds: returns the kinds of request to draw from.
         per_s: mean number of requests per second.
         rng: source of intervals and kinds.
@@ -180,7 +180,7 @@
     async with asyncio.TaskGroup() as group:
         while True:
             await asyncio.sleep(rng.expovariate(per_s))
-            group.create_task(caller.ask(rng.choice(kinds())))
+            group.create_task(external_caller.ask(rng.choice(kinds())))
 
 
 def _now_s() -> float:
--- a/tests/fault_soak/fleet.py
+++ b/tests/fault_soak/fleet.py
@@ -60,6 +60,7 @@
     """One host: a sidecar process, its backend server and its callers.
 
     Attributes:
+        external_caller: sends the requests that enter the fleet at this host.
         stopped: whether the soak has ended the process or not started it yet.
         routes: relayed connections by destination: link, store, server.
     """
@@ -83,7 +84,7 @@
             ended=self._restart_server_later,
             rng=play.rng,
         )
-        self.caller = self._new_caller()
+        self.external_caller = self._new_caller()
         self._child_caller = self._new_caller()
 
     async def open(self) -> None:
@@ -126,7 +127,7 @@
         self.kill()
         self.server.crash()
         self._relay.stop()
-        self.caller.close()
+        self.external_caller.close()
         self._child_caller.close()
 
     @property
@@ -148,7 +149,7 @@
                 stderr=out,
                 env=environment,
             )
-        self.caller.lifetime += 1
+        self.external_caller.lifetime += 1
         self.stopped = False
 
     def signal(self, number: signal.Signals) -> None:
@@ -305,7 +306,7 @@
         """Start the callers of all hosts."""
         return [
             asyncio.create_task(
-                keep_asking(host.caller, self.kinds, per_s=per_s, rng=self.rng)
+                keep_asking(host.external_caller, self.kinds, per_s=per_s, rng=self.rng)
             )
             for host in self.hosts
         ]
@@ -316,7 +317,7 @@
             while True:
                 await asyncio.sleep(self.rng.expovariate(FATAL_PER_S))
                 host = self.rng.choice(self.hosts)
-                group.create_task(host.caller.ask(FATAL, key=OWN_KEY))
+                group.create_task(host.external_caller.ask(FATAL, key=OWN_KEY))
 
     async def until_served(self, ceiling_s: float = 40.0) -> None:
         """Wait until all hosts serve all kinds of request, including the latest probe.
@@ -328,7 +329,9 @@
         async with asyncio.timeout(ceiling_s):
             for host in self.hosts:
                 for kind in kinds:
-                    while (await host.caller.ask(kind, key=OWN_KEY)).status != 200:
+                    while (
+                        await host.external_caller.ask(kind, key=OWN_KEY)
+                    ).status != 200:
                         await asyncio.sleep(0.1)
 
     def _build_path(
--- a/tests/fault_soak/server.py
+++ b/tests/fault_soak/server.py
@@ -10,7 +10,7 @@
 from .record import FATAL_TARGET, Record, Run, body_of
 
 SLOTS = 8
-EXECUTION_TIME_S = (0.02, 0.12)
+SERVER_EXECUTION_TIME_S = (0.02, 0.12)
 """Shortest and longest execution time of a request without its child calls."""
 
 ChildCallHandler = Callable[[str], Awaitable[int]]
@@ -181,7 +181,7 @@
                 drained_since_s=self._drained_since_s,
             )
         )
-        await asyncio.sleep(self._rng.uniform(*EXECUTION_TIME_S) * self.slow_x)
+        await asyncio.sleep(self._rng.uniform(*SERVER_EXECUTION_TIME_S) * self.slow_x)
         if connection.target.decode() == FATAL_TARGET:
             self._on_fatal_request()
         return await self._make_child_calls(request_id)
--- a/tests/fault_soak/store.py
+++ b/tests/fault_soak/store.py
@@ -6,7 +6,7 @@
 from collections import deque
 from urllib.parse import parse_qs, urlsplit
 
-MAX_HISTORY_EVENTS = 200
+MAX_WATCH_EVENTS = 200
 """Number of changes kept for watches."""
 
 COPIES = 400
@@ -35,7 +35,7 @@
         self.era = 1
         self.written: dict[str, dict | None] = {}
         self._copies: deque[tuple[float, dict[str, dict], int]] = deque(maxlen=COPIES)
-        self._history: deque[dict] = deque(maxlen=MAX_HISTORY_EVENTS)
+        self._history: deque[dict] = deque(maxlen=MAX_WATCH_EVENTS)
         self._compacted_revision = 0
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
@@ -82,7 +82,7 @@
         self.era += 1
         self._history = deque(
             (event for event in self._history if event["rev"] <= self.revision),
-            maxlen=MAX_HISTORY_EVENTS,
+            maxlen=MAX_WATCH_EVENTS,
         )
         await self._notify_watches()
 
@@ -99,7 +99,7 @@
         await self._notify_watches()
 
     async def _publish_event(self, event: dict) -> None:
-        if len(self._history) == MAX_HISTORY_EVENTS:
+        if len(self._history) == MAX_WATCH_EVENTS:
             self._compacted_revision = self._history[0]["rev"]
         self._history.append(event)
         now_s = asyncio.get_running_loop().time()
