--- a/tests/fault_soak/callers.py
+++ b/tests/fault_soak/callers.py
@@ -77,7 +77,7 @@
         Args:
             kind: kind of the request.
             parent: id of the request whose execution makes this child call, or empty.
-                A child call carries no key.
+                A child call carries no key unless one is given.
             key: API key and its organisation; drawn at random if omitted.
 
         Returns:
