--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -11,7 +11,7 @@
 from sassafraswinch_platform import store as store_module
 from sassafraswinch_platform.store import UNREADABLE, WATCH_ANSWER_S, ReadOnlyStore
 from sassafraswinch_sidecar.platform_reader import (
-    WATCH_MS,
+    WATCH_TIMEOUT_MS,
     HistoryGoneError,
     PlatformUnavailableError,
 )
@@ -93,7 +93,7 @@
     }
     standin.answers["/v1/kv-range"] = lambda query: (200, pages[query.get("after")])
     delta = await store.read()
-    assert (delta.revision, delta.whole) == (Revision(0, 5), True)
+    assert (delta.revision, delta.is_full) == (Revision(0, 5), True)
     assert [entry.key for entry in delta.entries] == [
         "op/config",
         "servers/a",
@@ -121,7 +121,7 @@
         {"events": events, "at_rev": 8},
     )
     delta = await store.watch(Revision(0, 5), 1_000)
-    assert (delta.revision, delta.whole) == (Revision(0, 8), False)
+    assert (delta.revision, delta.is_full) == (Revision(0, 8), False)
     assert [(e.key, e.value) for e in delta.entries] == [
         ("servers/a", b"{}"),
         ("servers/b", None),
@@ -216,8 +216,8 @@
     standin.answers["/v1/kv-key"] = lambda query: (
         (200, item("servers/a", 3)) if query["key"] == "servers/a" else (404, {})
     )
-    assert await store.lists("a")
-    assert not await store.lists("b")
+    assert await store.has_instance("a")
+    assert not await store.has_instance("b")
 
 
 @pytest.mark.parametrize(
@@ -226,7 +226,7 @@
 async def test_error_status_counts_as_an_answer(standin, store, status, answered):
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with pytest.raises(PlatformUnavailableError) as caught:
-        await store.lists("a")
+        await store.has_instance("a")
     assert caught.value.answered is answered
 
 
@@ -251,7 +251,7 @@
     standin.era = 2
     standin.answers["/v1/kv-key"] = lambda query: (status, {})
     with contextlib.suppress(HistoryGoneError, PlatformUnavailableError):
-        await store.lists("a")
+        await store.has_instance("a")
     assert store.era == 2
 
 
@@ -262,7 +262,7 @@
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     for era in (2, 900, 2):
         standin.era = era
-        await store.lists("a")
+        await store.has_instance("a")
     assert store.era == 2
 
 
@@ -300,7 +300,7 @@
     """A zone relies on one host to follow the platform. If that host's watch gets no
     response, another host must have taken over within the limit.
     """
-    assert WATCH_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= RECOVERY_LIMIT_S
+    assert WATCH_TIMEOUT_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= RECOVERY_LIMIT_S
 
 
 async def test_unresponsive_connections_are_not_reused(standin, store, monkeypatch):
@@ -310,7 +310,7 @@
     monkeypatch.setattr(store_module, "WATCH_ANSWER_S", 0.05)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
-    await asyncio.gather(store.lists("a"), store.lists("b"))
+    await asyncio.gather(store.has_instance("a"), store.has_instance("b"))
     release = asyncio.Event()
     standin.before_answer = release.wait
     with pytest.raises(PlatformUnavailableError):
