--- a/tests/fault_soak/callers.py
+++ b/tests/fault_soak/callers.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .record import Record, Sent, body_of
+from .record import Record, SoakRequest, body_of
 
-ANSWER_CEILING_S = 12.0
+CALLER_RESPONSE_TIMEOUT_S = 12.0
 """Longest wait for a response. It is far above every deadline, so that a paused process
 or a busy host isn't mistaken for a lost response."""
 
 KeyAndOrganisation = tuple[str, str] | None
 """An API key and the organisation that holds it."""
 
-IDLE_MOST = 20
+MAX_IDLE_CALLER_CONNECTIONS = 20
 """Largest number of idle connections kept by the callers of a host."""
 
 
@@ -45,7 +45,7 @@
     """Sends requests to one sidecar and records their outcomes.
 
     Attributes:
-        lifetime: number of starts of the sidecar's process.
+        process_starts: number of starts of the sidecar's process.
     """
 
     _numbers = itertools.count(1)
@@ -60,7 +60,7 @@
         record: Record,
         draw_key: Callable[[], tuple[str, str]],
     ):
-        self.lifetime = 0
+        self.process_starts = 0
         self._host = host
         self._service = service
         self._ip = ip
@@ -69,9 +69,9 @@
         self._draw_key = draw_key
         self._idle_connections: deque[tuple] = deque()
 
-    async def ask(
+    async def send(
         self, kind: Kind, *, parent: str = "", key: KeyAndOrganisation = None
-    ) -> Sent:
+    ) -> SoakRequest:
         """Send one request and wait for its response.
 
         Args:
@@ -88,7 +88,7 @@
             organisation = self._record.sent[parent].organisation
         number = f"{next(self._numbers):08x}"
         request_id = f"{parent}.{number}" if parent else number
-        sent = Sent(
+        sent = SoakRequest(
             request_id=request_id,
             host=self._host,
             caller_service=self._service,
@@ -97,12 +97,12 @@
             idempotent=kind.idempotent,
             version=kind.version,
             organisation=organisation,
-            lifetime=self.lifetime,
+            process_starts=self.process_starts,
             sent_s=_now_s(),
         )
         self._record.sent[request_id] = sent
         try:
-            async with asyncio.timeout(ANSWER_CEILING_S):
+            async with asyncio.timeout(CALLER_RESPONSE_TIMEOUT_S):
                 await self._exchange(sent, kind, key)
         except TimeoutError:
             sent.status = None
@@ -116,14 +116,14 @@
         while self._idle_connections:
             self._idle_connections.pop()[1].close()
 
-    async def _exchange(self, sent: Sent, kind: Kind, key: str) -> None:
+    async def _exchange(self, sent: SoakRequest, kind: Kind, key: str) -> None:
         reader, writer = await self._get_connection()
         reusable = False
         try:
             writer.write(_encode_request(sent, kind, key))
             reusable = await _read_response(reader, sent)
         finally:
-            if reusable and len(self._idle_connections) < IDLE_MOST:
+            if reusable and len(self._idle_connections) < MAX_IDLE_CALLER_CONNECTIONS:
                 self._idle_connections.append((reader, writer))
             else:
                 writer.close()
@@ -137,7 +137,7 @@
         return await asyncio.open_connection(self._ip, self._port)
 
 
-def _encode_request(sent: Sent, kind: Kind, key: str) -> bytes:
+def _encode_request(sent: SoakRequest, kind: Kind, key: str) -> bytes:
     # The request claims a false service and organisation, which the sidecar must
     # replace by the true ones.
     credentials = f"Authorization: Bearer {key}\r\n" if key else ""
@@ -150,7 +150,7 @@
     ).encode() + body
 
 
-async def _read_response(reader: asyncio.StreamReader, sent: Sent) -> bool:
+async def _read_response(reader: asyncio.StreamReader, sent: SoakRequest) -> bool:
     """Read and check one response; return whether the connection may be reused."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = [line.split(": ", 1) for line in head[1:] if line]
@@ -166,7 +166,7 @@
     return fields.get("connection", "").lower() != "close"
 
 
-async def keep_asking(
+async def send_requests_at_rate(
     external_caller: Caller, kinds, *, per_s: float, rng: random.Random
 ) -> None:
     """Send requests at a mean rate until cancelled.
@@ -180,7 +180,7 @@
     async with asyncio.TaskGroup() as group:
         while True:
             await asyncio.sleep(rng.expovariate(per_s))
-            group.create_task(external_caller.ask(rng.choice(kinds())))
+            group.create_task(external_caller.send(rng.choice(kinds())))
 
 
 def _now_s() -> float:
--- a/tests/fault_soak/chaos.py
+++ b/tests/fault_soak/chaos.py
@@ -9,11 +9,11 @@
 
 from sassafraswinch_standins.relay_settings import Direction, Fault
 
-from .fleet import Host, Play
+from .fleet import FaultSoakFleet, Host
 
 FaultAction = Callable[[], Awaitable[None]]
 
-RESTORES = 4
+RESTORE_WEIGHT = 4
 """Weight of store restores among the faults, if they are enabled."""
 
 
@@ -21,7 +21,7 @@
     """Injects random faults, each of which ends after a random time.
 
     Args:
-        play: hosts and store that the faults are injected into.
+        fleet: hosts and store that the faults are injected into.
         rng: source of faults and durations.
         restores: whether the store is also restored from older copies.
 
@@ -30,17 +30,19 @@
         unclean_stops: stops that exceeded the grace period.
     """
 
-    def __init__(self, *, play: Play, rng: random.Random, restores: bool = False):
+    def __init__(
+        self, *, fleet: FaultSoakFleet, rng: random.Random, restores: bool = False
+    ):
         self.counts: Counter[str] = Counter()
         self.unclean_stops = 0
-        self._fleet = play
+        self._fleet = fleet
         self._rng = rng
         self._faulty_hosts: set[str] = set()
         self._actions: list[FaultAction] = [
             self.pause,
             self.kill,
             self.stop,
-            self.hang_up,
+            self.reload_settings,
             self.kill_all,
             self.silence,
             self.cut,
@@ -48,7 +50,7 @@
             self.hold,
             self.store_outage,
             self.store_slow,
-            self.forget_history,
+            self.discard_watch_history,
             self.server_crash,
             self.server_leaves,
             self.server_misbehaves,
@@ -56,7 +58,7 @@
             self.change_routes,
         ]
         if restores:
-            self._actions += [self.store_restored] * RESTORES
+            self._actions += [self.store_restored] * RESTORE_WEIGHT
 
     async def run(self, seconds: float) -> None:
         """Start faults for some seconds; return once all of them have ended."""
@@ -91,7 +93,7 @@
                 await self._wait(0.1, 0.5)
                 host.start()
 
-    async def hang_up(self) -> None:
+    async def reload_settings(self) -> None:
         async with self._reserve_host("hang-up") as host:
             if host is not None:
                 host.signal(signal.SIGHUP)
@@ -107,7 +109,7 @@
             await self._fleet.change_routes()
         for host in hosts:
             host.kill()
-        self._fleet.record.forgot_s.append(asyncio.get_running_loop().time())
+        self._fleet.record.all_killed_s.append(asyncio.get_running_loop().time())
         await self._wait(0.1, 1.0)
         for host in hosts:
             host.start()
@@ -158,9 +160,9 @@
         await self._wait(0.5, 2.0)
         self._fleet.store.delay_s = 0.0
 
-    async def forget_history(self) -> None:
+    async def discard_watch_history(self) -> None:
         self.counts["forget-history"] += 1
-        await self._fleet.store.forget_history()
+        await self._fleet.store.discard_watch_history()
 
     async def store_restored(self) -> None:
         """Restore the store from an older copy after an outage, amid changes."""
@@ -179,7 +181,7 @@
         if self._rng.random() < 0.5:
             await self.change_routes()
         await self._wait(0.0, 2.0)
-        await store.write_again()
+        await store.rewrite_lost_items()
 
     async def server_crash(self) -> None:
         """Crash a backend server and start a new instance at the same address.
@@ -227,7 +229,7 @@
             )
             setattr(server, field, value)
             await self._wait(0.5, 3.0)
-            server.well()
+            server.reset_faults()
 
     async def change_routes(self) -> None:
         self.counts["change-routes"] += 1
--- a/tests/fault_soak/fleet.py
+++ b/tests/fault_soak/fleet.py
@@ -14,7 +14,7 @@
 from sassafraswinch_standins.relay import Relay
 from sassafraswinch_standins.relay_settings import RouteSettings
 
-from .callers import Caller, Kind, keep_asking
+from .callers import Caller, Kind, send_requests_at_rate
 from .organisations import OWN, KeyRing, tenants
 from .record import FATAL_TARGET, Record
 from .server import ServerStandIn
@@ -32,7 +32,7 @@
 in another."""
 
 LINK_PORT, DIAL_PORT, OUTBOUND_PORT, READY_PORT, METRICS_PORT = range(21_310, 21_315)
-GRACE_S = 6.0
+SIDECAR_STOP_GRACE_S = 6.0
 REQUESTS_PER_S = 8.0
 """Mean request rate of the callers at each host: a third of the servers' capacity."""
 
@@ -65,24 +65,24 @@
         routes: relayed connections by destination: link, store, server.
     """
 
-    def __init__(self, *, number: int, prefix: str, play: "Play"):
+    def __init__(self, *, number: int, prefix: str, fleet: "FaultSoakFleet"):
         self.name = f"host-{number}"
         self.ip = f"{prefix}.{number}"
         self.zone = f"zone-{number % 2}"
         self.service = SERVICES[(number - 1) % len(SERVICES)]
         self.stopped = True
         self.routes = {}
-        self._fleet = play
-        self._out_path = play.directory / f"{self.name}.out"
-        self._settings_path = play.directory / f"{self.name}.yaml"
+        self._fleet = fleet
+        self._out_path = fleet.directory / f"{self.name}.out"
+        self._settings_path = fleet.directory / f"{self.name}.yaml"
         self._popen: subprocess.Popen | None = None
         self.server = ServerStandIn(
             service=self.service,
             ip=self.ip,
-            record=play.record,
-            call=self._make_child_calls,
-            ended=self._restart_server_later,
-            rng=play.rng,
+            record=fleet.record,
+            make_child_calls=self._make_child_calls,
+            on_fatal_request=self._restart_server_later,
+            rng=fleet.rng,
         )
         self.external_caller = self._new_caller()
         self._child_caller = self._new_caller()
@@ -119,7 +119,7 @@
             "dial_port": DIAL_PORT,
             "metrics_port": METRICS_PORT,
             "platform": store,
-            "drain_s": GRACE_S,
+            "drain_s": SIDECAR_STOP_GRACE_S,
         }
 
     def close(self) -> None:
@@ -149,7 +149,7 @@
                 stderr=out,
                 env=environment,
             )
-        self.external_caller.lifetime += 1
+        self.external_caller.process_starts += 1
         self.stopped = False
 
     def signal(self, number: signal.Signals) -> None:
@@ -172,7 +172,7 @@
         """
         self.stopped = True
         self.signal(signal.SIGTERM)
-        for _ in range(int(GRACE_S / 0.05)):
+        for _ in range(int(SIDECAR_STOP_GRACE_S / 0.05)):
             if not self.alive:
                 return True
             await asyncio.sleep(0.05)
@@ -192,7 +192,7 @@
     async def publish(self, state: str = "ready") -> None:
         """Write the server's registration to the store."""
         key = f"servers/{self.server.instance_id}"
-        await self._fleet.store.put(key, self.server.entry(self.zone, state))
+        await self._fleet.store.put(key, self.server.registration(self.zone, state))
 
     def _new_caller(self) -> Caller:
         return Caller(
@@ -213,13 +213,13 @@
         if self.service != "archiv" or request_id.count("."):
             return 200
         for _ in range(2):
-            sent = await self._child_caller.ask(PRICES, parent=request_id)
+            sent = await self._child_caller.send(PRICES, parent=request_id)
             if sent.status != 200:
                 return 500
         return 200
 
 
-class Play:
+class FaultSoakFleet:
     """Fleet and store of one soak run.
 
     Args:
@@ -245,7 +245,7 @@
         self.version = 0
         prefix = f"127.{20 + os.getpid() % 200}.{seed % 250}"
         self.hosts = [
-            Host(number=number, prefix=prefix, play=self)
+            Host(number=number, prefix=prefix, fleet=self)
             for number in range(1, copies * len(SERVICES) + 1)
         ]
 
@@ -257,7 +257,7 @@
             await host.open()
             await host.publish()
             host.start()
-        await self.until_served()
+        await self.wait_until_all_served()
 
     def close(self) -> None:
         for host in self.hosts:
@@ -272,7 +272,7 @@
             self._build_path(ORDERS, "archiv", 1, attempts=3),
             self._build_path(PRICES, "prehled", 1, attempts=3),
             self._build_path(APPROVE, "schvaleni", 0, attempts=2),
-            self._build_path(self.probe(), "prehled", 1, attempts=3),
+            self._build_path(self.probe_kind(), "prehled", 1, attempts=3),
         ]
         limits = {
             "max_header_bytes": 32_768,
@@ -288,7 +288,7 @@
         }
         await self.store.put("op/config", config)
 
-    def probe(self) -> Kind:
+    def probe_kind(self) -> Kind:
         """Return the kind of request that only the latest route version serves."""
         return Kind(
             prefix=f"/version-{self.version}/",
@@ -300,37 +300,39 @@
 
     def kinds(self) -> list[Kind]:
         """Return the kinds of request that callers draw from."""
-        return [ORDERS, ORDERS, APPROVE, PRICES, self.probe()]
+        return [ORDERS, ORDERS, APPROVE, PRICES, self.probe_kind()]
 
-    def ask_everywhere(self, per_s: float = REQUESTS_PER_S) -> list[asyncio.Task]:
+    def start_host_callers(self, per_s: float = REQUESTS_PER_S) -> list[asyncio.Task]:
         """Start the callers of all hosts."""
         return [
             asyncio.create_task(
-                keep_asking(host.external_caller, self.kinds, per_s=per_s, rng=self.rng)
+                send_requests_at_rate(
+                    host.external_caller, self.kinds, per_s=per_s, rng=self.rng
+                )
             )
             for host in self.hosts
         ]
 
-    async def send_fatal(self) -> None:
+    async def send_fatal_requests(self) -> None:
         """Send the request that crashes servers from random hosts until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await asyncio.sleep(self.rng.expovariate(FATAL_PER_S))
                 host = self.rng.choice(self.hosts)
-                group.create_task(host.external_caller.ask(FATAL, key=OWN_KEY))
+                group.create_task(host.external_caller.send(FATAL, key=OWN_KEY))
 
-    async def until_served(self, ceiling_s: float = 40.0) -> None:
+    async def wait_until_all_served(self, ceiling_s: float = 40.0) -> None:
         """Wait until all hosts serve all kinds of request, including the latest probe.
 
         Raises:
             TimeoutError: a host doesn't serve a kind within ``ceiling_s``.
         """
-        kinds = [ORDERS, APPROVE, self.probe()]
+        kinds = [ORDERS, APPROVE, self.probe_kind()]
         async with asyncio.timeout(ceiling_s):
             for host in self.hosts:
                 for kind in kinds:
                     while (
-                        await host.external_caller.ask(kind, key=OWN_KEY)
+                        await host.external_caller.send(kind, key=OWN_KEY)
                     ).status != 200:
                         await asyncio.sleep(0.1)
 
--- a/tests/fault_soak/organisations.py
+++ b/tests/fault_soak/organisations.py
@@ -61,9 +61,9 @@
         return self._rng.choice(keys)
 
 
-def windows_over_limit(first_runs_s: Iterable[float]) -> list[str]:
+def find_rate_limit_violations(first_starts_s: Iterable[float]) -> list[str]:
     """Return a line if the limited organisation exceeded its limit within a window."""
-    times_s = sorted(first_runs_s)
+    times_s = sorted(first_starts_s)
     allowed = (RATE_PER_S * WINDOW_S + BURST) * EXCESS_FACTOR + SLACK_REQUESTS
     counts = [
         bisect.bisect_left(times_s, start_s + WINDOW_S) - index
@@ -77,7 +77,7 @@
     )
 
 
-def first_runs_s(runs) -> list[float]:
+def first_starts_s(runs) -> list[float]:
     """Return the start time of each request of the limited organisation."""
     starts: dict[str, list[float]] = defaultdict(list)
     for run in runs:
--- a/tests/fault_soak/play.py
+++ b/tests/fault_soak/play.py
@@ -15,7 +15,7 @@
 import defopt
 
 from .chaos import Chaos
-from .fleet import Play
+from .fleet import FaultSoakFleet
 
 CHAOS_S = 8.0
 """Duration of the phase in which faults are started."""
@@ -54,16 +54,16 @@
 ) -> SeedResult:
     """Run one seed; the processes' logs remain in the directory."""
     result = SeedResult(seed)
-    fleet = Play(seed=seed, directory=directory, copies=copies, fatal=fatal)
-    chaos = Chaos(play=fleet, rng=random.Random(seed + 1), restores=restores)
+    fleet = FaultSoakFleet(seed=seed, directory=directory, copies=copies, fatal=fatal)
+    chaos = Chaos(fleet=fleet, rng=random.Random(seed + 1), restores=restores)
     try:
         await fleet.open()
-        callers = fleet.ask_everywhere()
+        callers = fleet.start_host_callers()
         if fatal:
-            callers.append(asyncio.create_task(fleet.send_fatal()))
+            callers.append(asyncio.create_task(fleet.send_fatal_requests()))
         await chaos.run(chaos_s)
         try:
-            await fleet.until_served()
+            await fleet.wait_until_all_served()
         except TimeoutError:
             result.broken.append("a host did not serve every kind of request again")
         for task in callers:
@@ -77,7 +77,7 @@
         ]
     finally:
         fleet.close()
-    result.broken += fleet.record.broken_promises()
+    result.broken += fleet.record.find_invariant_violations()
     result.faults = chaos.counts
     if chaos.unclean_stops:
         result.faults["stops beyond the grace period"] = chaos.unclean_stops
--- a/tests/fault_soak/record.py
+++ b/tests/fault_soak/record.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from .organisations import OWN, first_runs_s, windows_over_limit
+from .organisations import OWN, find_rate_limit_violations, first_starts_s
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Statuses which guarantee that a request has not run and never will."""
@@ -18,14 +18,14 @@
 """Time after a response by one route version in which concurrent requests may still be
 handled by an older version."""
 
-DRAIN_CEILING_S = 8.0
+MAX_DRAIN_S = 8.0
 """Time after a server was published as draining in which requests may still arrive: the
 two seconds that the platform allows, and a margin for a busy host."""
 
 FATAL_TARGET = "/orders/fatal"
 """Target of the request that crashes each server that runs it."""
 
-FATAL_ENDS = 3
+MAX_FATAL_CRASHES = 3
 """Largest number of server crashes before the request must be held back, and of retries
 that may run after all hosts must have received the reports of these crashes."""
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Sent:
+class SoakRequest:
     """Record of a caller's request or of a backend server's child call.
 
     Attributes:
@@ -46,7 +46,7 @@
         target: path of the request.
         idempotent: whether its route is idempotent.
         version: version of the routes that its path belongs to; 0 if it is in all.
-        lifetime: number of starts of the host's process when it was sent.
+        process_starts: number of starts of the host's process when it was sent.
         sent_s: time when it was sent.
         status: status of the response; None without a complete response, 0 if the
             connection was closed instead.
@@ -63,7 +63,7 @@
     target: str
     idempotent: bool
     version: int = 0
-    lifetime: int = 0
+    process_starts: int = 0
     sent_s: float
     status: int | None = None
     done_s: float = 0.0
@@ -108,15 +108,15 @@
         sent: requests by id.
         runs: runs in the order of their starts.
         services_of: services that any version of the routes assigned to a path prefix.
-        forgot_s: times when all processes were killed, which discards all state.
+        all_killed_s: times when all processes were killed, which discards all state.
     """
 
-    sent: dict[str, Sent] = field(default_factory=dict)
+    sent: dict[str, SoakRequest] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     services_of: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    forgot_s: list[float] = field(default_factory=list)
+    all_killed_s: list[float] = field(default_factory=list)
 
-    def broken_promises(self) -> list[str]:
+    def find_invariant_violations(self) -> list[str]:
         """Return a line for each violated invariant."""
         runs_by_request = defaultdict(list)
         for run in self.runs:
@@ -130,26 +130,27 @@
             ),
             *self._check_versions(),
             *self._check_fatal_runs(),
-            *windows_over_limit(first_runs_s(self.runs)),
+            *find_rate_limit_violations(first_starts_s(self.runs)),
         ]
 
     def _check_fatal_runs(self) -> list[str]:
         """Return a line if a request continued to crash servers after three crashes."""
         fatal_runs = [run for run in self.runs if run.target == FATAL_TARGET]
         lines = []
-        for since_s, until_s in itertools.pairwise([0.0, *self.forgot_s, math.inf]):
+        for since_s, until_s in itertools.pairwise([0.0, *self.all_killed_s, math.inf]):
             starts_s = sorted(
                 fatal.started_s
                 for fatal in fatal_runs
                 if since_s < fatal.started_s < until_s
             )
             known_s = [
-                start_s + SPREAD_S for start_s in starts_s[FATAL_ENDS - 1 : FATAL_ENDS]
+                start_s + SPREAD_S
+                for start_s in starts_s[MAX_FATAL_CRASHES - 1 : MAX_FATAL_CRASHES]
             ]
             late_s = [
                 start_s for start_s in starts_s if known_s and start_s > known_s[0]
             ]
-            if len(late_s) > FATAL_ENDS:
+            if len(late_s) > MAX_FATAL_CRASHES:
                 lines.append(
                     f"continued to crash servers: {len(starts_s)} runs, {late_s} late"
                 )
@@ -171,16 +172,16 @@
         if run.service not in self.services_of[prefix_of(run.target)]:
             lines.append(f"wrong service: {run}")
         drained_s = run.drained_since_s
-        if drained_s is not None and run.started_s - drained_s > DRAIN_CEILING_S:
+        if drained_s is not None and run.started_s - drained_s > MAX_DRAIN_S:
             lines.append(f"sent to a draining server: {run}")
         return lines
 
     def _check_versions(self) -> list[str]:
         """Return a line for each return of a process to an older route version."""
-        probes_by_process: dict[tuple[str, int], list[Sent]] = defaultdict(list)
+        probes_by_process: dict[tuple[str, int], list[SoakRequest]] = defaultdict(list)
         for sent in self.sent.values():
             if sent.version and sent.status == 200:
-                probes_by_process[sent.host, sent.lifetime].append(sent)
+                probes_by_process[sent.host, sent.process_starts].append(sent)
         return [
             f"older route version: {old} after {new}"
             for probes in probes_by_process.values()
@@ -201,7 +202,7 @@
     return digest * (1 + digest[0] % 8 * 40)
 
 
-def _check_response(sent: Sent, runs: list[Run]) -> list[str]:
+def _check_response(sent: SoakRequest, runs: list[Run]) -> list[str]:
     lines = [f"{sent.fault}: {sent}"] if sent.fault else []
     if sent.status is None and sent.done_s:
         lines.append(f"no response: {sent}")
--- a/tests/fault_soak/server.py
+++ b/tests/fault_soak/server.py
@@ -86,8 +86,8 @@
         service: str,
         ip: str,
         record: Record,
-        call: ChildCallHandler,
-        ended: Callable[[], None],
+        make_child_calls: ChildCallHandler,
+        on_fatal_request: Callable[[], None],
         rng: random.Random,
     ):
         self.service = service
@@ -95,16 +95,16 @@
         self.port = 0
         self.record = record
         self.connections: set[ServerConnection] = set()
-        self.well()
-        self._make_child_calls = call
-        self._on_fatal_request = ended
+        self.reset_faults()
+        self._make_child_calls = make_child_calls
+        self._on_fatal_request = on_fatal_request
         self._rng = rng
         self._in_flight = 0
         self._drained_since_s: float | None = None
         self._server: asyncio.Server | None = None
         self.instance_id = ""
 
-    def well(self) -> None:
+    def reset_faults(self) -> None:
         """Disable all faults."""
         self.lose_share = self.double_share = self.cut_share = self.shed_share = 0.0
         self.slow_x = 1.0
@@ -135,7 +135,7 @@
         """Record the time when the server was published as draining."""
         self._drained_since_s = _now_s()
 
-    def entry(self, zone: str, state: str) -> dict:
+    def registration(self, zone: str, state: str) -> dict:
         """Return the server's registration, in the platform's format."""
         return {
             "service": self.service,
--- a/tests/fault_soak/store.py
+++ b/tests/fault_soak/store.py
@@ -9,7 +9,7 @@
 MAX_WATCH_EVENTS = 200
 """Number of changes kept for watches."""
 
-COPIES = 400
+MAX_RESTORE_COPIES = 400
 """Number of copies kept for restores, one after each change."""
 
 
@@ -34,7 +34,9 @@
         self.delay_s = 0.0
         self.era = 1
         self.written: dict[str, dict | None] = {}
-        self._copies: deque[tuple[float, dict[str, dict], int]] = deque(maxlen=COPIES)
+        self._copies: deque[tuple[float, dict[str, dict], int]] = deque(
+            maxlen=MAX_RESTORE_COPIES
+        )
         self._history: deque[dict] = deque(maxlen=MAX_WATCH_EVENTS)
         self._compacted_revision = 0
         self._changed = asyncio.Condition()
@@ -66,7 +68,7 @@
         self.revision += 1
         await self._publish_event({"key": key, "rev": self.revision, "compacted": True})
 
-    async def forget_history(self) -> None:
+    async def discard_watch_history(self) -> None:
         """Discard the change history; watches from earlier revisions get status 410."""
         self._history.clear()
         self._compacted_revision = self.revision
@@ -86,7 +88,7 @@
         )
         await self._notify_watches()
 
-    async def write_again(self) -> None:
+    async def rewrite_lost_items(self) -> None:
         """Repeat the writes that were lost in a restore."""
         for key, value in tuple(self.written.items()):
             if value is None:
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -4,12 +4,12 @@
 
 from fault_soak.play import play
 from fault_soak.record import (
-    DRAIN_CEILING_S,
     FATAL_TARGET,
+    MAX_DRAIN_S,
     SPREAD_S,
     Record,
     Run,
-    Sent,
+    SoakRequest,
     body_of,
 )
 
@@ -54,7 +54,7 @@
     assert outcome.statuses[200] > outcome.statuses.total() / 2
 
 
-def sent(**fields) -> Sent:
+def sent(**fields) -> SoakRequest:
     defaults = {
         "request_id": "a",
         "host": "host-1",
@@ -67,7 +67,7 @@
         "status": 200,
         "done_s": 2.0,
     }
-    return Sent(**defaults | fields)
+    return SoakRequest(**defaults | fields)
 
 
 def run(**fields) -> Run:
@@ -90,7 +90,7 @@
     record.services_of["/approve/"].add("schvaleni")
     record.sent = {request.request_id: request for request in requests}
     record.runs = list(runs)
-    return [line.partition(":")[0] for line in record.broken_promises()]
+    return [line.partition(":")[0] for line in record.find_invariant_violations()]
 
 
 def test_requests_served_once_violate_no_invariant():
@@ -121,7 +121,7 @@
         ({}, [run(has_key=True)], "key forwarded to the server"),
         (
             {},
-            [run(drained_since_s=0.0, started_s=DRAIN_CEILING_S + 1)],
+            [run(drained_since_s=0.0, started_s=MAX_DRAIN_S + 1)],
             "sent to a draining server",
         ),
     ],
@@ -140,7 +140,7 @@
     old = sent(request_id="o", version=2, idempotent=True, sent_s=9.0, done_s=9.1)
     runs = [run(request_id="n"), run(request_id="o")]
     assert find_violations([new, old], runs) == ["older route version"]
-    old.lifetime = 1
+    old.process_starts = 1
     assert find_violations([new, old], runs) == []
 
 
@@ -153,7 +153,7 @@
         run(target=FATAL_TARGET, service="archiv", method="GET", started_s=start_s)
         for start_s in starts_s
     ]
-    return [line.partition(":")[0] for line in record.broken_promises()]
+    return [line.partition(":")[0] for line in record.find_invariant_violations()]
 
 
 def test_request_that_continues_to_crash_servers_is_detected():
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies as st
 
 from sassafraswinch.errors import InvalidFieldsError
-from sassafraswinch_platform.decoding import PlatformDecoder, parse_json
+from sassafraswinch_platform.decoding import PlatformDecoder, parse_json_object
 
 SERVER = {
     "service": "huvo11a",
@@ -173,7 +173,7 @@
 
 def test_json_list_is_rejected():
     with pytest.raises(ValueError, match="object"):
-        parse_json(b"[]")
+        parse_json_object(b"[]")
 
 
 @pytest.mark.parametrize(
@@ -257,7 +257,7 @@
     for parse in (
         decoder.parse_route_table,
         lambda value: decoder.parse_instance("i-7", value),
-        parse_json,
+        parse_json_object,
     ):
         with contextlib.suppress(InvalidFieldsError, ValueError):
             parse(value)
@@ -266,6 +266,6 @@
 def test_json_nested_too_deeply_is_rejected():
     deep = b"[" * 200_000
     with pytest.raises(ValueError, match="deep"):
-        parse_json(deep)
+        parse_json_object(deep)
     with pytest.raises(InvalidFieldsError):
         PlatformDecoder().parse_instance("i-7", deep)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -9,7 +9,11 @@
 import pytest
 
 from sassafraswinch_platform import store as store_module
-from sassafraswinch_platform.store import UNREADABLE, WATCH_ANSWER_S, ReadOnlyStore
+from sassafraswinch_platform.store import (
+    UNREADABLE,
+    WATCH_RESPONSE_TIMEOUT_S,
+    ReadOnlyStore,
+)
 from sassafraswinch_sidecar.platform_reader import (
     WATCH_TIMEOUT_MS,
     HistoryGoneError,
@@ -300,14 +304,17 @@
     """A zone relies on one host to follow the platform. If that host's watch gets no
     response, another host must have taken over within the limit.
     """
-    assert WATCH_TIMEOUT_MS / 1000 + WATCH_ANSWER_S + TAKE_OVER_S <= RECOVERY_LIMIT_S
+    assert (
+        WATCH_TIMEOUT_MS / 1000 + WATCH_RESPONSE_TIMEOUT_S + TAKE_OVER_S
+        <= RECOVERY_LIMIT_S
+    )
 
 
 async def test_unresponsive_connections_are_not_reused(standin, store, monkeypatch):
     """If idle connections were kept after a timeout, each of the next calls could time
     out on one of them.
     """
-    monkeypatch.setattr(store_module, "WATCH_ANSWER_S", 0.05)
+    monkeypatch.setattr(store_module, "WATCH_RESPONSE_TIMEOUT_S", 0.05)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
     await asyncio.gather(store.has_instance("a"), store.has_instance("b"))
