--- a/packages/sassafraswinch-tool/sassafraswinch_tool/__init__.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool: a porcelain of user verbs and its command line."""
+"""Command-line tool for operators, and the Python API behind its commands."""
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/burn_picture.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/burn_picture.py
@@ -1,4 +1,4 @@
-"""A burn report as a picture in a file."""
+"""Chart of a burn report, written to an image file."""
 
 from pathlib import Path
 
@@ -19,21 +19,22 @@
 
 
 def draw_burn(report: BurnReport, path: Path) -> None:
-    """Write a picture: shares of outcomes and burn rates, a row for each series.
+    """Write a chart of outcome shares and burn rates, with one row per series.
 
     Args:
-        report: of one node or of many.
-        path: its suffix chooses the format, such as ``.png`` or ``.svg``.
+        report: Report of one node, or the merged report of several.
+        path: Output file; its suffix selects the format, such as ``.png`` or ``.svg``.
 
     Raises:
-        OSError: the file can't be written.
-        ValueError: the suffix names no format.
+        OSError: The file can't be written.
+        ValueError: The suffix is not a supported format.
     """
     height = MARGIN_INCHES + ROW_INCHES * max(len(report.series), 1)
     figure = Figure(figsize=(WIDTH_INCHES, height), dpi=DOTS_PER_INCH)
     FigureCanvasAgg(figure)
     shares, rates = figure.subplots(1, 2, sharey=True, width_ratios=(3, 2))
-    # A name with dollar signs would be typeset as a formula, or fail to be.
+    # Matplotlib parses text between dollar signs as a math expression, and raises
+    # an error if the expression is invalid.
     names = [series_name(series).replace("$", r"\$") for series in report.series]
     shares.set_yticks(range(len(names)), names)
     shares.set_ylim(max(len(names), 1) - 0.5, -0.5)
@@ -48,13 +49,13 @@
         next((w.counts for w in s.windows if w.window_ms == SHARE_WINDOW_MS), s.total)
         for s in report.series
     ]
-    left = [0.0] * len(counts)
+    offsets = [0.0] * len(counts)
     for outcome, colour in OUTCOME_COLOURS.items():
         widths = [
             100.0 * getattr(count, outcome) / max(count.counted, 1) for count in counts
         ]
-        axes.barh(range(len(counts)), widths, left=left, color=colour, label=outcome)
-        left = [start + width for start, width in zip(left, widths, strict=True)]
+        axes.barh(range(len(counts)), widths, left=offsets, color=colour, label=outcome)
+        offsets = [start + width for start, width in zip(offsets, widths, strict=True)]
     axes.set_xlim(0, 100)
     axes.set_xlabel(f"% of calls, last {window_name(SHARE_WINDOW_MS)}")
     axes.legend(loc="lower center", bbox_to_anchor=(0.5, 1.0), ncols=4, frameon=False)
@@ -71,6 +72,6 @@
     axes.set_xlim(0, len(BURN_WINDOWS_MS))
     names = [window_name(window_ms) for window_ms in BURN_WINDOWS_MS]
     axes.set_xticks([column + 0.48 for column in columns], names)
-    axes.set_xlabel("burn rate; 1 just meets the objective")
+    axes.set_xlabel("burn rate (1 = objective just met)")
     axes.tick_params(length=0)
     axes.spines[:].set_visible(False)
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
@@ -1,4 +1,4 @@
-"""A burn report as text."""
+"""Text rendering of a burn report for the terminal."""
 
 from sassafraswinch.burn_report import BurnReport, SeriesBurn
 from sassafraswinch.burn_windows import BURN_WINDOWS_MS, MINUTE_MS, window_name
@@ -12,9 +12,9 @@
 from sassafraswinch_tool.tables import format_table, printable
 
 SHARE_WINDOW_MS = 5 * MINUTE_MS
-"""Window of the counts in the table."""
+"""Time window that the outcome counts in the table cover."""
 
-HEADS = (
+HEADERS = (
     "class / operation",
     "objective",
     *(f"burn {window_name(window_ms)}" for window_ms in BURN_WINDOWS_MS),
@@ -29,23 +29,24 @@
 
 
 def render_burn(report: BurnReport, *, most: int | None = None) -> list[str]:
-    """Return alerts and a table of series.
+    """Return a line per alert, followed by a table of the series.
 
     Args:
-        report: of one node or of many.
-        most: show only so many series, those that burn fastest; None for all.
+        report: Report of one node, or the merged report of several.
+        most: Maximum number of series to show, those with the highest burn rates
+            first; None shows all in the order of the report.
     """
     series = list(report.series)
     if most is not None:
-        series = sorted(series, key=burn_now, reverse=True)[:most]
+        series = sorted(series, key=current_burn_rate, reverse=True)[:most]
     lines = list(map(printable, describe_alerts(report)))
     if not series:
         return [*lines, "no calls in the last 6 hours"]
-    return lines + format_table(HEADS, map(_row, series))
+    return lines + format_table(HEADERS, map(_row, series))
 
 
-def burn_now(series: SeriesBurn) -> float:
-    """Return the burn rate of the shortest window; 0 where there is none."""
+def current_burn_rate(series: SeriesBurn) -> float:
+    """Return the burn rate over the shortest window, or 0 if it has none."""
     return (series.windows[0].burn_rate or 0.0) if series.windows else 0.0
 
 
@@ -55,8 +56,8 @@
         format_rate(windows[ms].burn_rate) if ms in windows else "-"
         for ms in BURN_WINDOWS_MS
     ]
-    share = windows.get(SHARE_WINDOW_MS)
-    counts = share.counts if share else series.total
+    share_window = windows.get(SHARE_WINDOW_MS)
+    counts = share_window.counts if share_window else series.total
     latency = next(iter(series.latencies), None)
     quantiles = (
         (f"{latency.p50_ms:.1f}", f"{latency.p99_ms:.1f}") if latency else ("-", "-")
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/check.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/check.py
@@ -1,4 +1,4 @@
-"""Checks of files before they are published."""
+"""Checks of a document file before it is published."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Caution:
-    """A field that is valid, and yet is probably not what was meant."""
+    """A field that is valid but probably a mistake."""
 
     field: str
     reason: str
@@ -22,7 +22,7 @@
 
 
 def check_file(path: Path) -> list[InvalidFieldError]:
-    """Return every fault of a document file; none where it may be published."""
+    """Return all faults of a document file; an empty list if it is valid."""
     try:
         read_document(path)
     except InvalidFieldsError as error:
@@ -34,7 +34,8 @@
     """Read a document file.
 
     Raises:
-        InvalidFieldsError: every fault, also that the file can't be read.
+        InvalidFieldsError: The file can't be read, or is not a valid document. The
+            group holds every fault.
     """
     try:
         with path.open("rb") as file:
@@ -48,60 +49,62 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Use:
-    """A selector at its place in the document, and the labels it chooses among."""
+class _SelectorUse:
+    """A selector, its field in the document, and the label sets it is matched with."""
 
     field: str
     selector: Selector
-    noun: str
+    subject: str
     label_sets: list[Mapping[str, str]]
 
 
 def find_cautions(document: Document) -> list[Caution]:
-    """Return the selectors that name a label which nothing in the document has.
+    """Return a caution for each label in a selector that nothing in the document has.
 
-    A misspelt value in a selector is no fault, for the label may come with a
-    later version. But then a class loses its requests to the classes after it,
-    or an action that must run at most once may be repeated.
+    An unknown label is not a fault, because a later version of the document may
+    add it. If it is a misspelling, however, requests fall through to a later
+    class, or an action that must run at most once may be retried.
     """
     return [
         Caution(field=use.field, reason=reason)
-        for use in _uses(document)
+        for use in _selector_uses(document)
         for requirement in use.selector.requirements
-        for reason in _unknown_labels(requirement, use)
+        for reason in _describe_unknown_labels(requirement, use)
     ]
 
 
-def _uses(document: Document) -> Iterator[_Use]:
+def _selector_uses(document: Document) -> Iterator[_SelectorUse]:
     label_sets = {
         "organisation": [entry.labels for entry in document.organisations.values()],
         "caller": [entry.labels for entry in document.callers.values()],
         "operation": [entry.labels for entry in document.operations],
     }
     for entry in document.classes:
-        for noun in label_sets:
-            yield _Use(
-                field=f"classes.{entry.order}.{noun}s",
-                selector=getattr(entry, f"{noun}s"),
-                noun=noun,
-                label_sets=label_sets[noun],
+        for subject in label_sets:
+            yield _SelectorUse(
+                field=f"classes.{entry.order}.{subject}s",
+                selector=getattr(entry, f"{subject}s"),
+                subject=subject,
+                label_sets=label_sets[subject],
             )
-    for place, selector in enumerate(document.non_repeatable):
-        yield _Use(
-            field=f"non_repeatable.{place}",
+    for index, selector in enumerate(document.non_repeatable):
+        yield _SelectorUse(
+            field=f"non_repeatable.{index}",
             selector=selector,
-            noun="operation",
+            subject="operation",
             label_sets=label_sets["operation"],
         )
 
 
-def _unknown_labels(requirement: Requirement, use: _Use) -> Iterator[str]:
+def _describe_unknown_labels(
+    requirement: Requirement, use: _SelectorUse
+) -> Iterator[str]:
     key = requirement.key
-    known = {labels[key] for labels in use.label_sets if key in labels}
+    known_values = {labels[key] for labels in use.label_sets if key in labels}
     if requirement.operator is Operator.ABSENT:
         return
-    if not known:
-        yield f"no {use.noun} has a label {key!r}"
+    if not known_values:
+        yield f"no {use.subject} has a label {key!r}"
         return
-    for value in sorted(requirement.values - known):
-        yield f"no {use.noun} has {key}={value}"
+    for value in sorted(requirement.values - known_values):
+        yield f"no {use.subject} has {key}={value}"
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/cli.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/cli.py
@@ -1,4 +1,4 @@
-"""The command line of the operators' tool, ``sassafraswinch``."""
+"""Command line of the operators' tool, ``sassafraswinch``."""
 
 import asyncio
 import os
@@ -36,7 +36,7 @@
 from sassafraswinch_tool.watch import FleetWatch, watch as watch_views
 
 DESCRIPTION = """\
-See what the nodes of sassafraswinch do, and check files before they are used.
+Inspect sassafraswinch nodes, and check documents and settings before use.
 
 Examples:
   sassafraswinch check examples/brno.yaml
@@ -46,31 +46,31 @@
   sassafraswinch burn --hosts http://10.0.0.9:8080 --html burn.html
   sassafraswinch watch --hosts http://10.0.0.9:8080
 
-Exit codes: 0 all well, 1 a problem was found, 2 wrong input, 3 a node or the
-platform gave no answer (the rest is shown all the same).
+Exit codes: 0 success, 1 a problem was found, 2 invalid input, 3 a node or the
+platform did not respond (the remaining results are still shown).
 """
 
 
 def check(file: Path, *, json: bool = False) -> int:
-    """Check a document or a node's settings, and name every fault.
+    """Check a document or the settings of a node, and list every fault.
 
     Example: sassafraswinch check examples/brno.yaml
 
-    Exit codes: 0 no faults (cautions may be printed), 2 faults.
+    Exit codes: 0 no faults (cautions may be printed), 2 faults found.
 
     Args:
-        file: YAML or JSON file.
+        file: YAML or JSON file to check.
         json: print faults and cautions as JSON.
     """
-    found = porcelain.check(file)
+    result = porcelain.check(file)
     if json:
-        print_json(check_fields(found))
+        print_json(check_fields(result))
     else:
-        print_errors(found.faults)
-        print_lines([f"caution: {caution}" for caution in found.cautions])
-        if not found.faults:
-            print_lines([f"{file}: valid {found.kind.value}"])
-    return ExitCode.BAD_INPUT if found.faults else ExitCode.OK
+        print_errors(result.faults)
+        print_lines([f"caution: {caution}" for caution in result.cautions])
+        if not result.faults:
+            print_lines([f"{file}: valid {result.kind.value}"])
+    return ExitCode.BAD_INPUT if result.faults else ExitCode.OK
 
 
 def explain(
@@ -81,19 +81,19 @@
     operation: str,
     json: bool = False,
 ) -> int:
-    """Tell how a document classifies one request: labels, selectors, class, bounds.
+    """Explain how a document classifies a request: labels, selectors, class, limits.
 
     Example: sassafraswinch explain examples/brno.yaml --organisation acme
     --operation "POST /schvaleni/orders/7/approval"
 
-    Exit codes: 0 explained, 2 a document with faults or an unknown operation.
+    Exit codes: 0 success, 2 a document with faults or an unknown operation.
 
     Args:
-        document: YAML or JSON file.
+        document: YAML or JSON file of the document.
         caller: name of the caller.
         organisation: name of the organisation.
         operation: name of the operation, or method and URL path of a request.
-        json: print JSON.
+        json: print JSON instead of text.
     """
     explanation = porcelain.explain(
         document, caller=caller, organisation=organisation, operation=operation
@@ -108,26 +108,26 @@
     json: bool = False,
     timeout_ms: float = TIMEOUT_MS,
 ) -> int:
-    """Show the status of nodes; of a single one with all details.
+    """Show the status of nodes, with details if there is only one.
 
     Example: sassafraswinch status 10.0.0.1:7003
 
-    Exit codes: 0 all well, 1 a node isn't serving or reports a fault or documents
-    differ, 2 wrong input, 3 a node gave no answer.
+    Exit codes: 0 no problems, 1 a node isn't serving or reports a fault, or the nodes
+    use different documents, 2 invalid input, 3 a node or the platform did not respond.
 
     Args:
-        addresses: operators' addresses of nodes, each IP:PORT.
-        hosts: URL of the platform; also ask all hosts on its list.
-        json: print JSON.
-        timeout_ms: time for one answer.
+        addresses: operators' endpoints of nodes, each IP:PORT.
+        hosts: URL of the platform; all hosts on its list are included.
+        json: print JSON instead of text.
+        timeout_ms: timeout of each request, in milliseconds.
     """
     return asyncio.run(_status(addresses, hosts, json, timeout_ms))
 
 
 async def _status(
-    texts: Sequence[str], hosts: str | None, json: bool, timeout_ms: float
+    address_texts: Sequence[str], hosts: str | None, json: bool, timeout_ms: float
 ) -> int:
-    nodes = await _find_nodes(texts, hosts, timeout_ms)
+    nodes = await _find_nodes(address_texts, hosts, timeout_ms)
     replies = await porcelain.status(nodes.addresses, timeout_ms=timeout_ms)
     if json:
         print_json([status_fields(reply) for reply in replies])
@@ -140,11 +140,13 @@
 
 
 async def _find_nodes(
-    texts: Sequence[str], hosts: str | None, timeout_ms: float
+    address_texts: Sequence[str], hosts: str | None, timeout_ms: float
 ) -> NodeList:
-    if not texts and not hosts:
-        raise ValueError("no nodes: give their addresses, or --hosts")
-    nodes = await porcelain.find_nodes(texts, platform_url=hosts, timeout_ms=timeout_ms)
+    if not address_texts and not hosts:
+        raise ValueError("no nodes specified: pass node addresses or --hosts")
+    nodes = await porcelain.find_nodes(
+        address_texts, platform_url=hosts, timeout_ms=timeout_ms
+    )
     print_errors(render_list_error(nodes))
     return nodes
 
@@ -157,33 +159,33 @@
     picture: Path | None = None,
     timeout_ms: float = TIMEOUT_MS,
 ) -> int:
-    """Show the service-level burn of nodes, added up; docs/BURN.md explains it.
+    """Show the combined service-level burn of nodes; docs/BURN.md explains it.
 
     Example: sassafraswinch burn --hosts http://10.0.0.9:8080 --picture burn.png
 
-    Exit codes: 0 no alerts, 1 an alert is raised, 2 wrong input or a file that can't
-    be written, 3 a node gave no answer.
+    Exit codes: 0 no alerts, 1 an alert is active, 2 invalid input or a file that can't
+    be written, 3 a node or the platform did not respond.
 
     Args:
-        addresses: operators' addresses of nodes, each IP:PORT.
-        hosts: URL of the platform; also ask all hosts on its list.
-        json: print JSON.
-        html: also write a page for people to this file.
-        picture: also write a picture to this file; .png, .svg or .pdf.
-        timeout_ms: time for one answer.
+        addresses: operators' endpoints of nodes, each IP:PORT.
+        hosts: URL of the platform; all hosts on its list are included.
+        json: print JSON instead of text.
+        html: also write the report as an HTML page to this file.
+        picture: also write the report as a chart to this file: .png, .svg or .pdf.
+        timeout_ms: timeout of each request, in milliseconds.
     """
     return asyncio.run(_burn(addresses, hosts, json, html, picture, timeout_ms))
 
 
 async def _burn(
-    texts: Sequence[str],
+    address_texts: Sequence[str],
     hosts: str | None,
     json: bool,
     html: Path | None,
     picture: Path | None,
     timeout_ms: float,
 ) -> int:
-    nodes = await _find_nodes(texts, hosts, timeout_ms)
+    nodes = await _find_nodes(address_texts, hosts, timeout_ms)
     fleet = await porcelain.burn(nodes.addresses, timeout_ms=timeout_ms)
     if json:
         print_json(burn_fields(fleet))
@@ -192,7 +194,7 @@
     if html is not None:
         html.write_text(burn_page(fleet.report), encoding="utf-8")
     if picture is not None:
-        # matplotlib takes half a second to import; only a picture needs it.
+        # Imported here because importing matplotlib takes half a second.
         from sassafraswinch_tool.burn_picture import draw_burn
 
         draw_burn(fleet.report, picture)
@@ -209,24 +211,25 @@
     interval_ms: float = 1_000,
     timeout_ms: float = TIMEOUT_MS,
 ) -> int:
-    """Show status and burn of nodes live, until Ctrl-C.
+    """Show a live view of the status and burn of nodes, until Ctrl-C.
 
     Example: sassafraswinch watch 10.0.0.1:7003 --interval-ms 500
 
-    Exit codes: 0 ended, 2 wrong input, 3 a node gave no answer in the last view.
+    Exit codes: 0 success or interrupted with Ctrl-C, 2 invalid input, 3 a node or the
+    platform did not respond in the last view.
 
     Args:
-        addresses: operators' addresses of nodes, each IP:PORT.
-        hosts: URL of the platform; its list is read again for each view.
-        count: end after so many views.
-        interval_ms: time between two views.
-        timeout_ms: time for one answer.
+        addresses: operators' endpoints of nodes, each IP:PORT.
+        hosts: URL of the platform; its list of hosts is fetched again for each view.
+        count: exit after this number of views.
+        interval_ms: interval between two views, in milliseconds.
+        timeout_ms: timeout of each request, in milliseconds.
     """
     if not addresses and not hosts:
-        raise ValueError("no nodes: give their addresses, or --hosts")
-    fleet = FleetWatch(texts=addresses, platform_url=hosts, timeout_ms=timeout_ms)
+        raise ValueError("no nodes specified: pass node addresses or --hosts")
+    fleet_watch = FleetWatch(texts=addresses, platform_url=hosts, timeout_ms=timeout_ms)
     views = watch_views(
-        fleet.take, stream=sys.stdout, count=count, interval_ms=interval_ms
+        fleet_watch.take, stream=sys.stdout, count=count, interval_ms=interval_ms
     )
     try:
         view = asyncio.run(views)
@@ -241,21 +244,22 @@
         code = run(sys.argv[1:] if argv is None else list(argv))
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read the output, such as head, has seen enough. What is still
-        # buffered goes nowhere, or Python would complain at its end.
+        # The reader of the pipe, such as head, has closed it. Standard output is
+        # redirected to the null device, because Python would otherwise report an
+        # error when it flushes the remaining output on exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = ExitCode.OK
     sys.exit(code)
 
 
 def run(argv: list[str]) -> int:
-    """Run one command; wrong input is told on stderr.
+    """Run one command, reporting invalid input on stderr.
 
     Args:
-        argv: arguments without the name of the program.
+        argv: Arguments without the name of the program.
 
     Returns:
-        One of ``ExitCode``.
+        The ``ExitCode`` of the command.
     """
     try:
         return defopt.run(
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
@@ -1,4 +1,4 @@
-"""What a document says about one request, for operators and scripts."""
+"""Explanation of how a document classifies one request, as text or JSON."""
 
 import dataclasses
 import difflib
@@ -12,12 +12,13 @@
 from sassafraswinch.explanation import ClassTrial, Explanation, SelectorTrial
 from sassafraswinch.identities import IdentityState
 
-_LABEL_WIDTH = 14
+_HEADING_WIDTH = 14
 _IDENTITY_TEXTS = {
     IdentityState.KNOWN: "known",
     IdentityState.UNKNOWN: "a name is missing or not listed, so it has no labels",
     IdentityState.MISMATCHED: (
-        "mismatched: the caller belongs to another organisation, so no labels count"
+        "mismatched: the caller belongs to another organisation, "
+        "so neither's labels apply"
     ),
 }
 
@@ -26,12 +27,12 @@
     """The document has no such operation.
 
     Attributes:
-        operation: what was asked for.
-        similar: names of operations that look like it.
+        operation: Name or request line that was given.
+        similar: Similarly spelt operation names in the document.
     """
 
     def __init__(self, *, operation: str, similar: tuple[str, ...]):
-        hint = f"; similar: {', '.join(similar)}" if similar else ""
+        hint = f"; similar operations: {', '.join(similar)}" if similar else ""
         super().__init__(f"no operation {operation!r} in the document{hint}")
         self.operation = operation
         self.similar = similar
@@ -40,28 +41,30 @@
 def explain_request(
     document: Document, caller: str, organisation: str, operation: str
 ) -> Explanation:
-    """Return the labels, selectors, class and bounds of a request.
+    """Return the labels, selector results, class and limits that apply to a request.
 
     Args:
-        document: the document to go by.
-        caller: value of the caller header; empty where there is none.
-        organisation: value of the organisation header; empty likewise.
-        operation: name of an operation, or a request as callers send it, such as
+        document: Document to classify the request with.
+        caller: Value of the caller header; empty if the request has none.
+        organisation: Value of the organisation header; empty if the request has none.
+        operation: Name of an operation, or method and URL path of a request, such as
             ``POST /schvaleni/orders/7/approval``.
 
     Raises:
-        UnknownOperationError: if the document has no such operation.
+        UnknownOperationError: The document has no such operation.
     """
     classifier = Classifier(document=document)
-    found = _find_operation(document, classifier, operation)
-    return classifier.explain(caller=caller, organisation=organisation, operation=found)
+    resolved = _find_operation(document, classifier, operation)
+    return classifier.explain(
+        caller=caller, organisation=organisation, operation=resolved
+    )
 
 
 def _find_operation(document: Document, classifier: Classifier, text: str) -> Operation:
     by_name = {operation.name: operation for operation in document.operations}
     method, _, url = text.partition(" ")
-    service, _, rest = url.strip().removeprefix("/").partition("/")
-    found = by_name.get(text) or classifier.operation(service, method, f"/{rest}")
+    service, _, path = url.strip().removeprefix("/").partition("/")
+    found = by_name.get(text) or classifier.operation(service, method, f"/{path}")
     if found is None:
         similar = difflib.get_close_matches(text, by_name)
         raise UnknownOperationError(operation=text, similar=tuple(similar))
@@ -69,74 +72,83 @@
 
 
 def render_json(explanation: Explanation) -> str:
-    """Return an explanation as JSON, one field for each of its attributes."""
-    return json.dumps(dataclasses.asdict(explanation), default=_plain, indent=2)
+    """Return an explanation as JSON, with a key for each attribute."""
+    return json.dumps(dataclasses.asdict(explanation), default=_encode_enum, indent=2)
 
 
-def _plain(value: object) -> object:
+def _encode_enum(value: object) -> object:
     if isinstance(value, enum.Enum):
         return value.value
-    raise TypeError(f"{type(value).__name__} has no form in JSON")
+    raise TypeError(f"{type(value).__name__} cannot be serialized as JSON")
 
 
 def render_text(explanation: Explanation) -> str:
-    """Return an explanation as lines of text, without a newline at the end."""
-    return "\n".join(_lines(explanation))
+    """Return an explanation as lines of text, without a trailing newline."""
+    return "\n".join(_format_explanation(explanation))
 
 
-def _lines(explanation: Explanation) -> Iterator[str]:
-    yield _line("document", f"version {explanation.document_version}")
-    yield _line("caller", _named(explanation.caller, explanation.caller_labels))
-    yield _line("organisation", _organisation(explanation))
-    yield _line(
-        "operation", _named(explanation.operation, explanation.operation_labels)
+def _format_explanation(explanation: Explanation) -> Iterator[str]:
+    yield _format_line("document", f"version {explanation.document_version}")
+    yield _format_line(
+        "caller", _format_name(explanation.caller, explanation.caller_labels)
+    )
+    yield _format_line("organisation", _format_organisation(explanation))
+    yield _format_line(
+        "operation", _format_name(explanation.operation, explanation.operation_labels)
     )
-    yield _line("identity", _IDENTITY_TEXTS[explanation.identity])
+    yield _format_line("identity", _IDENTITY_TEXTS[explanation.identity])
     yield ""
-    for trial in explanation.classes:
-        yield from _class_lines(trial)
+    for result in explanation.classes:
+        yield from _format_class(result)
     yield ""
-    for trial in explanation.non_repeatable:
-        yield _line("non-repeatable", _tried(trial))
-    yield _line("class", explanation.class_name)
-    yield _line("repeatable", "yes" if explanation.repeatable else "no, at most once")
-    yield _line("deadline", f"{explanation.deadline_ms} ms")
-    yield _line("retries", f"at most {explanation.allowance} in the whole call chain")
+    for result in explanation.non_repeatable:
+        yield _format_line("non-repeatable", _format_selector(result))
+    yield _format_line("class", explanation.class_name)
+    yield _format_line(
+        "repeatable", "yes" if explanation.repeatable else "no, at most once"
+    )
+    yield _format_line("deadline", f"{explanation.deadline_ms} ms")
+    yield _format_line(
+        "retries", f"at most {explanation.allowance} in the whole call chain"
+    )
 
 
-def _organisation(explanation: Explanation) -> str:
+def _format_organisation(explanation: Explanation) -> str:
     labels = explanation.organisation_labels
     if explanation.organisation or explanation.effective_organisation is None:
-        return _named(explanation.organisation, labels)
-    return f"{_named(explanation.effective_organisation, labels)}, the caller's own"
+        return _format_name(explanation.organisation, labels)
+    return (
+        f"{_format_name(explanation.effective_organisation, labels)}, the caller's own"
+    )
 
 
-def _class_lines(trial: ClassTrial) -> Iterator[str]:
-    yield f"class {trial.order} {trial.name}: {_verdict(trial.matched)}"
+def _format_class(result: ClassTrial) -> Iterator[str]:
+    yield f"class {result.order} {result.name}: {_format_match(result.matched)}"
     for name, selector in (
-        ("organisations", trial.organisations),
-        ("callers", trial.callers),
-        ("operations", trial.operations),
+        ("organisations", result.organisations),
+        ("callers", result.callers),
+        ("operations", result.operations),
     ):
         if selector.requirements:
-            yield f"  {_line(name, _tried(selector))}"
+            yield f"  {_format_line(name, _format_selector(selector))}"
 
 
-def _line(label: str, text: str) -> str:
-    return f"{label:<{_LABEL_WIDTH}} {text}"
+def _format_line(heading: str, text: str) -> str:
+    return f"{heading:<{_HEADING_WIDTH}} {text}"
 
 
-def _named(name: str, labels: Mapping[str, str]) -> str:
+def _format_name(name: str, labels: Mapping[str, str]) -> str:
     text = ", ".join(f"{key}={value}" for key, value in sorted(labels.items()))
     return f"{name or '(none)'} [{text or 'no labels'}]"
 
 
-def _tried(trial: SelectorTrial) -> str:
+def _format_selector(result: SelectorTrial) -> str:
     parts = "; ".join(
-        f"{part.requirement}: {_verdict(part.matched)}" for part in trial.requirements
+        f"{part.requirement}: {_format_match(part.matched)}"
+        for part in result.requirements
     )
     return parts or "(matches all)"
 
 
-def _verdict(matched: bool) -> str:
+def _format_match(matched: bool) -> str:
     return "matched" if matched else "no match"
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
@@ -1,4 +1,4 @@
-"""Asking nodes for what they say of themselves, many at once."""
+"""HTTP client that fetches status and burn reports from many nodes concurrently."""
 
 import asyncio
 import os
@@ -21,34 +21,34 @@
 from sassafraswinch_node.settings import Address, parse_address
 
 TIMEOUT_MS = 2_000
-"""Time for one node's answer, connecting included."""
+"""Default timeout of a request to a node or the platform, including connecting."""
 
-ASKED_AT_ONCE = 64
-"""Nodes with a request under way; keeps far below a shell's limit of open files."""
+MAX_CONCURRENT_REQUESTS = 64
+"""Bound on open connections, well below a shell's usual limit of open files."""
 
-MAX_ANSWER_BYTES = 8_000_000
-"""Longest answer read from a node or from the platform."""
+MAX_NODE_RESPONSE_BYTES = 8_000_000
+"""Longest response body accepted from a node or from the platform."""
 
 HTTP_OK = 200
 
-Said = TypeVar("Said", Status, BurnReport)
+ResultT = TypeVar("ResultT", Status, BurnReport)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Reply(Generic[Said]):
-    """What one node said, or why it said nothing that can be used."""
+class Reply(Generic[ResultT]):
+    """Parsed response of one node, or the reason why there is none."""
 
     address: Address
-    said: Said | None = None
+    said: ResultT | None = None
     error: str = ""
 
 
 class UnreachableError(SassafraswinchError):
-    """The platform gave no list of hosts.
+    """The platform's list of hosts could not be fetched.
 
     Attributes:
-        url: the platform's URL.
-        reason: what happened.
+        url: URL of the platform.
+        reason: Description of the failure.
     """
 
     def __init__(self, *, url: str, reason: str):
@@ -60,38 +60,40 @@
 async def ask_statuses(
     addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
 ) -> list[Reply[Status]]:
-    """Ask nodes for their status; replies come in the order of the addresses."""
-    return await _ask_all(addresses, "/status", parse_status, timeout_ms)
+    """Fetch the status of nodes; replies are in the order of the addresses."""
+    return await _fetch_all(addresses, "/status", parse_status, timeout_ms)
 
 
 async def ask_burns(
     addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
 ) -> list[Reply[BurnReport]]:
-    """Ask nodes for their burn report, as ``ask_statuses`` does."""
-    return await _ask_all(addresses, "/burn", parse_report, timeout_ms)
+    """Fetch burn reports of nodes; replies are in the order of the addresses."""
+    return await _fetch_all(addresses, "/burn", parse_report, timeout_ms)
 
 
 async def list_operators_addresses(
     platform_url: str, *, timeout_ms: float = TIMEOUT_MS
 ) -> list[Address]:
-    """Return the operators' addresses of all hosts on the platform's list.
+    """Return the addresses of the operators' endpoints of all hosts on the platform.
 
     Args:
-        platform_url: such as ``http://10.0.0.1:8080``; the host is an IP number.
-        timeout_ms: time for the answer.
+        platform_url: URL such as ``http://10.0.0.1:8080``; its host is an IP address.
+        timeout_ms: Timeout of the request.
 
     Raises:
-        InvalidFieldsError: the URL or the list is wrong.
-        UnreachableError: the platform gave no answer, or not this one.
+        InvalidFieldsError: The URL or the list of hosts is invalid.
+        UnreachableError: The platform did not respond, or responded with an error.
     """
     platform = _parse_url(platform_url)
     try:
-        body = await _get(platform, "/v1/hosts", timeout_ms)
+        body = await _http_get(platform, "/v1/hosts", timeout_ms)
     except (HttpClientError, ValueError) as error:
-        raise UnreachableError(url=platform_url, reason=_detail(error)) from error
-    entries = parse_record(_HOST_LIST, body, source=platform_url)
+        raise UnreachableError(
+            url=platform_url, reason=_describe_error(error)
+        ) from error
+    hosts = parse_record(_HOST_LIST_ADAPTER, body, source=platform_url)
     return sorted(
-        {parse_address(entry.operators) for entry in entries},
+        {parse_address(host.operators) for host in hosts},
         key=lambda address: (address.ip, address.port),
     )
 
@@ -106,7 +108,7 @@
     operators: Annotated[str, AfterValidator(_check_address)]
 
 
-_HOST_LIST = TypeAdapter(list[_ListedHost])
+_HOST_LIST_ADAPTER = TypeAdapter(list[_ListedHost])
 
 
 def _parse_url(text: str) -> Address:
@@ -117,57 +119,59 @@
         return Address(ip=parts.hostname, port=parts.port or 80)
     except ValueError as error:
         fault = InvalidFieldError(source=text, field="(URL)", reason=str(error))
-        raise InvalidFieldsError(f"{text} is no URL", [fault]) from error
+        raise InvalidFieldsError(
+            f"{text} is not a valid platform URL", [fault]
+        ) from error
 
 
-async def _ask_all(
+async def _fetch_all(
     addresses: Sequence[Address],
-    target: str,
-    parse: Callable[..., Said],
+    path: str,
+    parse: Callable[..., ResultT],
     timeout_ms: float,
-) -> list[Reply[Said]]:
-    turns = asyncio.Semaphore(ASKED_AT_ONCE)
+) -> list[Reply[ResultT]]:
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def ask(address: Address) -> Reply[Said]:
-        async with turns:
-            return await _ask(address, target, parse, timeout_ms)
+    async def fetch(address: Address) -> Reply[ResultT]:
+        async with semaphore:
+            return await _fetch(address, path, parse, timeout_ms)
 
-    return await asyncio.gather(*map(ask, addresses))
+    return await asyncio.gather(*map(fetch, addresses))
 
 
-async def _ask(
-    address: Address, target: str, parse: Callable[..., Said], timeout_ms: float
-) -> Reply[Said]:
+async def _fetch(
+    address: Address, path: str, parse: Callable[..., ResultT], timeout_ms: float
+) -> Reply[ResultT]:
     try:
-        body = await _get(address, target, timeout_ms)
+        body = await _http_get(address, path, timeout_ms)
         return Reply(address=address, said=parse(body, source=str(address)))
     except InvalidFieldsError as group:
         first = group.exceptions[0]
-        error = f"not a node's answer: {first.field}: {first.reason}"
+        error = f"invalid response: {first.field}: {first.reason}"
         return Reply(address=address, error=error)
     except (HttpClientError, ValueError) as error:
-        return Reply(address=address, error=_detail(error))
+        return Reply(address=address, error=_describe_error(error))
 
 
-async def _get(address: Address, target: str, timeout_ms: float) -> bytes:
+async def _http_get(address: Address, path: str, timeout_ms: float) -> bytes:
     client = HttpClient(
         ip=address.ip,
         port=address.port,
         max_connections=1,
-        max_answer_bytes=MAX_ANSWER_BYTES,
+        max_answer_bytes=MAX_NODE_RESPONSE_BYTES,
     )
     try:
-        answer = await client.request(
-            method="GET", target=target, timeout_ms=timeout_ms
+        response = await client.request(
+            method="GET", target=path, timeout_ms=timeout_ms
         )
     finally:
         await client.close()
-    if answer.status != HTTP_OK:
-        raise ValueError(f"status {answer.status} for {target}")
-    return answer.body
+    if response.status != HTTP_OK:
+        raise ValueError(f"HTTP status {response.status} instead of 200 for {path}")
+    return response.body
 
 
-def _detail(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     cause = error.__cause__
     if isinstance(cause, OSError) and cause.errno:
         return os.strerror(cause.errno).lower()
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/output.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/output.py
@@ -1,4 +1,4 @@
-"""Results of commands on stdout and faults on stderr."""
+"""Output of the command line: results on stdout, errors on stderr."""
 
 import json
 import sys
@@ -12,44 +12,44 @@
 
 
 def print_lines(lines: Iterable[str]) -> None:
-    """Print lines without anything that a terminal would obey."""
+    """Print lines with terminal control characters replaced."""
     for line in lines:
         print(printable(line))
 
 
 def print_errors(errors: Iterable[Exception | str]) -> None:
-    """Print errors to stderr, a line each."""
+    """Print one line per error to stderr."""
     for error in errors:
         print(printable(error), file=sys.stderr)
 
 
 def print_json(fields: object) -> None:
-    """Print JSON for a script."""
+    """Print a value as indented JSON."""
     print(json.dumps(fields, indent=2))
 
 
-def check_fields(found: FileCheck) -> dict:
-    """Return a check as it goes to JSON."""
+def check_fields(result: FileCheck) -> dict:
+    """Return the JSON form of a file check."""
     return {
-        "kind": found.kind.value,
+        "kind": result.kind.value,
         "faults": [
-            {"field": fault.field, "reason": fault.reason} for fault in found.faults
+            {"field": fault.field, "reason": fault.reason} for fault in result.faults
         ],
         "cautions": [
             {"field": caution.field, "reason": caution.reason}
-            for caution in found.cautions
+            for caution in result.cautions
         ],
     }
 
 
 def status_fields(reply: Reply[Status]) -> dict:
-    """Return a node's reply as it goes to JSON; the status is null without one."""
-    said = json.loads(serialize_status(reply.said)) if reply.said else None
-    return {"address": str(reply.address), "status": said, "error": reply.error}
+    """Return the JSON form of a node's reply; the status is null after a failure."""
+    status = json.loads(serialize_status(reply.said)) if reply.said else None
+    return {"address": str(reply.address), "status": status, "error": reply.error}
 
 
 def burn_fields(fleet: FleetBurn) -> dict:
-    """Return the burn of many nodes as it goes to JSON."""
+    """Return the JSON form of the merged burn report and the unreachable nodes."""
     return {
         "report": json.loads(serialize_report(fleet.report)),
         "unreachable": [
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/porcelain.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/porcelain.py
@@ -1,4 +1,4 @@
-"""What operators can do, as functions; the command line only shows their results."""
+"""Python API of the operators' tool: the functions behind its commands."""
 
 import enum
 from collections.abc import Sequence
@@ -25,26 +25,26 @@
 )
 
 SETTINGS_FIELDS = frozenset({"host", "availability_zone", "entry", "egress", "backend"})
-"""A file with any of these at its top is taken for the settings of a node."""
+"""A file with any of these top-level fields is treated as the settings of a node."""
 
 MAX_SETTINGS_BYTES = 65_536
-"""A longer file is taken for a document: YAML of a megabyte takes seconds to load."""
+"""Longer files are treated as documents: loading 1 MB of YAML takes seconds."""
 
 
 class ExitCode(enum.IntEnum):
-    """How a command ended, for scripts."""
+    """Exit code of a command."""
 
     OK = 0
     PROBLEM = 1
-    """Done, and something needs an operator: an alert, a fault, a node not serving."""
+    """The command found a problem: an alert, a fault, or a node that is not serving."""
     BAD_INPUT = 2
-    """Nothing was done: a wrong argument, or a file with faults."""
+    """Nothing was done because an argument was invalid or a file has faults."""
     UNREACHABLE = 3
-    """A node, or the platform, gave no answer; the rest was shown."""
+    """A node or the platform did not respond; the remaining results were shown."""
 
 
 class FileKind(enum.Enum):
-    """What a file to check is meant to be."""
+    """Kind of a file to check."""
 
     DOCUMENT = "document"
     SETTINGS = "settings"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FileCheck:
-    """What a check of one file found."""
+    """Result of checking one file."""
 
     kind: FileKind
     faults: list[InvalidFieldError]
@@ -61,16 +61,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeList:
-    """Nodes to ask."""
+    """Addresses of the nodes that a command queries."""
 
     addresses: list[Address]
     list_error: str = ""
-    """Why the platform's list isn't among them, if it was asked for."""
+    """Reason why the platform's list could not be fetched; empty if there is none."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetBurn:
-    """The burn of all nodes that answered, and those that didn't."""
+    """Merged burn report of the nodes that responded, and the nodes that did not."""
 
     report: BurnReport
     unreachable: list[Reply[BurnReport]]
@@ -80,10 +80,10 @@
     """Check a document or the settings of a node.
 
     Args:
-        path: the file; which of the two it is shows in its top fields.
+        path: File to check; its top-level fields determine its kind.
 
     Returns:
-        All faults; cautions only for a document without faults.
+        All faults, and the cautions for a document without faults.
     """
     kind = find_kind(path)
     if kind is FileKind.SETTINGS:
@@ -94,14 +94,14 @@
 
 
 def find_kind(path: Path) -> FileKind:
-    """Return what a file is meant to be; a document where that can't be told."""
+    """Return the kind of a file, by default a document."""
     try:
         with path.open("rb") as file:
             body = file.read(MAX_SETTINGS_BYTES + 1)
-        top = yaml.safe_load(body) if len(body) <= MAX_SETTINGS_BYTES else None
+        content = yaml.safe_load(body) if len(body) <= MAX_SETTINGS_BYTES else None
     except (OSError, ValueError, RecursionError, yaml.YAMLError):
         return FileKind.DOCUMENT
-    fields = set(top) if isinstance(top, dict) else set()
+    fields = set(content) if isinstance(content, dict) else set()
     if fields.isdisjoint(SETTINGS_FIELDS):
         return FileKind.DOCUMENT
     return FileKind.SETTINGS
@@ -118,36 +118,39 @@
 def explain(
     path: Path, *, caller: str, organisation: str, operation: str
 ) -> Explanation:
-    """Explain what a document says about one request.
+    """Explain how a document classifies one request.
 
     Args:
-        path: the document.
-        caller: name of the caller.
-        organisation: name of the organisation.
-        operation: name of the operation, or a request line such as
+        path: Document file.
+        caller: Name of the caller.
+        organisation: Name of the organisation.
+        operation: Name of the operation, or method and URL path of a request, such as
             ``POST /schvaleni/orders/7/approval``.
 
     Raises:
-        InvalidFieldsError: the document has faults.
-        UnknownOperationError: it has no such operation.
+        InvalidFieldsError: The document has faults.
+        UnknownOperationError: The document has no such operation.
     """
     return explain_request(read_document(path), caller, organisation, operation)
 
 
 async def find_nodes(
-    texts: Sequence[str], *, platform_url: str | None, timeout_ms: float = TIMEOUT_MS
+    address_texts: Sequence[str],
+    *,
+    platform_url: str | None,
+    timeout_ms: float = TIMEOUT_MS,
 ) -> NodeList:
-    """Return the operators' addresses of nodes, those given and those listed.
+    """Return the addresses of the operators' endpoints of nodes.
 
     Args:
-        texts: each ``ip:port``.
-        platform_url: also take all hosts that this platform lists.
-        timeout_ms: time for the platform's answer.
+        address_texts: Addresses to include, each ``ip:port``.
+        platform_url: Platform whose listed hosts are included too; None for no list.
+        timeout_ms: Timeout of the request to the platform.
 
     Raises:
-        InvalidFieldsError: an address, the URL or the list is wrong.
+        InvalidFieldsError: An address, the URL or the list of hosts is invalid.
     """
-    given = _parse_addresses(texts)
+    given = _parse_addresses(address_texts)
     if not platform_url:
         return NodeList(addresses=given)
     try:
@@ -157,9 +160,9 @@
     return NodeList(addresses=list(dict.fromkeys([*given, *listed])))
 
 
-def _parse_addresses(texts: Sequence[str]) -> list[Address]:
+def _parse_addresses(address_texts: Sequence[str]) -> list[Address]:
     addresses, faults = [], []
-    for text in texts:
+    for text in address_texts:
         try:
             addresses.append(parse_address(text))
         except ValueError as error:
@@ -167,21 +170,21 @@
                 InvalidFieldError(source=text, field="(address)", reason=str(error))
             )
     if faults:
-        raise InvalidFieldsError("wrong addresses", faults)
+        raise InvalidFieldsError("invalid node addresses", faults)
     return addresses
 
 
 async def status(
     addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
 ) -> list[Reply[Status]]:
-    """Return the status of each node, or why there is none."""
+    """Return a reply for each node with its status, or with an error."""
     return await ask_statuses(addresses, timeout_ms=timeout_ms)
 
 
 async def burn(
     addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
 ) -> FleetBurn:
-    """Return the burn of all nodes together."""
+    """Return the merged burn report of the nodes."""
     replies = await ask_burns(addresses, timeout_ms=timeout_ms)
     return FleetBurn(
         report=merge_reports([reply.said for reply in replies if reply.said]),
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/status_text.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/status_text.py
@@ -1,4 +1,4 @@
-"""Statuses of nodes as text, and the problems that they show."""
+"""Text rendering of node statuses, and detection of problems in them."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -8,7 +8,7 @@
 from sassafraswinch_tool.porcelain import NodeList
 from sassafraswinch_tool.tables import format_table, printable
 
-HEADS = (
+HEADERS = (
     "host",
     "zone",
     "service",
@@ -31,22 +31,27 @@
 def render_statuses(
     replies: Sequence[Reply[Status]], *, details: bool = True
 ) -> list[str]:
-    """Return a table of the nodes, details if there is one only, and problems."""
+    """Return a table of the nodes, the nodes that did not respond, and problems.
+
+    Args:
+        replies: Reply of each node.
+        details: Whether to add details of the node if there is only one.
+    """
     if not replies:
         return ["no nodes"]
     statuses = [reply.said for reply in replies if reply.said]
     lines = []
     if statuses:
-        lines += format_table(HEADS, map(_row, statuses))
+        lines += format_table(HEADERS, map(_format_row, statuses))
     if details and len(replies) == 1 and statuses:
-        lines += _details(statuses[0])
+        lines += _format_details(statuses[0])
     lines += render_unreachable(replies)
     lines += [printable(f"problem: {problem}") for problem in find_problems(statuses)]
     return lines
 
 
 def render_unreachable(replies: Iterable[Reply]) -> list[str]:
-    """Return a line for each node that gave no answer."""
+    """Return a line for each node that did not respond."""
     return [
         printable(f"{reply.address}  unreachable: {reply.error}")
         for reply in replies
@@ -55,14 +60,14 @@
 
 
 def render_list_error(nodes: NodeList) -> list[str]:
-    """Return a line if the platform gave no list of hosts."""
+    """Return a line if the platform's list of hosts could not be fetched."""
     if not nodes.list_error:
         return []
     return [printable(f"platform unreachable: {nodes.list_error}")]
 
 
 def find_problems(statuses: Sequence[Status]) -> list[str]:
-    """Return what an operator should look into, in words."""
+    """Return a description of each problem that needs an operator's attention."""
     problems = [
         f"{status.host} is {status.state}"
         for status in statuses
@@ -73,31 +78,35 @@
         for status in statuses
         for fault in status.document_faults
     ]
-    return problems + _differing_documents(statuses)
+    return problems + _find_document_mismatch(statuses)
 
 
-def _differing_documents(statuses: Sequence[Status]) -> list[str]:
+def _find_document_mismatch(statuses: Sequence[Status]) -> list[str]:
     hosts = defaultdict(list)
     for status in statuses:
         hosts[status.document_version, status.document_digest].append(status.host)
     if len(hosts) < 2:
         return []
     groups = [
-        f"{version} ({digest or 'no digest'}) on {_some(names)}"
+        f"{version} ({digest or 'no digest'}) on {_abbreviate_list(names)}"
         for (version, digest), names in sorted(hosts.items())
     ]
     return [f"documents in force differ: {'; '.join(groups)}"]
 
 
-def _some(names: list[str], most: int = 4) -> str:
-    shown = ", ".join(names[:most])
-    return f"{shown} and {len(names) - most} more" if len(names) > most else shown
+def _abbreviate_list(names: list[str], max_shown: int = 4) -> str:
+    shown = ", ".join(names[:max_shown])
+    return (
+        f"{shown} and {len(names) - max_shown} more"
+        if len(names) > max_shown
+        else shown
+    )
 
 
-def _row(status: Status) -> tuple[object, ...]:
+def _format_row(status: Status) -> tuple[object, ...]:
     threshold = status.threshold
     rank = f"{threshold.class_order}.{threshold.level}" if threshold else "-"
-    up = sum(link.state == "up" for link in status.links)
+    links_up = sum(link.state == "up" for link in status.links)
     return (
         status.host,
         status.availability_zone,
@@ -111,14 +120,17 @@
         f"{status.queue_delay_ms:.1f}",
         rank,
         status.owned_calls,
-        f"{up}/{len(status.links)}",
+        f"{links_up}/{len(status.links)}",
         f"{status.cpu_percent:.1f}",
         f"{status.memory_mb:.0f}",
     )
 
 
 def format_age(age_ms: float) -> str:
-    """Return an age in its largest fitting unit, such as ``12s`` or ``3h``."""
+    """Return an age in the largest unit of which it has at least 2, such as ``3h``.
+
+    Ages below 2 minutes are in seconds, such as ``12s``.
+    """
     seconds = int(age_ms // 1000)
     for size, unit in ((86_400, "d"), (3_600, "h"), (60, "m")):
         if seconds >= 2 * size:
@@ -126,7 +138,7 @@
     return f"{seconds}s"
 
 
-def _details(status: Status) -> list[str]:
+def _format_details(status: Status) -> list[str]:
     lines = [
         "",
         f"incarnation {status.incarnation}",
@@ -134,22 +146,22 @@
         f"control {status.control_bytes_per_s:.0f} bytes/s",
     ]
     if status.links:
-        heads = ("link to", "state", "session", "silent ms")
+        headers = ("link to", "state", "session", "silent ms")
         rows = [
             (link.host, link.state, link.session, f"{link.silent_ms:.0f}")
             for link in status.links
         ]
-        lines += ["", *format_table(heads, rows)]
+        lines += ["", *format_table(headers, rows)]
     if status.hosts:
-        heads = ("host", "service", "zone", "state", "in flight", "delay ms")
-        lines += ["", *format_table(heads, map(_host_row, status.hosts))]
+        headers = ("host", "service", "zone", "state", "in flight", "delay ms")
+        lines += ["", *format_table(headers, map(_format_host_row, status.hosts))]
     if status.counters:
         rows = sorted(status.counters.items())
         lines += ["", *format_table(("since the start", "count"), rows)]
     return lines
 
 
-def _host_row(host) -> tuple[object, ...]:
+def _format_host_row(host) -> tuple[object, ...]:
     state = "leaving" if host.leaving else "linked" if host.linked else "not linked"
     return (
         host.name,
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/tables.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/tables.py
@@ -1,36 +1,36 @@
-"""Plain text tables for a terminal."""
+"""Plain-text tables for terminal output."""
 
 import re
 from collections.abc import Iterable, Sequence
 
-_NUMBER = re.compile(r"[0-9./]+[dhms]?|-")
+_NUMERIC_CELL = re.compile(r"[0-9./]+[dhms]?|-")
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def printable(text: object) -> str:
-    """Return text with every control character replaced.
+    """Return the text with each non-printable character replaced by ``?``.
 
-    Failure: a name in a document or an answer holds a terminal's escape sequence,
-    and showing it hides lines or changes what the operator types next.
+    Names in documents and responses are untrusted: an escape sequence in one could
+    make the terminal hide lines or alter the operator's next input.
     """
     return "".join(char if char.isprintable() else "?" for char in str(text))
 
 
-def format_table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Return lines with aligned columns: numbers to the right, others to the left.
+def format_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
+    """Return the lines of a table, numeric columns right-aligned and others left.
 
     Args:
-        heads: names of the columns.
-        rows: as many cells each.
+        headers: Column headers.
+        rows: Rows, each with one cell per column.
     """
-    cells = [list(map(printable, row)) for row in (heads, *rows)]
-    columns = [_aligned(column) for column in zip(*cells, strict=True)]
-    return [GAP.join(row).rstrip() for row in zip(*columns, strict=True)]
+    cells = [list(map(printable, row)) for row in (headers, *rows)]
+    columns = [_align(column) for column in zip(*cells, strict=True)]
+    return [COLUMN_SEPARATOR.join(row).rstrip() for row in zip(*columns, strict=True)]
 
 
-def _aligned(column: Sequence[str]) -> list[str]:
+def _align(column: Sequence[str]) -> list[str]:
     width = max(map(len, column))
-    if all(map(_NUMBER.fullmatch, column[1:])):
+    if all(map(_NUMERIC_CELL.fullmatch, column[1:])):
         return [cell.rjust(width) for cell in column]
     return [cell.ljust(width) for cell in column]
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/watch.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/watch.py
@@ -1,4 +1,4 @@
-"""A live view of nodes that is drawn again and again."""
+"""Live view of nodes, refreshed at an interval."""
 
 import asyncio
 import itertools
@@ -12,48 +12,53 @@
 from sassafraswinch_tool.status_text import render_list_error, render_statuses
 
 CLEAR = "\x1b[H\x1b[J"
-"""Moves a terminal's cursor to the top left and clears all below."""
+"""Escape sequence that moves the cursor to the top left and clears the screen."""
 
-SERIES_SHOWN = 12
-"""Series that burn fastest; more would push the nodes off the screen."""
+MAX_SERIES_SHOWN = 12
+"""Number of series with the highest burn rates; more would push the node table
+off the screen."""
 
-SHORTEST_INTERVAL_MS = 100
-"""Two views a second are more than an eye follows; nodes needn't pay for ten."""
+MIN_INTERVAL_MS = 100
+"""Limits the load of requests on the nodes to 10 views per second; an operator cannot
+follow even 2 per second."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class View:
-    """What one round showed."""
+    """One rendered refresh of the live view."""
 
     lines: list[str]
     complete: bool
-    """Whether the platform and all nodes answered."""
+    """Whether the platform, if one was given, and all nodes responded."""
 
 
 class FleetWatch:
-    """Takes views of the nodes that are given and of those that a platform lists."""
+    """Source of views of the given nodes and of the nodes that a platform lists."""
 
     def __init__(
         self, *, texts: Sequence[str], platform_url: str | None, timeout_ms: float
     ):
-        self._texts = texts
+        self._address_texts = texts
         self._platform_url = platform_url
         self._timeout_ms = timeout_ms
-        self._last: list[Address] = []
+        self._last_addresses: list[Address] = []
 
     async def take(self) -> View:
-        """Ask all nodes once for status and burn.
+        """Fetch status and burn report of all nodes, and render them.
 
-        Failure: the platform is down just when the operators watch for the effects
-        of that. The last list that it gave serves on, and the view says so.
+        If the platform's list of hosts can't be fetched, the nodes of the previous
+        view are shown again, together with the error, because operators need the
+        view most during an outage of the platform.
         """
         nodes = await porcelain.find_nodes(
-            self._texts, platform_url=self._platform_url, timeout_ms=self._timeout_ms
+            self._address_texts,
+            platform_url=self._platform_url,
+            timeout_ms=self._timeout_ms,
         )
         addresses = nodes.addresses
         if nodes.list_error:
-            addresses = list(dict.fromkeys([*addresses, *self._last]))
-        self._last = addresses
+            addresses = list(dict.fromkeys([*addresses, *self._last_addresses]))
+        self._last_addresses = addresses
         replies, fleet = await asyncio.gather(
             porcelain.status(addresses, timeout_ms=self._timeout_ms),
             porcelain.burn(addresses, timeout_ms=self._timeout_ms),
@@ -62,26 +67,26 @@
             *render_list_error(nodes),
             *render_statuses(replies, details=False),
             "",
-            *render_burn(fleet.report, most=SERIES_SHOWN),
+            *render_burn(fleet.report, most=MAX_SERIES_SHOWN),
         ]
         unanswered = any(reply.said is None for reply in replies)
         return View(lines=lines, complete=not (unanswered or nodes.list_error))
 
 
 async def watch(
-    take: Callable[[], Awaitable[View]],
+    fetch_view: Callable[[], Awaitable[View]],
     *,
     stream: TextIO,
     count: int | None,
     interval_ms: float,
 ) -> View:
-    """Draw views until ``count`` is reached or the task is cancelled.
+    """Write views to a stream until ``count`` is reached or the task is cancelled.
 
     Args:
-        take: takes one view.
-        stream: cleared before each view if it is a terminal.
-        count: views to draw; None for no end.
-        interval_ms: from the end of one view to the start of the next.
+        fetch_view: Fetches and renders one view.
+        stream: Output stream; if it is a terminal, it is cleared before each view.
+        count: Number of views to write; None for no limit.
+        interval_ms: Time from the end of one view to the start of the next.
 
     Returns:
         The last view.
@@ -90,14 +95,14 @@
         ValueError: ``count`` or ``interval_ms`` is too small.
     """
     if count is not None and count < 1:
-        raise ValueError(f"count is {count}; at least 1 is needed")
-    if interval_ms < SHORTEST_INTERVAL_MS:
-        raise ValueError(f"an interval is at least {SHORTEST_INTERVAL_MS} ms")
-    rounds = itertools.count(1) if count is None else range(1, count + 1)
-    for number in rounds:
-        view = await take()
-        head = CLEAR if stream.isatty() else "\n" * (number > 1)
-        print(head + "\n".join(view.lines), file=stream, flush=True)
+        raise ValueError(f"count is {count}, but must be at least 1")
+    if interval_ms < MIN_INTERVAL_MS:
+        raise ValueError(f"interval must be at least {MIN_INTERVAL_MS} ms")
+    numbers = itertools.count(1) if count is None else range(1, count + 1)
+    for number in numbers:
+        view = await fetch_view()
+        prefix = CLEAR if stream.isatty() else "\n" * (number > 1)
+        print(prefix + "\n".join(view.lines), file=stream, flush=True)
         if number != count:
             await asyncio.sleep(interval_ms / 1000)
     return view
--- a/packages/sassafraswinch-tool/tests/conftest.py
+++ b/packages/sassafraswinch-tool/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small fleet of operators' endpoints, served from a thread."""
+"""Fixture of two stub nodes and a stub platform, served over HTTP by a thread."""
 
 import asyncio
 import dataclasses
@@ -32,8 +32,8 @@
 )
 
 
-class Node:
-    """What one endpoint shows."""
+class StubNode:
+    """State behind the operators' endpoint of one stub node."""
 
     def __init__(self, host):
         self.status = dataclasses.replace(STATUS, host=host)
@@ -41,10 +41,10 @@
         objective = Objective(answered_percent=99.0, latency_ms=100.0)
         self.recorder.set_objectives({"paying": objective}, document_version=3)
 
-    def change(self, **fields):
+    def update_status(self, **fields):
         self.status = dataclasses.replace(self.status, **fields)
 
-    def record(self, *, good=0, refused=0, operation="approve"):
+    def record_calls(self, *, good=0, refused=0, operation="approve"):
         outcomes = [(Verdict.ANSWERED, None)] * good
         outcomes += [(Verdict.NOT_RUN, Reason.OVERLOADED)] * refused
         for verdict, reason in outcomes:
@@ -58,22 +58,25 @@
             )
 
 
-class Fleet:
-    """Two nodes, a dead address, and a platform that lists all three."""
+class StubFleet:
+    """Two stub nodes, an address without a listener, and a platform that lists all."""
 
     def __init__(self):
-        self.one, self.two = Node("brno-a-1"), Node("brno-b-1")
-        self.list_status = 200
+        self.first, self.second = StubNode("brno-a-1"), StubNode("brno-b-1")
+        self.host_list_http_status = 200
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever)
-        self._listeners = [self._listener(self._app(n)) for n in (self.one, self.two)]
+        self._listeners = [
+            self._make_listener(self._make_app(node))
+            for node in (self.first, self.second)
+        ]
         self.addresses = [str(listener.address) for listener in self._listeners]
         unused = bind(parse_address("127.0.0.1:0"))
-        self.dead = f"127.0.0.1:{unused.getsockname()[1]}"
+        self.closed_address = f"127.0.0.1:{unused.getsockname()[1]}"
         unused.close()
-        platform = Starlette(routes=[Route("/v1/hosts", self._hosts)])
-        self._listeners.append(self._listener(platform))
-        self.platform = f"http://{self._listeners[-1].address}"
+        platform = Starlette(routes=[Route("/v1/hosts", self._list_hosts)])
+        self._listeners.append(self._make_listener(platform))
+        self.platform_url = f"http://{self._listeners[-1].address}"
 
     def start(self):
         self._thread.start()
@@ -91,23 +94,25 @@
         asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(10)
 
     @staticmethod
-    def _listener(app):
+    def _make_listener(app):
         return HttpListener(app=app, address=parse_address("127.0.0.1:0"))
 
     @staticmethod
-    def _app(node):
+    def _make_app(node):
         return operators_app(
             status=lambda: node.status, burn=lambda: node.recorder.report(HOUR_MS)
         )
 
-    async def _hosts(self, request):
-        listed = [{"operators": address} for address in (*self.addresses, self.dead)]
-        return JSONResponse(listed, status_code=self.list_status)
+    async def _list_hosts(self, request):
+        hosts = [
+            {"operators": address} for address in (*self.addresses, self.closed_address)
+        ]
+        return JSONResponse(hosts, status_code=self.host_list_http_status)
 
 
 @pytest.fixture
 def fleet():
-    fleet = Fleet()
+    fleet = StubFleet()
     fleet.start()
     yield fleet
     fleet.stop()
--- a/packages/sassafraswinch-tool/tests/test_check.py
+++ b/packages/sassafraswinch-tool/tests/test_check.py
@@ -1,4 +1,4 @@
-"""Tests of checks before publishing."""
+"""Tests of the checks of a document file."""
 
 from pathlib import Path
 
@@ -30,9 +30,10 @@
 
 
 def test_misspelt_value_of_a_selector_is_a_caution(tmp_path):
-    """An operator writes 'relase' in the selector of what runs at most once.
+    """A misspelt label value in ``non_repeatable`` gives a caution.
 
-    The document is valid, and releases may be repeated from then on.
+    With 'relase' in place of 'release' the document is still valid, but releases,
+    which must run at most once, may be retried.
     """
     path = tmp_path / "document.yaml"
     text = (EXAMPLES / "brno.yaml").read_text()
--- a/packages/sassafraswinch-tool/tests/test_explain.py
+++ b/packages/sassafraswinch-tool/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of explanations as operators and scripts see them."""
+"""Tests of the explanation of a request as text and as JSON."""
 
 import json
 from pathlib import Path
@@ -16,7 +16,7 @@
 DOCUMENT = read_document(Path(__file__).parents[3] / "examples" / "reykjavik.yaml")
 
 
-def test_text_shows_labels_selectors_and_bounds():
+def test_text_shows_labels_selectors_and_limits():
     found = explain_request(DOCUMENT, "tablet-selfoss-2", "", "declare-rest")
     lines = render_text(found).splitlines()
     assert "caller         tablet-selfoss-2 [role=cab-tablet]" in lines
@@ -31,7 +31,7 @@
     assert "deadline       3000 ms" in lines
 
 
-def test_json_has_the_same_facts():
+def test_json_has_the_fields_of_the_explanation():
     found = explain_request(
         DOCUMENT, "tablet-selfoss-2", "nordurleid", "GET /cab-clock/drivers/5/clock"
     )
@@ -43,7 +43,7 @@
     assert data["repeatable"] is True
 
 
-def test_unknown_operation_names_similar_ones():
+def test_unknown_operation_error_lists_similar_operations():
     with pytest.raises(UnknownOperationError) as caught:
         explain_request(DOCUMENT, "", "", "declare-rset")
     assert caught.value.similar[0] == "declare-rest"
--- a/packages/sassafraswinch-tool/tests/test_labels_page.py
+++ b/packages/sassafraswinch-tool/tests/test_labels_page.py
@@ -1,4 +1,4 @@
-"""The examples of docs/LABELS.md hold."""
+"""Tests that the code behaves as the examples in docs/LABELS.md state."""
 
 import re
 from pathlib import Path
@@ -15,37 +15,39 @@
 DOCUMENT = parse_document(DOCUMENT_TEXT.encode(), source="LABELS.md")
 
 
-def rows(header):
+def table_rows(header):
     table = PAGE[PAGE.index(f"| {header} |") :].split("\n\n")[0]
     cells = [line.strip("| ").split(" | ") for line in table.splitlines()[2:]]
     assert cells
     return [[cell.strip("`") for cell in row] for row in cells]
 
 
-def absent(cell):
+def cell_value(cell):
     return "" if cell in ("(none)", "(empty)") else cell
 
 
 @pytest.mark.parametrize(
-    ("selector", "labels", "matches"), rows("selector | labels | matches")
+    ("selector", "labels", "matches"), table_rows("selector | labels | matches")
 )
 def test_selectors(selector, labels, matches):
-    pairs = [part.split("=") for part in absent(labels).split(", ") if part]
-    matched = parse_selector(absent(selector)).matches(dict(pairs))
+    pairs = [part.split("=") for part in cell_value(labels).split(", ") if part]
+    matched = parse_selector(cell_value(selector)).matches(dict(pairs))
     assert matched == (matches == "yes")
 
 
 @pytest.mark.parametrize(
     ("caller", "organisation", "request_line", "class_name", "repeatable"),
-    rows("caller | organisation | request | class | repeatable"),
+    table_rows("caller | organisation | request | class | repeatable"),
 )
 def test_requests(caller, organisation, request_line, class_name, repeatable):
-    found = explain_request(DOCUMENT, caller, absent(organisation), request_line)
+    found = explain_request(DOCUMENT, caller, cell_value(organisation), request_line)
     assert found.class_name == class_name
     assert found.repeatable == (repeatable == "yes")
 
 
-@pytest.mark.parametrize(("line", "field", "reason"), rows("line | field | reason"))
+@pytest.mark.parametrize(
+    ("line", "field", "reason"), table_rows("line | field | reason")
+)
 def test_faults(line, field, reason):
     with pytest.raises(InvalidFieldsError) as caught:
         parse_document(line.encode(), source="LABELS.md")
@@ -54,7 +56,7 @@
     ]
 
 
-def test_every_field_is_on_the_page():
-    named = {cell for row in rows("field | meaning") for cell in row[:1]}
+def test_every_top_level_field_is_documented():
+    documented = {cell for row in table_rows("field | meaning") for cell in row[:1]}
     top = {"version", "identity", "organisations", "callers", "services"}
-    assert top | {"operations", "classes", "non_repeatable"} <= named
+    assert top | {"operations", "classes", "non_repeatable"} <= documented
--- a/packages/sassafraswinch-tool/tests/test_watch.py
+++ b/packages/sassafraswinch-tool/tests/test_watch.py
@@ -5,14 +5,14 @@
 from sassafraswinch_tool.watch import CLEAR, FleetWatch, View, watch
 
 
-async def test_view_outlives_an_outage_of_the_platform(fleet):
-    """The platform goes down while an operator watches the fleet.
+async def test_view_keeps_its_nodes_during_a_platform_outage(fleet):
+    """Nodes that the platform listed stay in the view if the platform fails.
 
-    The nodes it had listed serve on, and that is what the operator wants to see.
+    The nodes still serve during the outage, and operators need to see them then.
     """
-    fleet_watch = FleetWatch(texts=(), platform_url=fleet.platform, timeout_ms=5000)
+    fleet_watch = FleetWatch(texts=(), platform_url=fleet.platform_url, timeout_ms=5000)
     before = await fleet_watch.take()
-    fleet.list_status = 500
+    fleet.host_list_http_status = 500
     after = await fleet_watch.take()
     assert "platform unreachable" in after.lines[0]
     for line in before.lines:
@@ -20,8 +20,8 @@
     assert not after.complete
 
 
-async def test_a_terminal_is_cleared_before_each_view_and_a_file_is_not():
-    async def take():
+async def test_terminal_is_cleared_before_each_view_and_file_is_not():
+    async def fetch_view():
         return View(lines=["one", "two"], complete=True)
 
     class Terminal(io.StringIO):
@@ -32,5 +32,5 @@
         (Terminal(), f"{CLEAR}one\ntwo\n" * 2),
         (io.StringIO(), "one\ntwo\n\none\ntwo\n"),
     ):
-        await watch(take, stream=stream, count=2, interval_ms=100)
+        await watch(fetch_view, stream=stream, count=2, interval_ms=100)
         assert stream.getvalue() == text
