--- a/packages/sassafraswinch-tool/sassafraswinch_tool/burn_picture.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/burn_picture.py
@@ -6,9 +6,9 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
+from sassafraswinch.burn_format import format_rate, series_name
 from sassafraswinch.burn_report import BurnReport
 from sassafraswinch.burn_windows import BURN_WINDOWS_MS, window_name
-from sassafraswinch.burn_words import format_rate, series_name
 from sassafraswinch_node.burn_page import OUTCOME_COLOURS, rate_colour
 from sassafraswinch_tool.burn_text import SHARE_WINDOW_MS
 
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
@@ -1,14 +1,14 @@
 """Text rendering of a burn report for the terminal."""
 
-from sassafraswinch.burn_report import BurnReport, SeriesBurn
-from sassafraswinch.burn_windows import BURN_WINDOWS_MS, MINUTE_MS, window_name
-from sassafraswinch.burn_words import (
+from sassafraswinch.burn_format import (
     describe_alerts,
     format_objective,
     format_rate,
     format_reasons,
     series_name,
 )
+from sassafraswinch.burn_report import BurnReport, SeriesBurn
+from sassafraswinch.burn_windows import BURN_WINDOWS_MS, MINUTE_MS, window_name
 from sassafraswinch_tool.tables import format_table, printable
 
 SHARE_WINDOW_MS = 5 * MINUTE_MS
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/explain.py
@@ -9,7 +9,7 @@
 from sassafraswinch.classify import Classifier
 from sassafraswinch.document import Document, Operation
 from sassafraswinch.errors import SassafraswinchError
-from sassafraswinch.explanation import ClassTrial, Explanation, SelectorTrial
+from sassafraswinch.explanation import ClassResult, Explanation, SelectorResult
 from sassafraswinch.identities import IdentityState
 
 _HEADING_WIDTH = 14
@@ -64,7 +64,7 @@
     by_name = {operation.name: operation for operation in document.operations}
     method, _, url = text.partition(" ")
     service, _, path = url.strip().removeprefix("/").partition("/")
-    found = by_name.get(text) or classifier.operation(service, method, f"/{path}")
+    found = by_name.get(text) or classifier.find_operation(service, method, f"/{path}")
     if found is None:
         similar = difflib.get_close_matches(text, by_name)
         raise UnknownOperationError(operation=text, similar=tuple(similar))
@@ -122,7 +122,7 @@
     )
 
 
-def _format_class(result: ClassTrial) -> Iterator[str]:
+def _format_class(result: ClassResult) -> Iterator[str]:
     yield f"class {result.order} {result.name}: {_format_match(result.matched)}"
     for name, selector in (
         ("organisations", result.organisations),
@@ -142,7 +142,7 @@
     return f"{name or '(none)'} [{text or 'no labels'}]"
 
 
-def _format_selector(result: SelectorTrial) -> str:
+def _format_selector(result: SelectorResult) -> str:
     parts = "; ".join(
         f"{part.requirement}: {_format_match(part.matched)}"
         for part in result.requirements
