--- a/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
@@ -158,7 +158,7 @@
         ip=address.ip,
         port=address.port,
         max_connections=1,
-        max_answer_bytes=MAX_NODE_RESPONSE_BYTES,
+        max_response_bytes=MAX_NODE_RESPONSE_BYTES,
     )
     try:
         response = await client.request(
