--- a/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/burn_text.py
@@ -28,17 +28,17 @@
 )
 
 
-def render_burn(report: BurnReport, *, most: int | None = None) -> list[str]:
+def render_burn(report: BurnReport, *, max_series: int | None = None) -> list[str]:
     """Return a line per alert, followed by a table of the series.
 
     Args:
         report: Report of one node, or the merged report of several.
-        most: Maximum number of series to show, those with the highest burn rates
+        max_series: Maximum number of series to show, those with the highest burn rates
             first; None shows all in the order of the report.
     """
     series = list(report.series)
-    if most is not None:
-        series = sorted(series, key=current_burn_rate, reverse=True)[:most]
+    if max_series is not None:
+        series = sorted(series, key=current_burn_rate, reverse=True)[:max_series]
     lines = list(map(printable, describe_alerts(report)))
     if not series:
         return [*lines, "no calls in the last 6 hours"]
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/cli.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/cli.py
@@ -17,7 +17,7 @@
     render_json,
     render_text,
 )
-from sassafraswinch_tool.nodes import TIMEOUT_MS
+from sassafraswinch_tool.nodes import DEFAULT_TIMEOUT_MS
 from sassafraswinch_tool.output import (
     burn_fields,
     check_fields,
@@ -29,7 +29,7 @@
 from sassafraswinch_tool.porcelain import ExitCode, NodeList
 from sassafraswinch_tool.status_text import (
     find_problems,
-    render_list_error,
+    render_host_list_error,
     render_statuses,
     render_unreachable,
 )
@@ -106,7 +106,7 @@
     *addresses: str,
     hosts: str | None = None,
     json: bool = False,
-    timeout_ms: float = TIMEOUT_MS,
+    timeout_ms: float = DEFAULT_TIMEOUT_MS,
 ) -> int:
     """Show the status of nodes, with details if there is only one.
 
@@ -133,9 +133,9 @@
         print_json([status_fields(reply) for reply in replies])
     else:
         print_lines(render_statuses(replies))
-    if nodes.list_error or any(reply.said is None for reply in replies):
+    if nodes.host_list_error or any(reply.result is None for reply in replies):
         return ExitCode.UNREACHABLE
-    problems = find_problems([reply.said for reply in replies])
+    problems = find_problems([reply.result for reply in replies])
     return ExitCode.PROBLEM if problems or not replies else ExitCode.OK
 
 
@@ -147,7 +147,7 @@
     nodes = await porcelain.find_nodes(
         address_texts, platform_url=hosts, timeout_ms=timeout_ms
     )
-    print_errors(render_list_error(nodes))
+    print_errors(render_host_list_error(nodes))
     return nodes
 
 
@@ -157,7 +157,7 @@
     json: bool = False,
     html: Path | None = None,
     picture: Path | None = None,
-    timeout_ms: float = TIMEOUT_MS,
+    timeout_ms: float = DEFAULT_TIMEOUT_MS,
 ) -> int:
     """Show the combined service-level burn of nodes; docs/BURN.md explains it.
 
@@ -198,7 +198,7 @@
         from sassafraswinch_tool.burn_picture import draw_burn
 
         draw_burn(fleet.report, picture)
-    if nodes.list_error or fleet.unreachable:
+    if nodes.host_list_error or fleet.unreachable:
         return ExitCode.UNREACHABLE
     alerts = any(series.alerts for series in fleet.report.series)
     return ExitCode.PROBLEM if alerts else ExitCode.OK
@@ -209,7 +209,7 @@
     hosts: str | None = None,
     count: int | None = None,
     interval_ms: float = 1_000,
-    timeout_ms: float = TIMEOUT_MS,
+    timeout_ms: float = DEFAULT_TIMEOUT_MS,
 ) -> int:
     """Show a live view of the status and burn of nodes, until Ctrl-C.
 
@@ -227,9 +227,11 @@
     """
     if not addresses and not hosts:
         raise ValueError("no nodes specified: pass node addresses or --hosts")
-    fleet_watch = FleetWatch(texts=addresses, platform_url=hosts, timeout_ms=timeout_ms)
+    fleet_watch = FleetWatch(
+        address_texts=addresses, platform_url=hosts, timeout_ms=timeout_ms
+    )
     views = watch_views(
-        fleet_watch.take, stream=sys.stdout, count=count, interval_ms=interval_ms
+        fleet_watch.fetch_view, stream=sys.stdout, count=count, interval_ms=interval_ms
     )
     try:
         view = asyncio.run(views)
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/nodes.py
@@ -20,7 +20,7 @@
 from sassafraswinch_node.http_client import HttpClient, HttpClientError
 from sassafraswinch_node.settings import Address, parse_address
 
-TIMEOUT_MS = 2_000
+DEFAULT_TIMEOUT_MS = 2_000
 """Default timeout of a request to a node or the platform, including connecting."""
 
 MAX_CONCURRENT_REQUESTS = 64
@@ -39,11 +39,11 @@
     """Parsed response of one node, or the reason why there is none."""
 
     address: Address
-    said: ResultT | None = None
+    result: ResultT | None = None
     error: str = ""
 
 
-class UnreachableError(SassafraswinchError):
+class HostListError(SassafraswinchError):
     """The platform's list of hosts could not be fetched.
 
     Attributes:
@@ -57,22 +57,22 @@
         self.reason = reason
 
 
-async def ask_statuses(
-    addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
+async def fetch_statuses(
+    addresses: Sequence[Address], *, timeout_ms: float = DEFAULT_TIMEOUT_MS
 ) -> list[Reply[Status]]:
     """Fetch the status of nodes; replies are in the order of the addresses."""
     return await _fetch_all(addresses, "/status", parse_status, timeout_ms)
 
 
-async def ask_burns(
-    addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
+async def fetch_burn_reports(
+    addresses: Sequence[Address], *, timeout_ms: float = DEFAULT_TIMEOUT_MS
 ) -> list[Reply[BurnReport]]:
     """Fetch burn reports of nodes; replies are in the order of the addresses."""
     return await _fetch_all(addresses, "/burn", parse_report, timeout_ms)
 
 
-async def list_operators_addresses(
-    platform_url: str, *, timeout_ms: float = TIMEOUT_MS
+async def fetch_operator_addresses(
+    platform_url: str, *, timeout_ms: float = DEFAULT_TIMEOUT_MS
 ) -> list[Address]:
     """Return the addresses of the operators' endpoints of all hosts on the platform.
 
@@ -88,9 +88,7 @@
     try:
         body = await _http_get(platform, "/v1/hosts", timeout_ms)
     except (HttpClientError, ValueError) as error:
-        raise UnreachableError(
-            url=platform_url, reason=_describe_error(error)
-        ) from error
+        raise HostListError(url=platform_url, reason=_describe_error(error)) from error
     hosts = parse_record(_HOST_LIST_ADAPTER, body, source=platform_url)
     return sorted(
         {parse_address(host.operators) for host in hosts},
@@ -144,7 +142,7 @@
 ) -> Reply[ResultT]:
     try:
         body = await _http_get(address, path, timeout_ms)
-        return Reply(address=address, said=parse(body, source=str(address)))
+        return Reply(address=address, result=parse(body, source=str(address)))
     except InvalidFieldsError as group:
         first = group.exceptions[0]
         error = f"invalid response: {first.field}: {first.reason}"
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/output.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/output.py
@@ -44,7 +44,7 @@
 
 def status_fields(reply: Reply[Status]) -> dict:
     """Return the JSON form of a node's reply; the status is null after a failure."""
-    status = json.loads(serialize_status(reply.said)) if reply.said else None
+    status = json.loads(serialize_status(reply.result)) if reply.result else None
     return {"address": str(reply.address), "status": status, "error": reply.error}
 
 
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/porcelain.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/porcelain.py
@@ -16,12 +16,12 @@
 from sassafraswinch_tool.check import Caution, check_file, find_cautions, read_document
 from sassafraswinch_tool.explain import explain_request
 from sassafraswinch_tool.nodes import (
-    TIMEOUT_MS,
+    DEFAULT_TIMEOUT_MS,
+    HostListError,
     Reply,
-    UnreachableError,
-    ask_burns,
-    ask_statuses,
-    list_operators_addresses,
+    fetch_burn_reports,
+    fetch_operator_addresses,
+    fetch_statuses,
 )
 
 SETTINGS_FIELDS = frozenset({"host", "availability_zone", "entry", "egress", "backend"})
@@ -64,7 +64,7 @@
     """Addresses of the nodes that a command queries."""
 
     addresses: list[Address]
-    list_error: str = ""
+    host_list_error: str = ""
     """Reason why the platform's list could not be fetched; empty if there is none."""
 
 
@@ -138,7 +138,7 @@
     address_texts: Sequence[str],
     *,
     platform_url: str | None,
-    timeout_ms: float = TIMEOUT_MS,
+    timeout_ms: float = DEFAULT_TIMEOUT_MS,
 ) -> NodeList:
     """Return the addresses of the operators' endpoints of nodes.
 
@@ -154,9 +154,9 @@
     if not platform_url:
         return NodeList(addresses=given)
     try:
-        listed = await list_operators_addresses(platform_url, timeout_ms=timeout_ms)
-    except UnreachableError as error:
-        return NodeList(addresses=given, list_error=str(error))
+        listed = await fetch_operator_addresses(platform_url, timeout_ms=timeout_ms)
+    except HostListError as error:
+        return NodeList(addresses=given, host_list_error=str(error))
     return NodeList(addresses=list(dict.fromkeys([*given, *listed])))
 
 
@@ -175,18 +175,18 @@
 
 
 async def status(
-    addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
+    addresses: Sequence[Address], *, timeout_ms: float = DEFAULT_TIMEOUT_MS
 ) -> list[Reply[Status]]:
     """Return a reply for each node with its status, or with an error."""
-    return await ask_statuses(addresses, timeout_ms=timeout_ms)
+    return await fetch_statuses(addresses, timeout_ms=timeout_ms)
 
 
 async def burn(
-    addresses: Sequence[Address], *, timeout_ms: float = TIMEOUT_MS
+    addresses: Sequence[Address], *, timeout_ms: float = DEFAULT_TIMEOUT_MS
 ) -> FleetBurn:
     """Return the merged burn report of the nodes."""
-    replies = await ask_burns(addresses, timeout_ms=timeout_ms)
+    replies = await fetch_burn_reports(addresses, timeout_ms=timeout_ms)
     return FleetBurn(
-        report=merge_reports([reply.said for reply in replies if reply.said]),
-        unreachable=[reply for reply in replies if reply.said is None],
+        report=merge_reports([reply.result for reply in replies if reply.result]),
+        unreachable=[reply for reply in replies if reply.result is None],
     )
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/status_text.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/status_text.py
@@ -39,7 +39,7 @@
     """
     if not replies:
         return ["no nodes"]
-    statuses = [reply.said for reply in replies if reply.said]
+    statuses = [reply.result for reply in replies if reply.result]
     lines = []
     if statuses:
         lines += format_table(HEADERS, map(_format_row, statuses))
@@ -55,15 +55,15 @@
     return [
         printable(f"{reply.address}  unreachable: {reply.error}")
         for reply in replies
-        if reply.said is None
+        if reply.result is None
     ]
 
 
-def render_list_error(nodes: NodeList) -> list[str]:
+def render_host_list_error(nodes: NodeList) -> list[str]:
     """Return a line if the platform's list of hosts could not be fetched."""
-    if not nodes.list_error:
+    if not nodes.host_list_error:
         return []
-    return [printable(f"platform unreachable: {nodes.list_error}")]
+    return [printable(f"platform unreachable: {nodes.host_list_error}")]
 
 
 def find_problems(statuses: Sequence[Status]) -> list[str]:
--- a/packages/sassafraswinch-tool/sassafraswinch_tool/watch.py
+++ b/packages/sassafraswinch-tool/sassafraswinch_tool/watch.py
@@ -9,7 +9,7 @@
 from sassafraswinch_node.settings import Address
 from sassafraswinch_tool import porcelain
 from sassafraswinch_tool.burn_text import render_burn
-from sassafraswinch_tool.status_text import render_list_error, render_statuses
+from sassafraswinch_tool.status_text import render_host_list_error, render_statuses
 
 CLEAR = "\x1b[H\x1b[J"
 """Escape sequence that moves the cursor to the top left and clears the screen."""
@@ -36,14 +36,18 @@
     """Source of views of the given nodes and of the nodes that a platform lists."""
 
     def __init__(
-        self, *, texts: Sequence[str], platform_url: str | None, timeout_ms: float
+        self,
+        *,
+        address_texts: Sequence[str],
+        platform_url: str | None,
+        timeout_ms: float,
     ):
-        self._address_texts = texts
+        self._address_texts = address_texts
         self._platform_url = platform_url
         self._timeout_ms = timeout_ms
         self._last_addresses: list[Address] = []
 
-    async def take(self) -> View:
+    async def fetch_view(self) -> View:
         """Fetch status and burn report of all nodes, and render them.
 
         If the platform's list of hosts can't be fetched, the nodes of the previous
@@ -56,7 +60,7 @@
             timeout_ms=self._timeout_ms,
         )
         addresses = nodes.addresses
-        if nodes.list_error:
+        if nodes.host_list_error:
             addresses = list(dict.fromkeys([*addresses, *self._last_addresses]))
         self._last_addresses = addresses
         replies, fleet = await asyncio.gather(
@@ -64,13 +68,13 @@
             porcelain.burn(addresses, timeout_ms=self._timeout_ms),
         )
         lines = [
-            *render_list_error(nodes),
+            *render_host_list_error(nodes),
             *render_statuses(replies, details=False),
             "",
-            *render_burn(fleet.report, most=MAX_SERIES_SHOWN),
+            *render_burn(fleet.report, max_series=MAX_SERIES_SHOWN),
         ]
-        unanswered = any(reply.said is None for reply in replies)
-        return View(lines=lines, complete=not (unanswered or nodes.list_error))
+        unanswered = any(reply.result is None for reply in replies)
+        return View(lines=lines, complete=not (unanswered or nodes.host_list_error))
 
 
 async def watch(
--- a/packages/sassafraswinch-tool/tests/test_watch.py
+++ b/packages/sassafraswinch-tool/tests/test_watch.py
@@ -10,10 +10,12 @@
 
     The nodes still serve during the outage, and operators need to see them then.
     """
-    fleet_watch = FleetWatch(texts=(), platform_url=fleet.platform_url, timeout_ms=5000)
-    before = await fleet_watch.take()
+    fleet_watch = FleetWatch(
+        address_texts=(), platform_url=fleet.platform_url, timeout_ms=5000
+    )
+    before = await fleet_watch.fetch_view()
     fleet.host_list_http_status = 500
-    after = await fleet_watch.take()
+    after = await fleet_watch.fetch_view()
     assert "platform unreachable" in after.lines[0]
     for line in before.lines:
         assert line in after.lines
