--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator.py
@@ -1,4 +1,4 @@
-"""Quick simulation of the sidecars' decisions: load patterns on a simulated clock."""
+"""Command that simulates the sidecars' decisions under load patterns."""
 
 import itertools
 import statistics
@@ -14,7 +14,10 @@
 
 COUNTED_SECONDS = 16
 TAIL_SECONDS = 2
-"""Length of a run, and of its end, which may be unanswered and isn't counted."""
+"""Measured length of a run, and the time after it that lets its requests finish.
+
+Requests that arrive after the measured length are not counted.
+"""
 
 WINDOW_S = 2
 WORST_WINDOWS = 2
@@ -23,34 +26,37 @@
 
 
 def figures_of(tallies: dict[str, Tally], seconds: int) -> Figures:
-    """Return the parts of the credit of so many seconds that callers earned."""
-    counted = range(seconds)
-    owed = [sum(t.owed.get(s, 0.0) for t in tallies.values()) for s in counted]
-    earned = [sum(t.earned.get(s, 0.0) for t in tallies.values()) for s in counted]
+    """Return the shares of the offered credit that callers earned.
+
+    Only requests that were first sent in the given number of seconds are counted.
+    """
+    measured = range(seconds)
+    owed = [sum(t.owed.get(s, 0.0) for t in tallies.values()) for s in measured]
+    earned = [sum(t.earned.get(s, 0.0) for t in tallies.values()) for s in measured]
     windows = [
-        sum(earned[at : at + WINDOW_S]) / sum(owed[at : at + WINDOW_S])
-        for at in range(0, seconds, WINDOW_S)
+        sum(earned[start : start + WINDOW_S]) / sum(owed[start : start + WINDOW_S])
+        for start in range(0, seconds, WINDOW_S)
     ]
-    kinds = {
-        name: sum(tally.earned.get(s, 0.0) for s in counted)
-        / sum(tally.owed.get(s, 0.0) for s in counted)
+    earned_by_kind = {
+        name: sum(tally.earned.get(s, 0.0) for s in measured)
+        / sum(tally.owed.get(s, 0.0) for s in measured)
         for name, tally in tallies.items()
     }
-    again = sum(tally.refused_again for tally in tallies.values())
+    refused_again = sum(tally.refused_again for tally in tallies.values())
     return {
         "whole": sum(earned) / sum(owed),
         "worst windows": statistics.mean(sorted(windows)[:WORST_WINDOWS]),
-        **kinds,
-        "refused again": again / sum(owed),
+        **earned_by_kind,
+        "refused again": refused_again / sum(owed),
     }
 
 
 def play(name: str, seed: int, seconds: int = COUNTED_SECONDS) -> Figures:
-    """Play one pattern once."""
-    played = Simulation(pattern=PATTERNS[name], seed=seed)
-    played.run(seconds + TAIL_SECONDS)
-    crashes = played.crashes
-    return figures_of(played.tallies, seconds) | {
+    """Run one load pattern once and return its figures."""
+    simulation = Simulation(pattern=PATTERNS[name], seed=seed)
+    simulation.run(seconds + TAIL_SECONDS)
+    crashes = simulation.crashes
+    return figures_of(simulation.tallies, seconds) | {
         "servers ended": crashes.ended,
         "innocent held": len(crashes.held),
     }
@@ -63,27 +69,27 @@
     jobs: int = 2,
     out: Path = Path("out"),
 ) -> None:
-    """Play load patterns over the sidecars' decisions, and print means and spread.
+    """Simulate load patterns and print the mean and standard deviation of each figure.
 
     Args:
-        patterns: names of load patterns; all by default.
-        seeds: runs of each.
-        jobs: processor cores to use.
-        out: directory for simulator.json.
+        patterns: names of the load patterns; all by default.
+        seeds: number of runs of each pattern.
+        jobs: number of parallel processes.
+        out: directory in which simulator.json is written.
     """
     names = patterns or list(PATTERNS)
     runs = list(itertools.product(names, range(1, seeds + 1)))
     with ProcessPoolExecutor(max_workers=jobs) as pool:
-        played = list(pool.map(play, *zip(*runs, strict=True)))
+        results = list(pool.map(play, *zip(*runs, strict=True)))
     by_name: dict[str, list[Figures]] = {}
-    for (name, _), figures in zip(runs, played, strict=True):
+    for (name, _), figures in zip(runs, results, strict=True):
         by_name.setdefault(name, []).append(figures)
-    for name, of_name in by_name.items():
+    for name, results_of_name in by_name.items():
         print(name)
-        for figure in of_name[0]:
-            values = [figures[figure] for figures in of_name]
-            spread = statistics.pstdev(values)
-            print(f"  {figure:16} {statistics.mean(values):.3f} +- {spread:.3f}")
+        for figure in results_of_name[0]:
+            values = [figures[figure] for figures in results_of_name]
+            deviation = statistics.pstdev(values)
+            print(f"  {figure:16} {statistics.mean(values):.3f} +- {deviation:.3f}")
     out.mkdir(parents=True, exist_ok=True)
     (out / "simulator.json").write_bytes(
         orjson.dumps(by_name, option=orjson.OPT_INDENT_2)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the simulation: they come back as those of the users' platform do."""
+"""Simulated callers, which retry as the callers of the users' platform do."""
 
 import random
 from collections.abc import Callable
@@ -9,12 +9,18 @@
 from sassafraswinch_standins.simulator_load import Kind
 
 Send = Callable[[Callable[[int], None]], None]
-"""Sends a request to a host; the callback gets the status of its end."""
+"""Sends a request to a host; the callback gets the final status."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """What callers of one kind got, by the second of their first request."""
+    """Credit of one kind of request, by the second in which it was first sent.
+
+    Attributes:
+        owed: credit that the callers would get if all requests were answered in time.
+        earned: credit of the requests that were answered.
+        refused_again: credit of the requests that failed after several refusals.
+    """
 
     owed: dict[int, float] = field(default_factory=dict)
     earned: dict[int, float] = field(default_factory=dict)
@@ -22,15 +28,16 @@
 
 
 class Caller:
-    """Sends a request, and comes back once, or at once and often.
+    """Sends a request and retries it once, or several times if it is abusive.
 
     Args:
-        kind: what is sent.
-        send: sends it.
-        tally: counts what the caller got.
+        kind: kind of the request.
+        send: sends the request.
+        tally: counts the credit that the caller earned.
         clock: simulated time.
-        rng: source of the waits that refusals tell.
-        is_abusive: whether it asks four times more, at once, whatever it is told.
+        rng: source of the Retry-After delays of refusals.
+        is_abusive: whether it retries up to four times without waiting, whatever
+            Retry-After says.
     """
 
     def __init__(
@@ -48,33 +55,41 @@
         self._tally = tally
         self._clock = clock
         self._rng = rng
-        self._waits = not is_abusive
+        self._obeys_retry_after = not is_abusive
         self._retries = 4 if is_abusive else 1
         self._refusals = 0
         self._first_ms = clock.now_ms
         second = int(self._first_ms / 1000)
         tally.owed[second] = tally.owed.get(second, 0.0) + kind.worth
-        send(self._answered)
+        send(self._handle_response)
 
-    def _answered(self, status: int) -> None:
+    def _handle_response(self, status: int) -> None:
         kind, tally = self._kind, self._tally
-        held_ms = self._clock.now_ms - self._first_ms
+        elapsed_ms = self._clock.now_ms - self._first_ms
         if status == 200:
             second = int(self._first_ms / 1000)
-            credit = kind.worth if held_ms <= kind.target_ms else kind.late_worth
+            credit = kind.worth if elapsed_ms <= kind.target_ms else kind.late_worth
             tally.earned[second] = tally.earned.get(second, 0.0) + credit
             return
-        unrun = status == 503
-        self._refusals += unrun
-        left_ms = kind.patience_ms - held_ms
-        if not self._retries or left_ms <= 0 or not (unrun or kind.idempotent):
+        is_refused = status == 503
+        self._refusals += is_refused
+        remaining_ms = kind.patience_ms - elapsed_ms
+        if (
+            not self._retries
+            or remaining_ms <= 0
+            or not (is_refused or kind.idempotent)
+        ):
             if self._refusals > 1:
                 tally.refused_again += kind.worth
             return
         self._retries -= 1
-        wait_ms = self._wait_ms() if unrun and self._waits else 0.0
-        self._clock.after(min(wait_ms, left_ms / 3), lambda: self._send(self._answered))
+        wait_ms = (
+            self._retry_delay_ms() if is_refused and self._obeys_retry_after else 0.0
+        )
+        self._clock.after(
+            min(wait_ms, remaining_ms / 3), lambda: self._send(self._handle_response)
+        )
 
-    def _wait_ms(self) -> float:
+    def _retry_delay_ms(self) -> float:
         share = self._rng.uniform(*RETRY_AFTER_SHARES)
         return max(self._kind.target_ms * share, MIN_RETRY_AFTER_MS)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -1,4 +1,4 @@
-"""Servers of the simulator that end, by themselves or under a request, and suspects."""
+"""Simulated crashes of backend servers, and the suspect requests they lead to."""
 
 import itertools
 import random
@@ -15,17 +15,17 @@
 from sassafraswinch_standins.simulator_load import Pattern
 
 DOWN_MS = 2_000.0
-"""Time after which a server that has ended runs again."""
+"""Time from the crash of a backend server until it runs again."""
 
 FATAL_RUN_MS = (30.0, 120.0)
-"""Shortest and longest run of a request that ends its server."""
+"""Shortest and longest run time of a fatal request before its server crashes."""
 
 FATAL = "fatal"
-"""Key of the request that ends servers; those of others are numbers."""
+"""Key of the request that crashes backend servers; other keys begin with a number."""
 
 
 class CrashingFleet(Protocol):
-    """What servers that end need of the run that they are part of."""
+    """Interface of the simulation that ``ServerCrashes`` uses."""
 
     rng: random.Random
     clock: Clock
@@ -37,26 +37,26 @@
         """Return the simulated time."""
 
     def end(self, host: Host, execution: Execution, verdict: int, reason: str) -> None:
-        """End an execution and tell its owner."""
+        """End an execution and send the response to its owner."""
 
     def enter(
         self, host: Host, name: str, parent: Execution | None, done: Done, key: str
     ) -> None:
-        """Take a request at a host."""
+        """Receive a request at a host."""
 
 
 def content_of(key: str) -> RequestContent:
-    """Return what the caller of a simulated request sends, each time."""
+    """Return the content of a simulated request, which is the same in each retry."""
     return RequestContent("GET", key.encode(), b"", b"")
 
 
 class ServerCrashes:
-    """Ends servers, and counts what that costs.
+    """Crashes backend servers and counts the effects.
 
     Attributes:
-        ended: servers that ended.
-        fatal_sent: fatal requests that were sent.
-        held: innocent requests that were held back, by key.
+        ended: number of crashes.
+        fatal_sent: number of fatal requests sent.
+        held: keys of the requests that were held back although they are not fatal.
     """
 
     def __init__(self, *, simulation: CrashingFleet):
@@ -64,76 +64,76 @@
         self.fatal_sent = 0
         self.held: set[str] = set()
         self._simulation = simulation
-        self._names = itertools.count(1)
+        self._crash_numbers = itertools.count(1)
 
     def begin(self) -> None:
-        """Start what the pattern's spells bring."""
+        """Schedule the crashes and fatal requests of the load pattern."""
         for spell in self._simulation.pattern.spells:
-            for per_s, act in (
-                (spell.crashes_per_s, self._crash_any),
-                (spell.fatal_per_s, self._send_fatal),
+            for per_s, action in (
+                (spell.crashes_per_s, self._crash_random_server),
+                (spell.fatal_per_s, self._send_fatal_request),
             ):
                 if per_s:
-                    self._after(spell.from_s * 1000, spell, per_s, act)
+                    self._schedule(spell.from_s * 1000, spell, per_s, action)
 
     def runs(self, host: Host, execution: Execution) -> None:
-        """Let a fatal request end its server soon after it began to run."""
+        """Schedule the server's crash if the request that starts on it is fatal."""
         if execution.request.request_id == FATAL:
             wait_ms = self._simulation.rng.uniform(*FATAL_RUN_MS)
             self._simulation.clock.after(
-                wait_ms, lambda: self._ends_under(host, execution)
+                wait_ms, lambda: self._crash_under(host, execution)
             )
 
     def judge(self, host: Host, key: str) -> Judgement:
-        """Return what a request may do, as a host knows."""
-        judged = host.suspect_requests.judge(content_of(key))
-        if judged.standing is Standing.HELD:
-            self._note_held(key)
-        return judged
+        """Return how a host restricts a request, and count it if it is held back."""
+        judgement = host.suspect_requests.judge(content_of(key))
+        if judgement.standing is Standing.HELD:
+            self._record_held(key)
+        return judgement
 
     def refusal(self, host: Host, request: RelayRequest) -> str:
-        """Return why the last gate keeps a request from a host's server."""
+        """Return why a host's gate refuses a request; empty if it is admitted."""
         refusal = host.gate.refusal(request)
         if refusal == HELD_BACK:
-            self._note_held(request.request_id)
+            self._record_held(request.request_id)
         return refusal
 
-    def _note_held(self, key: str) -> None:
+    def _record_held(self, key: str) -> None:
         if key != FATAL:
             self.held.add(key)
 
     def crash(self, host: Host) -> None:
-        """End the server's process; another one starts in its place."""
+        """End the server's process; it restarts after ``DOWN_MS``."""
         if not host.up:
             return
         self.ended += 1
         host.up = False
-        name = f"i-{next(self._names)}"
+        instance_id = f"i-{next(self._crash_numbers)}"
         for execution in list(host.executions):
-            began = execution.place.started_at_ms is not None
-            if began:
+            was_started = execution.place.started_at_ms is not None
+            if was_started:
                 digests = digest_request(execution.request)
-                host.suspect_requests.ended(digests, name)
+                host.suspect_requests.ended(digests, instance_id)
             else:
                 host.queue.withdraw(execution.place)
-            verdict = Verdict.MAY_HAVE_RUN if began else Verdict.NOT_RUN
+            verdict = Verdict.MAY_HAVE_RUN if was_started else Verdict.NOT_RUN
             self._simulation.end(host, execution, verdict, "server-ended")
         self._simulation.clock.after(DOWN_MS, lambda: setattr(host, "up", True))
 
-    def _ends_under(self, host: Host, execution: Execution) -> None:
+    def _crash_under(self, host: Host, execution: Execution) -> None:
         if not execution.ended:
             self.crash(host)
 
-    def _after(self, wait_ms, spell, per_s, act) -> None:
-        def again() -> None:
+    def _schedule(self, wait_ms, spell, per_s, action) -> None:
+        def act_and_reschedule() -> None:
             if spell.holds(self._simulation.now_ms()):
-                act(spell.service)
+                action(spell.service)
                 gap_ms = self._simulation.rng.expovariate(per_s) * 1000
-                self._after(gap_ms, spell, per_s, act)
+                self._schedule(gap_ms, spell, per_s, action)
 
-        self._simulation.clock.after(wait_ms, again)
+        self._simulation.clock.after(wait_ms, act_and_reschedule)
 
-    def _crash_any(self, service: str) -> None:
+    def _crash_random_server(self, service: str) -> None:
         hosts = [
             host
             for host in self._simulation.hosts.values()
@@ -141,7 +141,7 @@
         ]
         self.crash(self._simulation.rng.choice(hosts))
 
-    def _send_fatal(self, service: str) -> None:
+    def _send_fatal_request(self, service: str) -> None:
         kinds = self._simulation.pattern.kinds.items()
         name = next(n for n, k in kinds if k.service == service and k.worth)
         host = self._simulation.hosts[self._simulation.rng.choice(self._simulation.ips)]
@@ -150,13 +150,13 @@
 
 
 def tell_suspects(zone: str, hosts: Iterable[Host], now_ms: float) -> None:
-    """Tell the hosts of a zone what all hosts learnt since its last round."""
-    tellers = [
+    """Send the hosts of a zone the suspects that changed since its last round."""
+    changed_hosts = [
         host for host in hosts if host.told.get(zone) != host.suspects.last_change
     ]
-    for teller in tellers:
-        words = teller.suspects.words(now_ms, after=teller.told.get(zone, 0))
-        teller.told[zone] = teller.suspects.last_change
+    for sender in changed_hosts:
+        reports = sender.suspects.words(now_ms, after=sender.told.get(zone, 0))
+        sender.told[zone] = sender.suspects.last_change
         for host in hosts:
             if host.instance.availability_zone == zone:
-                host.suspects.take(words, now_ms)
+                host.suspects.take(reports, now_ms)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -1,7 +1,8 @@
-"""Sidecars' decisions over a call graph on a simulated clock.
+"""Simulation of a fleet of sidecars over a call graph, on a simulated clock.
 
-The decisions are those that run: admission, placement, queue, repeats and what ends
-teach. Sockets, frames and the platform aren't played; a message takes a fixed time.
+Admission, placement, queues, retries and the evaluation of outcomes are the code of
+the sidecar. Sockets, frames and the platform are not simulated; a message takes a fixed
+time.
 """
 
 import itertools
@@ -50,23 +51,23 @@
 
 ZONES = 3
 NEAR_MS, FAR_MS = 0.5, 1.4
-"""Time of a message within an availability zone and between two."""
+"""Delay of a message within an availability zone and between two zones."""
 
 SHED_MS = 0.5
-"""Time in which a server refuses."""
+"""Time that a backend server takes to refuse a request."""
 
 WORK_SPREAD = 0.5
-"""Sigma of the work's lognormal distribution."""
+"""Sigma of the lognormal distribution of work times."""
 
 TICK_MS = 20.0
 
 
 class Simulation:
-    """One run of a pattern.
+    """One run of a load pattern.
 
     Args:
-        pattern: graph and load.
-        seed: seeds all chance.
+        pattern: call graph and load.
+        seed: seed of all random choices.
     """
 
     def __init__(self, *, pattern: Pattern, seed: int):
@@ -74,7 +75,7 @@
         self.clock = Clock()
         self.pattern = pattern
         self.crashes = ServerCrashes(simulation=self)
-        self._keys = itertools.count(1)
+        self._request_ids = itertools.count(1)
         self.tallies = {
             name: Tally() for name, kind in pattern.kinds.items() if kind.worth
         }
@@ -86,7 +87,7 @@
         ]
         self.ips = [f"10.0.0.{number}" for number in range(len(instances))]
         self.hosts = {
-            ip: self._host(ip, service, number)
+            ip: self._make_host(ip, service, number)
             for ip, (service, number) in zip(self.ips, instances, strict=True)
         }
 
@@ -95,26 +96,27 @@
         return self.clock.now_ms
 
     def run(self, seconds: float) -> None:
-        """Play the pattern."""
+        """Run the load pattern."""
         for name in self.tallies:
             self._arrive(name)
         for host in self.hosts.values():
             self._tick(host)
         for zone in range(ZONES):
             self.clock.after(
-                self.rng.uniform(0, PAUSE_MS), partial(_gather, self, zone)
+                self.rng.uniform(0, PAUSE_MS),
+                partial(_run_aggregation_round, self, zone),
             )
         self.crashes.begin()
         self.clock.run(seconds * 1000)
 
     def instances_of(self, service: str) -> list[Instance]:
-        """Return the instances of a service that can be reached."""
+        """Return the reachable instances of a service."""
         spells = self.pattern.of_service(service, self.now_ms())
-        found = (host.instance for host in self.hosts.values())
-        of_service = [each for each in found if each.service == service]
+        instances = (host.instance for host in self.hosts.values())
+        of_service = [each for each in instances if each.service == service]
         return of_service[max((spell.lost for spell in spells), default=0) :]
 
-    def _host(self, ip: str, service: str, number: int) -> Host:
+    def _make_host(self, ip: str, service: str, number: int) -> Host:
         group = self.pattern.services[service]
         instance = Instance(
             id=f"i-{ip}",
@@ -141,14 +143,14 @@
         rate_per_s = kind.rate_per_s * self.pattern.load_at(self.now_ms())
         wait_ms = self.rng.expovariate(rate_per_s) * 1000
         self.clock.after(wait_ms, lambda: self._arrive(name))
-        abusive = self.rng.random() < self.pattern.abuse_share(self.now_ms())
+        is_abusive = self.rng.random() < self.pattern.abuse_share(self.now_ms())
         Caller(
             kind=kind,
-            send=partial(self._send, name, str(next(self._keys))),
+            send=partial(self._send, name, str(next(self._request_ids))),
             tally=self.tallies[name],
             clock=self.clock,
             rng=self.rng,
-            is_abusive=abusive,
+            is_abusive=is_abusive,
         )
 
     def _send(self, name: str, key: str, done: Done) -> None:
@@ -161,17 +163,17 @@
             self.end(host, queued.item, Verdict.NOT_RUN, "queue-timeout")
         if host.admission.due(now_ms):
             services = self.pattern.services
-            reached = itertools.chain.from_iterable(map(self.instances_of, services))
-            capacities = capacities_of(reached, host.loads.get)
+            reachable = itertools.chain.from_iterable(map(self.instances_of, services))
+            capacities = capacities_of(reachable, host.loads.get)
             host.admission.decide(capacities, now_ms, host.demand)
         self.clock.after(TICK_MS, lambda: self._tick(host))
 
     def enter(
         self, host: Host, name: str, parent: Execution | None, done: Done, key: str
     ) -> None:
-        """Take a request at a host; ``done`` gets its status once.
+        """Receive a request at a host; ``done`` is called once with its final status.
 
-        Its key stays the same when its caller, or the run that calls, sends it again.
+        The key stays the same when the caller or the parent execution retries.
         """
         kind, route = self.pattern.kinds[name], self.routes[name]
         deadline_ms = self.now_ms() + kind.timeout_ms
@@ -198,28 +200,31 @@
 
     def _place(self, host: Host, relay: Relay) -> None:
         now_ms = self.now_ms()
-        judged = self.crashes.judge(host, relay.request_id)
-        if judged.standing is Standing.HELD:
-            self._fail(host, relay)
+        judgement = self.crashes.judge(host, relay.request_id)
+        if judgement.standing is Standing.HELD:
+            self._refuse(host, relay)
             return
-        left_ms = relay.deadline_ms - now_ms
+        remaining_ms = relay.deadline_ms - now_ms
         instance = None
-        if left_ms >= MIN_RETRY_LEFT_MS and relay.places - relay.offers < MAX_PLACES:
+        if (
+            remaining_ms >= MIN_RETRY_LEFT_MS
+            and relay.places - relay.offers < MAX_PLACES
+        ):
             instances = self.instances_of(relay.service)
-            if judged.standing is Standing.FREE:
+            if judgement.standing is Standing.FREE:
                 instance = choose_server(host.placement, relay, instances, now_ms)
             else:
                 instance = choose_for_suspect(
-                    host.placement, relay, instances, now_ms, judged
+                    host.placement, relay, instances, now_ms, judgement
                 )
         if instance is None:
-            self._fail(host, relay)
+            self._refuse(host, relay)
             return
         relay.places += 1
         relay.tried.add(instance.identity)
-        inner = relay.parent is not None
-        span_ms = left_ms if inner else relay.route.target_latency_ms
-        wait_ms = span_ms * (INNER_WAIT_SHARE if inner else ROOT_WAIT_SHARE)
+        is_child = relay.parent is not None
+        span_ms = remaining_ms if is_child else relay.route.target_latency_ms
+        wait_ms = span_ms * (INNER_WAIT_SHARE if is_child else ROOT_WAIT_SHARE)
         host.repeats.sent(relay)
         host.loads[instance.ip].sent_since += 1
         content = content_of(relay.request_id)
@@ -229,24 +234,28 @@
             target=content.target,
             headers=content.headers,
             body=content.body,
-            remaining_ms=int(left_ms),
+            remaining_ms=int(remaining_ms),
             max_wait_ms=int(wait_ms),
             priority=relay.priority,
             level=relay.level,
-            inner=inner,
+            inner=is_child,
             repeated=relay.repeated,
             progress=relay.progress,
-            last=not inner
+            last=not is_child
             and host.admission.needs_only(relay.route.name, relay.service),
         )
         execution = Execution(
             request=request,
-            reply=lambda response: self._response(host, relay, instance, response),
+            reply=lambda response: self._handle_response(
+                host, relay, instance, response
+            ),
             owner=relay.route.name,
             deadline_ms=relay.deadline_ms,
         )
         target = self.hosts[instance.ip]
-        self.clock.after(_way(host, target), lambda: self._submit(target, execution))
+        self.clock.after(
+            _message_delay_ms(host, target), lambda: self._submit(target, execution)
+        )
 
     def _submit(self, host: Host, execution: Execution) -> None:
         now_ms = self.now_ms()
@@ -267,9 +276,9 @@
             self.end(host, execution, Verdict.NOT_RUN, "overloaded")
             return
         host.executions.add(execution)
-        self._start(host)
+        self._start_queued(host)
 
-    def _start(self, host: Host) -> None:
+    def _start_queued(self, host: Host) -> None:
         for queued in host.queue.startable(self.now_ms()):
             self._run(host, queued.item)
 
@@ -277,67 +286,67 @@
         execution.offered = True
         spells = self.pattern.of_service(host.instance.service, self.now_ms())
         if self.rng.random() < max((s.shed_share for s in spells), default=0.0):
-            shed = lambda: self.end(host, execution, Verdict.NOT_RUN, "server-shed")  # noqa: E731
-            self.clock.after(SHED_MS, shed)
+            refuse = lambda: self.end(host, execution, Verdict.NOT_RUN, "server-shed")  # noqa: E731
+            self.clock.after(SHED_MS, refuse)
             return
         self.crashes.runs(host, execution)
         kind = self.pattern.kinds[execution.owner]
         mean_ms = kind.work_ms * host.speed * max((s.slower for s in spells), default=1)
         work_ms = mean_ms * self.rng.lognormvariate(-(WORK_SPREAD**2) / 2, WORK_SPREAD)
         calls = [call for call in kind.calls for _ in range(call.times)]
-        together = any(call.together for call in kind.calls)
-        names = [call.kind for call in calls]
+        in_parallel = any(call.together for call in kind.calls)
+        remaining_calls = [call.kind for call in calls]
 
-        def call_on() -> None:
+        def make_next_calls() -> None:
             if execution.ended:
                 return
-            batch = names[:] if together else names[:1]
-            del names[: len(batch)]
+            batch = remaining_calls[:] if in_parallel else remaining_calls[:1]
+            del remaining_calls[: len(batch)]
             if not batch or self.now_ms() > execution.deadline_ms:
-                self._finished(host, execution, 200)
+                self._finish_run(host, execution, 200)
                 return
-            waiting = len(batch)
-            worst = 200
-
-            def called(status: int) -> None:
-                nonlocal waiting, worst
-                waiting -= 1
-                worst = max(worst, status)
-                if waiting:
+            pending = len(batch)
+            worst_status = 200
+
+            def handle_call_end(status: int) -> None:
+                nonlocal pending, worst_status
+                pending -= 1
+                worst_status = max(worst_status, status)
+                if pending:
                     return
-                if worst == 200:
-                    call_on()
+                if worst_status == 200:
+                    make_next_calls()
                 else:
-                    self._finished(host, execution, 500)
+                    self._finish_run(host, execution, 500)
 
             for number, name in enumerate(batch):
-                key = f"{execution.request.request_id}/{len(names)}.{number}"
-                self.enter(host, name, execution, called, key)
+                key = f"{execution.request.request_id}/{len(remaining_calls)}.{number}"
+                self.enter(host, name, execution, handle_call_end, key)
 
-        self.clock.after(work_ms, call_on)
+        self.clock.after(work_ms, make_next_calls)
 
-    def _finished(self, host: Host, execution: Execution, status: int) -> None:
+    def _finish_run(self, host: Host, execution: Execution, status: int) -> None:
         if execution.ended:
             return
-        late = self.now_ms() > execution.deadline_ms
-        if not late and status == 200:
+        is_late = self.now_ms() > execution.deadline_ms
+        if not is_late and status == 200:
             host.suspect_requests.answered(execution.request)
-        self.end(host, execution, Verdict.ANSWERED, "", 504 if late else status)
+        self.end(host, execution, Verdict.ANSWERED, "", 504 if is_late else status)
 
     def end(
         self, host: Host, execution: Execution, verdict: int, reason: str, status=0
     ) -> None:
-        """End an execution and tell its owner."""
+        """End an execution and send the response to its owner."""
         if execution.ended:
             return
         host.executions.discard(execution)
-        place, now_ms = execution.place, self.now_ms()
-        if place.started_at_ms is not None:
+        queued, now_ms = execution.place, self.now_ms()
+        if queued.started_at_ms is not None:
             service = host.instance.service
-            held_ms = host.queue.finished(place, now_ms)
+            held_ms = host.queue.finished(queued, now_ms)
             add_slot_times(execution.slot_ms, {service: held_ms})
         execution.ended = True
-        self._start(host)
+        self._start_queued(host)
         response = RelayResponse(
             verdict=verdict,
             status=status,
@@ -350,7 +359,7 @@
         )
         self.clock.after(NEAR_MS, lambda: execution.reply(response))
 
-    def _response(
+    def _handle_response(
         self, host: Host, relay: Relay, instance: Instance, response: RelayResponse
     ) -> None:
         load = host.loads[instance.ip]
@@ -363,38 +372,38 @@
         host.repeats.learn(relay)
         host.outcomes.execution_ended(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
-            failed = response.status >= 500
-            if failed and host.repeats.allow_failed(relay):
-                self._repeat(host, relay)
+            is_failed = response.status >= 500
+            if is_failed and host.repeats.allow_failed(relay):
+                self._retry(host, relay)
                 return
-            if not failed:
+            if not is_failed:
                 host.suspect_requests.answered(content_of(relay.request_id))
             host.outcomes.answered(relay, response)
-            self._done(relay, response.status)
+            self._complete(relay, response.status)
         elif response.verdict == Verdict.MAY_HAVE_RUN:
             if host.repeats.allow_failed(relay):
-                self._repeat(host, relay)
+                self._retry(host, relay)
             else:
                 host.outcomes.failed(relay)
-                self._done(relay, 502)
+                self._complete(relay, 502)
         elif response.reason in (HELD_BACK, COPY_RUNS):
-            self._fail(host, relay)
+            self._refuse(host, relay)
         elif not response.offered:
             self._place(host, relay)
         elif host.repeats.allow_unrun(relay):
-            self._repeat(host, relay)
+            self._retry(host, relay)
         else:
-            self._fail(host, relay)
+            self._refuse(host, relay)
 
-    def _repeat(self, host: Host, relay: Relay) -> None:
+    def _retry(self, host: Host, relay: Relay) -> None:
         relay.repeated = True
         self._place(host, relay)
 
-    def _fail(self, host: Host, relay: Relay) -> None:
+    def _refuse(self, host: Host, relay: Relay) -> None:
         host.outcomes.failed(relay)
-        self._done(relay, 503)
+        self._complete(relay, 503)
 
-    def _done(self, relay: Relay, status: int) -> None:
+    def _complete(self, relay: Relay, status: int) -> None:
         relay.ended = True
         parent = relay.parent
         if parent is not None and not parent.ended:
@@ -404,11 +413,11 @@
         relay.http(status)
 
 
-def _gather(simulation: Simulation, zone: int) -> None:
-    """Tell the hosts of a zone the loads and sums of all: a gatherer's round.
+def _run_aggregation_round(simulation: Simulation, zone: int) -> None:
+    """Run one aggregation round: send the hosts of a zone all loads and totals.
 
-    Loads of other zones, and sums, are as old as a round on the users' platform; here
-    they are told without that delay.
+    On the users' platform, loads of other zones and totals are one round old; here
+    they are sent without that delay.
     """
     now_ms = simulation.now_ms()
     hosts = simulation.hosts.values()
@@ -422,9 +431,9 @@
         host.totals = counts, len(simulation.hosts)
         for ip, peer in simulation.hosts.items():
             host.loads[ip].report(peer.load(), now_ms)
-    simulation.clock.after(PAUSE_MS, partial(_gather, simulation, zone))
+    simulation.clock.after(PAUSE_MS, partial(_run_aggregation_round, simulation, zone))
 
 
-def _way(one: Host, other: Host) -> float:
-    near = one.instance.availability_zone == other.instance.availability_zone
-    return NEAR_MS if near else FAR_MS
+def _message_delay_ms(one: Host, other: Host) -> float:
+    same_zone = one.instance.availability_zone == other.instance.availability_zone
+    return NEAR_MS if same_zone else FAR_MS
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
@@ -1,4 +1,4 @@
-"""One simulated host: a sidecar's decisions and the server beside it."""
+"""Simulated host: the decision parts of a sidecar and the state of its server."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -21,11 +21,27 @@
 REPEAT_RATIO, REPEAT_SLACK, REPEAT_WINDOW_MS = 0.2, 50.0, 10_000.0
 
 Done = Callable[[int], None]
-"""Takes the status of a request's end."""
+"""Callback that receives the final status of a request."""
 
 
 class Host:
-    """A sidecar's decisions and the server beside it."""
+    """Decision parts of a sidecar, and the state of the backend server beside it.
+
+    Args:
+        instance: instance of the backend server.
+        speed: work time of the server as a multiple of the mean.
+        ips: addresses of all hosts.
+        worths: worth by priority that ingress sidecars admit by.
+        clock: simulated time.
+        rng: source of random choices.
+
+    Attributes:
+        up: whether the backend server runs.
+        executions: requests that are queued or running at the server.
+        told: last change of this host's suspects that each zone has received.
+        totals: totals of retry counts as last received.
+        demand: demand of all ingress sidecars as last received.
+    """
 
     def __init__(
         self,
@@ -72,11 +88,11 @@
             own_ip=instance.ip,
             availability_zone=instance.availability_zone,
             load_of=self.loads.get,
-            cold_left_ms=lambda found, now: 0.0,
+            cold_left_ms=lambda candidate, at_ms: 0.0,
             rng=rng,
         )
 
     def load(self) -> ServerLoad:
-        """Return what peers are told."""
+        """Return the server load that is reported to other hosts."""
         queue = self.queue
         return ServerLoad(queue.running, queue.queued, queue.limit if self.up else 0)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
@@ -1,4 +1,4 @@
-"""Load patterns of the simulation: call graphs, rates, and what happens to servers."""
+"""Load patterns of the simulation: call graphs, rates and disturbances."""
 
 from dataclasses import dataclass, field, replace
 from types import MappingProxyType
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Calls:
-    """Calls that a running request makes."""
+    """Child calls that a running request makes.
+
+    Attributes:
+        kind: kind of the child calls.
+        times: number of calls.
+        together: whether all calls of the request are made in parallel.
+    """
 
     kind: str
     times: int
@@ -17,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kind:
-    """A kind of request; calls of servers have no rate and no worth.
+    """Kind of request; kinds that are only called by servers have no rate or worth.
 
     Attributes:
-        service: runs it.
+        service: service that runs the request.
         priority: 0 is the most important.
-        rate_per_s: requests of callers, all hosts together.
-        work_ms: mean time at a server of mean speed, without its calls.
-        target_ms: time within which an answer has its full worth.
-        timeout_ms: longest time that its route keeps a caller waiting.
-        patience_ms: time that its callers have, returns included.
-        idempotent: whether it may run more than once.
-        worth: credit of an answer in time.
-        late_worth: credit of a later one.
-        calls: what it calls, in turn.
+        rate_per_s: arrival rate of requests of callers, summed over all hosts.
+        work_ms: mean work time at a server of mean speed, without child calls.
+        target_ms: time within which a response earns the full worth.
+        timeout_ms: timeout of the route.
+        patience_ms: time after which callers no longer retry.
+        idempotent: whether the request may run more than once.
+        worth: credit of a response in time.
+        late_worth: credit of a later response.
+        calls: child calls, in order.
     """
 
     service: str
@@ -47,7 +53,7 @@
 
 
 def route_of(name: str, kind: Kind) -> Route:
-    """Return the route that requests of a kind take."""
+    """Return the route of a kind of request."""
     return Route(
         name=name,
         host="",
@@ -63,10 +69,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerGroup:
-    """The servers of one service.
+    """Backend servers of one service.
 
     Attributes:
-        speeds: times of their work, as share of the mean, in turn.
+        servers: number of servers.
+        slots: slots of each server.
+        speeds: work times as multiples of the mean, assigned to the servers in turn.
     """
 
     servers: int
@@ -76,18 +84,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Spell:
-    """Something that holds for a while.
+    """Disturbance that is active for a limited time.
 
     Attributes:
-        from_s, until_s: when it holds.
-        load: times the usual rate.
-        shed_share: share of its requests that a service refuses unrun.
-        slower: times the usual work of a service.
-        service: the service; empty with ``load`` alone.
-        lost: how many servers of the service can't be reached, its first ones.
-        abuse_share: callers that ignore Retry-After and ask three times more at once.
-        crashes_per_s: servers of the service that end by themselves.
-        fatal_per_s: copies of one request that ends each server that runs it.
+        from_s: start.
+        until_s: end.
+        load: factor on the arrival rates.
+        shed_share: share of requests that the servers refuse without running them.
+        slower: factor on the work times of the service.
+        service: affected service; empty if only the load or the callers change.
+        lost: number of servers of the service that are unreachable.
+        abuse_share: share of callers that ignore Retry-After and retry three times more
+            than others, without waiting.
+        crashes_per_s: rate of server crashes that no request causes.
+        fatal_per_s: rate of copies of one request that crashes each server running it.
     """
 
     from_s: float
@@ -102,16 +112,21 @@
     fatal_per_s: float = 0.0
 
     def holds(self, now_ms: float) -> bool:
-        """Return whether it holds now."""
+        """Return whether the disturbance is active."""
         return self.from_s * 1000 <= now_ms < self.until_s * 1000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pattern:
-    """A graph under a load.
+    """Call graph and the load on it.
 
     Attributes:
-        worths: worth by priority that entries admit by; empty for a strict order.
+        services: servers by service.
+        kinds: kinds of request by name.
+        load: factor on the arrival rates.
+        spells: disturbances.
+        worths: worth by priority that ingress sidecars admit by; empty for strict
+            priority order.
     """
 
     services: MappingProxyType[str, ServerGroup]
@@ -121,18 +136,18 @@
     worths: tuple[float, ...] = ()
 
     def load_at(self, now_ms: float) -> float:
-        """Return the times of the usual rate now."""
+        """Return the current factor on the arrival rates."""
         factor = self.load
         for spell in self.spells:
             factor *= spell.load if spell.holds(now_ms) else 1.0
         return factor
 
     def of_service(self, service: str, now_ms: float) -> list[Spell]:
-        """Return what holds for a service now."""
+        """Return the active disturbances of a service."""
         return [s for s in self.spells if s.service == service and s.holds(now_ms)]
 
     def abuse_share(self, now_ms: float) -> float:
-        """Return the share of callers that ignore Retry-After now."""
+        """Return the current share of callers that ignore Retry-After."""
         return max((s.abuse_share for s in self.spells if s.holds(now_ms)), default=0.0)
 
 
@@ -225,7 +240,7 @@
         }
     ),
 )
-"""Two kinds of tree fill one small service at the bottom; one kind needs it alone."""
+"""Two kinds of call tree fill one small leaf service; a third kind calls only it."""
 
 LEADING = Pattern(
     worths=(3.0, 2.0, 1.0),
@@ -316,7 +331,7 @@
         }
     ),
 )
-"""Important trees fill the deepest service, which short requests need alone."""
+"""High-priority call trees fill the deepest service; short requests call only it."""
 
 PATTERNS: dict[str, Pattern] = {
     "leading": replace(LEADING, spells=(Spell(from_s=0.3, until_s=14, load=2.1),)),
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -1,4 +1,4 @@
-"""Ways to bound what organisations send, over load patterns on a simulated clock."""
+"""Simulation of rate limiters for organisations, over load patterns."""
 
 import bisect
 import itertools
@@ -20,36 +20,46 @@
 
 ZONES = 3
 STEP_MS = 125.0
-"""Pause between two rounds of reports."""
+"""Time between two rounds of reports."""
 
 OWN_ZONE_ROUNDS = 1
 OTHER_ZONE_ROUNDS = 3
-"""Rounds until hosts hear of each other."""
+"""Rounds after which a host receives reports of its own and of other zones."""
 
 WINDOW_MS = 5_000.0
 SLACK = 20.0
 RULE = RateRule(window_ms=WINDOW_MS, slack=SLACK)
 EXCESS = 1.25
-"""What may be let in within a window: as a multiple of the limit, and on top."""
+"""Admissions allowed within a window: ``EXCESS`` times the limit plus ``SLACK``."""
 
 VIEW_LIFE_MS = 2_000.0
 COMES_BACK = 0.5
-"""Part of refused callers that come back once."""
+"""Share of refused callers that retry once."""
 
 
 class Way(Protocol):
-    """One host's decisions."""
+    """Rate limiter of one host."""
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Let a request in (None), or tell when to come back, in milliseconds."""
+        """Return None to admit a request, or the delay in ms until a retry."""
 
     def report(self, now_ms: float) -> FleetUse:
-        """Return what is told to the others."""
+        """Return the usage counts that are reported to other hosts."""
 
 
 @dataclass(slots=True, eq=False)
 class Host:
-    """One host of the simulated fleet."""
+    """Host of the simulated fleet.
+
+    Attributes:
+        number: index of the host in the fleet.
+        zone: index of its zone.
+        way: its rate limiter.
+        up: whether it exchanges reports.
+        told: usage in the fleet as last received.
+        told_ms: time at which it was received.
+        reports: latest reports of the host, oldest first.
+    """
 
     number: int
     zone: int
@@ -61,7 +71,7 @@
 
 
 class SumsTold:
-    """Lets in by the sums of all hosts' counts."""
+    """Rate limiter that admits by the total of all hosts' counts."""
 
     def __init__(self, *, fleet: "RatesFleet", number: int, now_ms: float):
         self._rates = OrganisationRates(
@@ -73,7 +83,7 @@
         )
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Let a request in, or tell when to come back (Way)."""
+        """Admit a request, or return the delay until a retry (see ``Way``)."""
         decision = self._rates.ask(organisation, now_ms)
         if decision is None or decision.admitted:
             self._rates.spend(organisation, now_ms)
@@ -81,19 +91,19 @@
         return self._rates.wait_ms(decision)
 
     def report(self, now_ms: float) -> FleetUse:
-        """Return the counts of this host (Way)."""
+        """Return the counts of this host (see ``Way``)."""
         return self._rates.report(now_ms)
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that come at a rate, up to a depth."""
+    """Token bucket, refilled at a rate up to a depth."""
 
     tokens: float
     filled_ms: float
 
     def take(self, rate_per_s: float, depth: float, now_ms: float) -> bool:
-        """Take a token if there is one."""
+        """Take a token if one is left, and return whether it was."""
         gained = (now_ms - self.filled_ms) / 1000 * rate_per_s
         self.tokens = min(depth, self.tokens + gained)
         self.filled_ms = now_ms
@@ -104,14 +114,14 @@
 
 
 class EvenParts:
-    """Gives each host the same part of a limit, whatever the others do."""
+    """Rate limiter that gives each host an equal share of a limit."""
 
     def __init__(self, *, fleet: "RatesFleet", number: int, now_ms: float):
         self._fleet = fleet
         self._buckets: dict[str, TokenBucket] = {}
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Let a request in, or tell when to come back (Way)."""
+        """Admit a request, or return the delay until a retry (see ``Way``)."""
         limit = organisation.limit
         hosts = len(self._fleet.hosts)
         bucket = self._buckets.setdefault(
@@ -123,15 +133,15 @@
         return 1_000.0
 
     def report(self, now_ms: float) -> FleetUse:
-        """Tell nothing (Way)."""
+        """Return no counts (see ``Way``)."""
         return FleetUse()
 
 
 class HomeHost:
-    """Asks an organisation's home host for each token.
+    """Rate limiter that requests each token from the organisation's home host.
 
-    The home is drawn by rendezvous hashing among the hosts that can be reached. It
-    hands out the part of the limit that these hosts are of all.
+    The home host is chosen by rendezvous hashing among the reachable hosts. It
+    grants the share of the limit that these hosts are of the whole fleet.
     """
 
     def __init__(self, *, fleet: "RatesFleet", number: int, now_ms: float):
@@ -140,40 +150,40 @@
         self.buckets: dict[str, TokenBucket] = {}
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Let a request in, or tell when to come back (Way)."""
+        """Admit a request, or return the delay until a retry (see ``Way``)."""
         reached = self._fleet.reached(self._number)
         home = max(
             reached, key=lambda host: hash((organisation.name, host.number * 7919))
         )
         self._fleet.messages += 0 if home.number == self._number else 2
         limit = organisation.limit
-        part = len(reached) / len(self._fleet.hosts)
+        share = len(reached) / len(self._fleet.hosts)
         bucket = home.way.buckets.setdefault(organisation.name, TokenBucket(0, now_ms))
-        depth = max(1.0, limit.burst * part)
-        if bucket.take(limit.rate_per_s * part, depth, now_ms):
+        depth = max(1.0, limit.burst * share)
+        if bucket.take(limit.rate_per_s * share, depth, now_ms):
             return None
         return 1_000.0
 
     def report(self, now_ms: float) -> FleetUse:
-        """Tell nothing (Way)."""
+        """Return no counts (see ``Way``)."""
         return FleetUse()
 
 
 WAYS: dict[str, Callable[..., Way]] = {
-    "even parts": EvenParts,
+    "equal shares": EvenParts,
     "home host": HomeHost,
-    "sums told": SumsTold,
+    "shared totals": SumsTold,
 }
 
 
 class RatesFleet:
-    """Hosts in zones, and what they are told of each other.
+    """Simulated hosts in zones, which exchange usage reports.
 
     Args:
-        hosts: how many there are.
-        way: their decisions.
-        rng: source of chance.
-        limits: limits of the organisations; hosts are told of those near theirs.
+        hosts: number of hosts.
+        way: class of their rate limiters.
+        rng: source of random choices.
+        limits: limits by organisation; hosts receive the usage of those near theirs.
     """
 
     def __init__(
@@ -192,21 +202,21 @@
         self._way = way
         self.hosts: list[Host] = []
         for number in range(hosts):
-            made = way(fleet=self, number=number, now_ms=-WINDOW_MS)
-            self.hosts.append(Host(number, number % ZONES, made))
+            limiter = way(fleet=self, number=number, now_ms=-WINDOW_MS)
+            self.hosts.append(Host(number, number % ZONES, limiter))
 
     def told(self, number: int, now_ms: float) -> FleetUse:
-        """Return what a host is told."""
+        """Return the usage that a host last received; empty if it is outdated."""
         host = self.hosts[number]
         return host.told if now_ms - host.told_ms < VIEW_LIFE_MS else FleetUse()
 
     def reached(self, number: int) -> list[Host]:
-        """Return the hosts that one reaches."""
+        """Return the hosts that a host can reach."""
         zone = self.hosts[number].zone
-        return [h for h in self.hosts if h.up and self._joined(h.zone, zone)]
+        return [h for h in self.hosts if h.up and self._are_connected(h.zone, zone)]
 
     def restart(self, hosts: Sequence[Host]) -> None:
-        """Start hosts without memory."""
+        """Restart hosts with empty state."""
         for host in hosts:
             host.way = self._way(fleet=self, number=host.number, now_ms=self.now_ms)
             host.reports = []
@@ -214,57 +224,57 @@
             host.told_ms = -VIEW_LIFE_MS
 
     def tell(self) -> None:
-        """Do one round of reports."""
+        """Run one round of reports."""
         for host in self.hosts:
             host.reports = [*host.reports, host.way.report(self.now_ms)][-4:]
-        by_zone = [
+        zone_totals = [
             [
-                self._zone_sum(zone, rounds)
+                self._zone_total(zone, rounds)
                 for rounds in (OWN_ZONE_ROUNDS, OTHER_ZONE_ROUNDS)
             ]
             for zone in range(ZONES)
         ]
         for zone in range(ZONES):
-            told = sum_uses(
-                by_zone[other][0 if other == zone else 1]
+            usage = sum_uses(
+                zone_totals[other][0 if other == zone else 1]
                 for other in range(ZONES)
-                if self._joined(zone, other)
+                if self._are_connected(zone, other)
             )
-            told = self._near_limits(told)
+            usage = self._near_limits(usage)
             for host in self.hosts:
                 if host.zone == zone and host.up and host.reports:
-                    host.told, host.told_ms = told, self.now_ms
+                    host.told, host.told_ms = usage, self.now_ms
 
-    def _near_limits(self, told: FleetUse) -> FleetUse:
+    def _near_limits(self, usage: FleetUse) -> FleetUse:
         near = {
             name: use
-            for name, use in told.uses.items()
+            for name, use in usage.uses.items()
             if RULE.is_near(self.limits[name], use)
         }
-        return FleetUse(near, told.hosts, told.unknown_ms)
+        return FleetUse(near, usage.hosts, usage.unknown_ms)
 
-    def _zone_sum(self, zone: int, rounds: int) -> FleetUse:
+    def _zone_total(self, zone: int, rounds: int) -> FleetUse:
         return sum_uses(
             host.reports[-rounds]
             for host in self.hosts
             if host.zone == zone and host.up and len(host.reports) >= rounds
         )
 
-    def _joined(self, one: int, other: int) -> bool:
+    def _are_connected(self, one: int, other: int) -> bool:
         return one == other or self.cut_zone not in (one, other)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RatesPattern:
-    """What organisations send, and what happens to the hosts.
+    """Load of organisations and faults of the fleet.
 
     Attributes:
-        factor: multiple of the usual that all send.
-        flood: multiple that the largest one, and a small one, send on top.
-        flood_s: when they do.
-        cut_s: when a zone is cut off.
-        kill_s: when all hosts are killed and start again.
-        fall_s: when all limits fall to a tenth.
+        factor: factor on the usual rates of all organisations.
+        flood: further factor for the largest organisation and a small one.
+        flood_s: start and end of the flood.
+        cut_s: start and end of the network partition of one zone.
+        kill_s: time at which all hosts are killed and restarted.
+        fall_s: time from which all limits are a tenth.
     """
 
     factor: float = 1.0
@@ -290,12 +300,12 @@
 
 @dataclass(slots=True)
 class RatesResult:
-    """What a run showed.
+    """Result of a run.
 
     Attributes:
-        worst: greatest part of what the rule allows that was let in within a window.
-        refused_below: part of the first requests below their limit that were refused.
-        messages: messages between hosts for each request.
+        worst: largest ratio of admitted to allowed requests within a window.
+        refused_below: share of first requests below their limit that were refused.
+        messages: messages between hosts per request.
     """
 
     worst: float
@@ -304,15 +314,15 @@
 
 
 def organisations_of(count: int, per_s: float) -> list[tuple[Organisation, float]]:
-    """Return organisations, a few of them large, and their usual rates."""
+    """Return organisations, a few of them large, with their usual rates."""
     weights = [1.0 / (rank + 1) for rank in range(count)]
     total = sum(weights)
-    listed = []
+    organisations = []
     for rank, weight in enumerate(weights):
         usual = per_s * weight / total
         limit = RateLimit(rate_per_s=1.6 * usual, burst=1.6 * usual)
-        listed.append((Organisation(name=f"o{rank}", limit=limit), usual))
-    return listed
+        organisations.append((Organisation(name=f"o{rank}", limit=limit), usual))
+    return organisations
 
 
 def play_rates(
@@ -326,40 +336,40 @@
     seconds: float = 14.0,
     report_steps: int = 1,
 ) -> RatesResult:
-    """Play a pattern once; hosts report every so many steps."""
+    """Run a pattern once; hosts report every ``report_steps`` steps."""
     rng = random.Random(seed)
     listed = organisations_of(organisations, per_s)
     fleet = RatesFleet(
         hosts=hosts, way=way, rng=rng, limits={o.name: o.limit for o, _ in listed}
     )
     flooding = {listed[0][0].name, listed[organisations // 3][0].name}
-    let_in: dict[str, list[float]] = defaultdict(list)
-    owed: Counter[str] = Counter()
+    admitted_ms: dict[str, list[float]] = defaultdict(list)
+    below_limit: Counter[str] = Counter()
     refused: Counter[str] = Counter()
     limits = {o.name: TokenBucket(o.limit.burst, 0.0) for o, _ in listed}
-    returns: list[tuple[float, Organisation, int]] = []
-    killed = False
+    retries: list[tuple[float, Organisation, int]] = []
+    was_killed = False
     steps = int(seconds * 1000 / STEP_MS)
     requests = 0
     for step in range(steps):
         fleet.now_ms = step * STEP_MS
         second = fleet.now_ms / 1000
-        cut = pattern.cut_s[0] <= second < pattern.cut_s[1]
-        fleet.cut_zone = 0 if cut else None
+        is_cut = pattern.cut_s[0] <= second < pattern.cut_s[1]
+        fleet.cut_zone = 0 if is_cut else None
         if second >= pattern.fall_s:
-            fleet.limits = {o.name: _fallen(o).limit for o, _ in listed}
-        if second >= pattern.kill_s and not killed:
-            killed = True
+            fleet.limits = {o.name: _lowered(o).limit for o, _ in listed}
+        if second >= pattern.kill_s and not was_killed:
+            was_killed = True
             fleet.restart(fleet.hosts)
         if step % report_steps == 0:
             fleet.tell()
-        due = [each for each in returns if each[0] < fleet.now_ms + STEP_MS]
-        returns = [each for each in returns if each[0] >= fleet.now_ms + STEP_MS]
+        due = [each for each in retries if each[0] < fleet.now_ms + STEP_MS]
+        retries = [each for each in retries if each[0] >= fleet.now_ms + STEP_MS]
         arrivals = [(at_ms, o, number, False) for at_ms, o, number in due]
         for organisation, usual in listed:
             rate = usual * pattern.factor
-            flooded = pattern.flood_s[0] <= second < pattern.flood_s[1]
-            if flooded and organisation.name in flooding:
+            is_flooding = pattern.flood_s[0] <= second < pattern.flood_s[1]
+            if is_flooding and organisation.name in flooding:
                 rate *= pattern.flood
             arrivals += [
                 (
@@ -370,48 +380,52 @@
                 )
                 for _ in range(_poisson(rng, rate * STEP_MS / 1000))
             ]
-        for at_ms, asking, number, first in sorted(arrivals, key=lambda each: each[0]):
-            organisation = asking
+        for at_ms, caller, number, is_first in sorted(
+            arrivals, key=lambda each: each[0]
+        ):
+            organisation = caller
             if second >= pattern.fall_s:
-                organisation = _fallen(asking)
+                organisation = _lowered(caller)
             limit = organisation.limit
-            below = first and limits[asking.name].take(
+            is_below = is_first and limits[caller.name].take(
                 limit.rate_per_s, limit.burst, at_ms
             )
-            owed[asking.name] += below
-            requests += first
+            below_limit[caller.name] += is_below
+            requests += is_first
             wait_ms = fleet.hosts[number].way.ask(organisation, at_ms)
             if wait_ms is None:
-                let_in[asking.name].append(at_ms)
+                admitted_ms[caller.name].append(at_ms)
                 continue
-            refused[asking.name] += below
-            if first and rng.random() < COMES_BACK:
-                returns.append((at_ms + wait_ms, asking, number))
+            refused[caller.name] += is_below
+            if is_first and rng.random() < COMES_BACK:
+                retries.append((at_ms + wait_ms, caller, number))
     after_ms = pattern.fall_s * 1000
-    falls = after_ms < seconds * 1000
+    is_lowered = after_ms < seconds * 1000
     worst = max(
         worst_window(
-            let_in[each.name],
-            (_fallen(each) if falls else each).limit,
-            after_ms if falls else 0.0,
+            admitted_ms[each.name],
+            (_lowered(each) if is_lowered else each).limit,
+            after_ms if is_lowered else 0.0,
         )
         for each, _ in listed
     )
     return RatesResult(
-        worst, refused.total() / max(owed.total(), 1), fleet.messages / max(requests, 1)
+        worst,
+        refused.total() / max(below_limit.total(), 1),
+        fleet.messages / max(requests, 1),
     )
 
 
-def _fallen(organisation: Organisation) -> Organisation:
+def _lowered(organisation: Organisation) -> Organisation:
     limit = organisation.limit
     tenth = RateLimit(rate_per_s=limit.rate_per_s / 10, burst=limit.burst / 10)
     return Organisation(name=organisation.name, limit=tenth)
 
 
 def worst_window(at_ms: list[float], limit: RateLimit, after_ms: float) -> float:
-    """Return the greatest part of what a window allows that was let in.
+    """Return the largest ratio of admitted to allowed requests within a window.
 
-    A limit that has fallen binds in the windows that begin after it fell.
+    A lowered limit applies to the windows that begin after it was lowered.
     """
     allowed = (limit.rate_per_s * WINDOW_MS / 1000 + limit.burst) * EXCESS + SLACK
     times = [at for at in sorted(at_ms) if at >= after_ms]
@@ -441,21 +455,24 @@
     seeds: int = 3,
     report_steps: int = 1,
 ) -> None:
-    """Play all patterns over all ways, and print the worst of all seeds.
+    """Run all patterns with all rate limiters and print the worst of all seeds.
 
     Args:
-        hosts: size of the fleet.
-        organisations: how many there are.
-        per_s: usual requests of all of them.
-        seeds: runs of each.
+        hosts: number of hosts.
+        organisations: number of organisations.
+        per_s: usual request rate of all organisations.
+        seeds: number of runs of each pattern.
         report_steps: steps of 125 ms between two reports of a host; six in zones of
             94 hosts.
     """
-    print("pattern | way | worst part of the rule | refused below | messages a request")
+    print(
+        "pattern | limiter | worst window / allowed | refused below limit | "
+        "messages per request"
+    )
     for (name, pattern), (way_name, way) in itertools.product(
         RATE_PATTERNS.items(), WAYS.items()
     ):
-        played = [
+        results = [
             play_rates(
                 pattern=pattern,
                 way=way,
@@ -467,9 +484,9 @@
             )
             for seed in range(1, seeds + 1)
         ]
-        worst = max(each.worst for each in played)
-        below = sum(each.refused_below for each in played) / seeds
-        messages = sum(each.messages for each in played) / seeds
+        worst = max(each.worst for each in results)
+        below = sum(each.refused_below for each in results) / seeds
+        messages = sum(each.messages for each in results) / seeds
         print(f"{name} | {way_name} | {worst:.2f} | {below:.4f} | {messages:.2f}")
 
 
