--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes.py
@@ -1,4 +1,4 @@
-"""Measures the slopes from which docs/CAPACITY.md works out its figures."""
+"""Command that measures the cost figures on which docs/CAPACITY.md is based."""
 
 import sys
 from dataclasses import asdict
@@ -29,7 +29,7 @@
 
 
 def table(figures: list[Figure]) -> str:
-    """Return figures as aligned lines."""
+    """Format figures as aligned lines."""
     width = max(len(figure.name) for figure in figures)
     return "\n".join(
         f"  {figure.name:<{width}}  {figure.value:12,.2f} {figure.unit}"
@@ -38,25 +38,28 @@
 
 
 def main(*, parts: list[str] | None = None, json: bool = False) -> None:
-    """Measure and print slopes.
+    """Measure and print costs, with their slopes against fleet and message sizes.
 
     Args:
-        parts: links, node, hosts, spread, state, sidecar or processes; all if none
-            is named.
+        parts: links, node, hosts, spread, state, sidecar or processes; all by default.
         json: print one JSON object instead of a table.
     """
     unknown = set(parts or ()) - PARTS.keys()
     if unknown:
-        sys.exit(f"no such part: {', '.join(sorted(unknown))}")
-    before = machine()
+        sys.exit(
+            f"unknown parts: {', '.join(sorted(unknown))}; expected {', '.join(PARTS)}"
+        )
+    host_load = machine()
     measured = {part: list(PARTS[part]()) for part in parts or PARTS}
-    report = {"machine": before}
+    report = {"machine": host_load}
     report |= {part: [asdict(f) for f in figures] for part, figures in measured.items()}
     if json:
         print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
         return
-    kind = "trials: the machine is busy" if before["trial"] else "measured"
-    print(f"load average {before['load_average']}, {before['cores']} cores; {kind}")
+    kind = "trials: the host is busy" if host_load["trial"] else "measured"
+    print(
+        f"load average {host_load['load_average']}, {host_load['cores']} cores; {kind}"
+    )
     for part, figures in measured.items():
         print(f"{part}\n{table(figures)}")
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
@@ -1,4 +1,4 @@
-"""Slopes against the number of hosts that a node knows: ticks, link plans, memory."""
+"""Cost of ticks, link plans and memory of a node by the number of known hosts."""
 
 import asyncio
 import itertools
@@ -28,11 +28,11 @@
 HOST_COUNTS = (17, 140, 560)
 TICKS_PER_S = 40
 TRUE_TRIAL_S = 2.0
-"""Length of the trial of ticks at the true pace, in seconds."""
+"""Length of the trial at the tick rate of a real node."""
 
 
 def measure() -> Iterator[Figure]:
-    """Measure ticks, link plans and memory against the number of hosts known."""
+    """Measure ticks, link plans and memory by the number of known hosts."""
     ticks_us, plans_us = {}, {}
     for hosts in HOST_COUNTS:
         node, _ = make_node("h1", hosts=hosts)
@@ -59,7 +59,7 @@
     )
     yield Figure(
         name=f"ticks with {largest} hosts, at the true pace",
-        value=100 * asyncio.run(_ticking(node)),
+        value=100 * asyncio.run(_tick_cpu_share(node)),
         unit="% of a core",
     )
     yield from _plan_figures(largest)
@@ -70,21 +70,21 @@
         lambda: membership.replace(records, next(versions), 0.0), count=50
     )
     yield Figure(name="host list taken", value=cost_us, unit="us")
-    told = len(encode(HostsReply(hosts=tuple(records)), sent_ms=0))
-    yield Figure(name="host list from a peer", value=told / 1_000, unit="kB")
-    plain = len(serialize_record(_HOST_LIST, tuple(records)))
-    yield Figure(name="host list", value=plain / 1_000, unit="kB")
-    cost_us = best_cpu_us(lambda: _choose_cold(membership), count=50)
+    reply_bytes = len(encode(HostsReply(hosts=tuple(records)), sent_ms=0))
+    yield Figure(name="host list from a peer", value=reply_bytes / 1_000, unit="kB")
+    list_bytes = len(serialize_record(_HOST_LIST, tuple(records)))
+    yield Figure(name="host list", value=list_bytes / 1_000, unit="kB")
+    cost_us = best_cpu_us(lambda: _select_uncached(membership), count=50)
     yield Figure(name="candidates of a service, anew", value=cost_us, unit="us")
 
 
-async def _ticking(node: Node) -> float:
-    """Return the share of a core that ticks take when a loop sleeps between them."""
-    began_s, began_cpu_s = time.monotonic(), time.process_time()
-    while (elapsed_s := time.monotonic() - began_s) < TRUE_TRIAL_S:
+async def _tick_cpu_share(node: Node) -> float:
+    """Return the share of a core used by ticks of an event loop that sleeps between."""
+    start_s, start_cpu_s = time.monotonic(), time.process_time()
+    while (elapsed_s := time.monotonic() - start_s) < TRUE_TRIAL_S:
         node.tick(60_000.0)
         await asyncio.sleep(1 / TICKS_PER_S)
-    return (time.process_time() - began_cpu_s) / elapsed_s
+    return (time.process_time() - start_cpu_s) / elapsed_s
 
 
 def _plan_figures(hosts: int) -> Iterator[Figure]:
@@ -107,6 +107,6 @@
     return membership
 
 
-def _choose_cold(membership: Membership) -> None:
+def _select_uncached(membership: Membership) -> None:
     membership.distrust(0.0)
     membership.candidates("service-7", 0.0)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
@@ -1,4 +1,4 @@
-"""Slopes of links: processor time, memory and bytes of heartbeats both ways."""
+"""Cost of links: processor time, memory and bytes of heartbeats in both directions."""
 
 import asyncio
 import gc
@@ -31,13 +31,13 @@
 
 LINK_COUNTS = (7, 14, 28, 56)
 BEAT_MS = 20
-"""Heartbeats come fifty times faster than in a node, so that a trial is short."""
+"""Heartbeat interval of trials: a fiftieth of a node's, which keeps trials short."""
 TRIAL_S = 0.5
-"""Length of one trial of heartbeats, in seconds."""
+"""Length of one trial of heartbeats."""
 TRIALS = 2
 TRUE_BEAT_MS = 1_000
 TRUE_TRIAL_S = 4.0
-"""Length of the trial at the true pace, in seconds."""
+"""Length of the trial at the heartbeat interval of a node."""
 PREFIX_BYTES = 4
 
 HEARTBEAT = Heartbeat(
@@ -73,13 +73,13 @@
 
 
 class _Quiet:
-    """Takes no notice of links; counts those that are up."""
+    """Link event handler that only counts established links."""
 
     def __init__(self):
         self.up = 0
 
     def link_up(self, host: str, hello: Hello, session: int, dialled: bool) -> None:
-        """Count."""
+        """Count the link."""
         self.up += 1
 
     def link_message(
@@ -92,15 +92,14 @@
 
 
 def frame_bytes(message: Message) -> int:
-    """Return the length of a message on a link, its prefix included."""
+    """Return the length of a message on a link, including the length prefix."""
     return len(encode(message, sent_ms=86_400_000)) + PREFIX_BYTES
 
 
 def link_bytes_per_s() -> int:
-    """Return bytes a second of heartbeats on one idle link, both ways, without TCP.
+    """Return the bytes per second of heartbeats on an idle link, without TCP overhead.
 
-    The dialling node sends a heartbeat; the accepting one answers it and sends its
-    own, which isn't answered.
+    Each second both nodes send a heartbeat; only the accepting node replies to it.
     """
     reply = HeartbeatReply(sequence=HEARTBEAT.sequence)
     return 2 * frame_bytes(HEARTBEAT) + frame_bytes(reply)
@@ -109,7 +108,7 @@
 async def _beat_cost(
     links: int, *, beat_ms: float = BEAT_MS, trial_s: float = TRIAL_S
 ) -> tuple[float, float]:
-    """Return processor time of a beat of all links in us, and held bytes."""
+    """Return processor time (us) of a heartbeat on all links, and allocated bytes."""
     events = _Quiet()
     timing = LinkTiming(heartbeat_ms=beat_ms, silence_ms=60_000)
     gc.collect()
@@ -142,10 +141,10 @@
     tracemalloc.stop()
     costs_us = []
     for _ in range(TRIALS):
-        began_s, began_cpu_ns = time.monotonic(), time.process_time_ns()
+        start_s, start_cpu_ns = time.monotonic(), time.process_time_ns()
         await asyncio.sleep(trial_s)
-        cpu_us = (time.process_time_ns() - began_cpu_ns) / 1_000
-        beats = (time.monotonic() - began_s) * 1000 / beat_ms
+        cpu_us = (time.process_time_ns() - start_cpu_ns) / 1_000
+        beats = (time.monotonic() - start_s) * 1000 / beat_ms
         costs_us.append(cpu_us / beats)
     await pool.close()
     for server in servers:
@@ -166,7 +165,7 @@
 
 
 def measure() -> Iterator[Figure]:
-    """Measure heartbeats against the number of links, and the coding of messages."""
+    """Measure heartbeats by the number of links, and encoding of messages."""
     costs_us, held = {}, {}
     for links in LINK_COUNTS:
         costs_us[links], held[links] = asyncio.run(_beat_cost(links))
@@ -174,12 +173,12 @@
     per_link_us = line_through(costs_us)[1]
     yield Figure(name="beat per link, both ends", value=per_link_us, unit="us")
     largest = max(LINK_COUNTS)
-    slow_us, _ = asyncio.run(
+    interval_us, _ = asyncio.run(
         _beat_cost(largest, beat_ms=TRUE_BEAT_MS, trial_s=TRUE_TRIAL_S)
     )
     yield Figure(
         name=f"beat per link at the true pace, {largest} links, both ends",
-        value=slow_us / largest,
+        value=interval_us / largest,
         unit="us",
     )
     per_link_bytes = line_through(held)[1]
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
@@ -1,4 +1,4 @@
-"""Slopes of the decisions alone: two nodes joined by plain queues, no sockets."""
+"""Cost of the decisions of two nodes that exchange messages without sockets."""
 
 import itertools
 import random
@@ -30,17 +30,17 @@
 SERVICES, ZONES = 50, 6
 SERVICE = "archiv"
 BATCH = 8
-"""Calls in flight at once: below every limit, so that none waits or is refused."""
+"""Concurrent calls: below every limit, so that no call waits or is refused."""
 BATCHES = 300
 OPEN_CALLS = 750
-"""Calls out at once: two seconds of 375."""
+"""Calls that are open at the same time: two seconds at 375 calls per second."""
 STEP_MS = 25.0
 MAX_ANSWER_BYTES = 8_388_608
 ANSWER = BackendResult(verdict=Verdict.ANSWERED, status=200, body=b"x" * 500)
 
 
 class Ports:
-    """All ports of a node; keeps what passes through them."""
+    """All ports of a node, which record what is sent through them."""
 
     def __init__(self):
         self.sent: deque[Message] = deque()
@@ -48,7 +48,7 @@
         self.responses: list[Outcome] = []
 
     def send(self, host: str, message: Message) -> int | None:
-        """Keep a message to the one peer."""
+        """Record a message to the only peer."""
         self.sent.append(message)
         return 1
 
@@ -56,27 +56,27 @@
         """Do nothing: the link is up."""
 
     def announce(self, message: Message) -> None:
-        """Do nothing: the peer needs no news."""
+        """Do nothing: the peer needs no announcements."""
 
     def reply(self, node: NodeId, message: Message) -> bool:
-        """Keep a message to the one peer."""
+        """Record a message to the only peer."""
         self.sent.append(message)
         return True
 
     def dispatch(self, key: CallKey, call: object, traceparent: str) -> None:
-        """Keep a started call."""
+        """Record a started call."""
         self.dispatched.append(key)
 
     def cancel(self, key: CallKey) -> None:
         """Do nothing: no call is cancelled here."""
 
     def respond(self, handle: int, outcome: Outcome) -> None:
-        """Keep an outcome."""
+        """Record an outcome."""
         self.responses.append(outcome)
 
 
 def host_records(hosts: int) -> tuple[HostRecord, ...]:
-    """Return a fleet's host list; ``h0`` serves ``archiv``."""
+    """Return the host list of a fleet; ``h0`` serves ``archiv``."""
     return tuple(
         HostRecord(
             name=f"h{number}",
@@ -92,7 +92,7 @@
 
 
 def make_node(host: str, *, hosts: int = 2) -> tuple[Node, Ports]:
-    """Return a node that serves a small document and knows a fleet."""
+    """Return a node with a small document and the host list of a fleet."""
     ports, rng = Ports(), random.Random(1)
     node_id = NodeId(host, int(host[1:]) + 1)
     membership = Membership(self_host=host)
@@ -132,7 +132,7 @@
 
 
 class Pair:
-    """An owner ``h1`` and the executing node ``h0``, joined by their queues."""
+    """Owner ``h1`` and executing node ``h0``, which exchange messages by queues."""
 
     def __init__(self):
         self.now_ms = 60_000.0
@@ -146,10 +146,10 @@
         self.owner_ns = self.executor_ns = 0
 
     def batch(self) -> None:
-        """Pass ``BATCH`` calls from submission to outcome and time both sides."""
+        """Run ``BATCH`` calls from submission to outcome and time both nodes."""
         self.now_ms += STEP_MS
         owner, executor = self.owner, self.executor
-        began_ns = time.process_time_ns()
+        start_ns = time.process_time_ns()
         self.submit(BATCH)
         submitted_ns = time.process_time_ns()
         self._deliver(self.owner_ports, executor, owner.node)
@@ -159,15 +159,15 @@
         executed_ns = time.process_time_ns()
         self._deliver(self.executor_ports, owner, executor.node)
         owner.tick(self.now_ms + 10)
-        ended_ns = time.process_time_ns()
+        settled_ns = time.process_time_ns()
         self._deliver(self.owner_ports, executor, owner.node)
         executor.tick(self.now_ms + 10)
-        last_ns = time.process_time_ns()
-        self.owner_ns += submitted_ns - began_ns + ended_ns - executed_ns
-        self.executor_ns += executed_ns - submitted_ns + last_ns - ended_ns
+        end_ns = time.process_time_ns()
+        self.owner_ns += submitted_ns - start_ns + settled_ns - executed_ns
+        self.executor_ns += executed_ns - submitted_ns + end_ns - settled_ns
 
     def submit(self, calls: int) -> None:
-        """Hand new calls to the owner."""
+        """Submit new calls to the owner."""
         for handle in itertools.islice(self.handles, calls):
             request = Request(
                 handle=handle,
@@ -186,13 +186,15 @@
 
 def _call_figures() -> Iterator[Figure]:
     pair = Pair()
-    sides: list[tuple[float, float]] = []
+    costs_us: list[tuple[float, float]] = []
     for _ in range(3):
         pair.owner_ns = pair.executor_ns = 0
         for _ in range(BATCHES):
             pair.batch()
         calls = BATCH * BATCHES
-        sides.append((pair.owner_ns / calls / 1_000, pair.executor_ns / calls / 1_000))
+        costs_us.append(
+            (pair.owner_ns / calls / 1_000, pair.executor_ns / calls / 1_000)
+        )
     answered = sum(
         outcome.verdict is Verdict.ANSWERED for outcome in pair.owner_ports.responses
     )
@@ -200,13 +202,13 @@
     yield Figure(
         name="calls answered in the trial", value=100 * answered / total, unit="%"
     )
-    owner_us, executor_us = (min(side) for side in zip(*sides, strict=True))
+    owner_us, executor_us = (min(costs) for costs in zip(*costs_us, strict=True))
     yield Figure(name="owner's decisions per call", value=owner_us, unit="us")
     yield Figure(name="executing decisions per call", value=executor_us, unit="us")
 
 
 def _open_call_figure() -> Figure:
-    """Measure what an owner holds for a call that is out, its message included."""
+    """Measure the memory that an owner uses for an open call, including its message."""
     pair = Pair()
     pair.submit(BATCH)
     _, held = held_bytes(lambda: pair.submit(OPEN_CALLS))
@@ -215,7 +217,7 @@
 
 
 def _heartbeat_figure() -> Figure:
-    """Measure what one node decides on a heartbeat and on a proof of reading."""
+    """Measure the decisions of a node on heartbeats and on proof that a peer reads."""
     node, _ = make_node("h1", hosts=560)
     peer = NodeId("h0", 1)
     node.link_up(peer, 1, dialled=True, now_ms=60_000.0)
@@ -226,12 +228,12 @@
         document_digest=node.configuration.keeper.stamp.digest,
     )
 
-    def beat() -> None:
+    def receive_heartbeats() -> None:
         node.message(peer, 1, heartbeat, 60_001.0)
         node.message(peer, 1, heartbeat, 60_001.0)
         node.link_proved(peer, 60_000.0, 60_001.0)
 
-    cost_us = best_cpu_us(beat, count=1_000)
+    cost_us = best_cpu_us(receive_heartbeats, count=1_000)
     return Figure(
         name="decisions per link and beat, both ends", value=cost_us, unit="us"
     )
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_processes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_processes.py
@@ -1,4 +1,4 @@
-"""Slopes of whole processes: a node idle and loaded, beside a bare relay of HTTP."""
+"""Cost of real processes: nodes, idle and under load, and a plain HTTP relay."""
 
 import asyncio
 import tempfile
@@ -14,14 +14,14 @@
 from sassafraswinch_standins.slopes_timing import Figure
 
 IDLE_S = 4.0
-"""Idle time watched, in seconds: processor time is counted in steps of 10 ms."""
+"""Observed idle time; processor time is counted in steps of 10 ms."""
 RATE_PER_S = 150.0
 LOAD_MS = 3_000.0
 BYTES_PER_MB = 1024 * 1024
 
 
-def _load(entry: str, graph, *, direct: bool) -> int:
-    """Send calls to an entry; returns how many were answered well."""
+def _send_load(entry: str, graph, *, direct: bool) -> int:
+    """Send calls to an ingress address and return the number of good responses."""
     caller = Caller(
         settings=CallerSettings(
             name="slopes",
@@ -37,13 +37,13 @@
     return report["traffic"]["work"]["outcomes"]["good"]
 
 
-def _memory(name: str, process: ManagedProcess) -> Figure:
+def _memory_figure(name: str, process: ManagedProcess) -> Figure:
     memory_mb = process.resident_bytes() / BYTES_PER_MB
     return Figure(name=name, value=memory_mb, unit="MB")
 
 
 def measure() -> Iterator[Figure]:
-    """Measure two nodes of a fleet, and one hop that only relays."""
+    """Measure two nodes of a fleet and a process that only relays HTTP."""
     graph = two_services()
     with tempfile.TemporaryDirectory(prefix="sassafraswinch-slopes-") as name:
         directory = Path(name)
@@ -59,42 +59,44 @@
                 )
                 hop.start()
                 relay = hop.listening(START_TIMEOUT_S)
-                yield from _figures(fleet, hop, relay, graph)
+                yield from _process_figures(fleet, hop, relay, graph)
             finally:
                 if hop is not None:
                     hop.kill()
 
 
-def _figures(fleet: Fleet, hop: ManagedProcess, relay: str, graph) -> Iterator[Figure]:
+def _process_figures(
+    fleet: Fleet, hop: ManagedProcess, relay: str, graph
+) -> Iterator[Figure]:
     front, back = fleet.node("front-1"), fleet.node("back-1")
-    yield _memory("bare relay, idle", hop)
-    yield _memory("node, idle", front)
+    yield _memory_figure("bare relay, idle", hop)
+    yield _memory_figure("node, idle", front)
     idle_percent, relay_percent = _idle_percents(front, hop)
     yield Figure(name="node, idle", value=idle_percent, unit="% of a core")
     yield Figure(name="bare relay, idle", value=relay_percent, unit="% of a core")
     seconds = LOAD_MS / 1_000
     before = {process: process.cpu_s() for process in (front, back)}
-    answered = _load(fleet.hosts["front-1"].entry, graph, direct=False)
+    answered = _send_load(fleet.hosts["front-1"].entry, graph, direct=False)
     yield Figure(name="calls answered by two nodes", value=answered, unit="calls")
     for label, process in (("entry and link", front), ("link and dispatch", back)):
         used_s = process.cpu_s() - before[process] - idle_percent / 100 * seconds
         cost_us = 1e6 * used_s / max(1, answered)
         yield Figure(name=f"{label}, per call", value=cost_us, unit="us")
-    yield _memory("node, after load", front)
-    began_cpu_s = hop.cpu_s()
-    answered = _load(relay, graph, direct=True)
-    cost_us = 1e6 * (hop.cpu_s() - began_cpu_s) / max(1, answered)
+    yield _memory_figure("node, after load", front)
+    start_cpu_s = hop.cpu_s()
+    answered = _send_load(relay, graph, direct=True)
+    cost_us = 1e6 * (hop.cpu_s() - start_cpu_s) / max(1, answered)
     yield Figure(name="bare relay, per call", value=cost_us, unit="us")
-    yield _memory("bare relay, after load", hop)
+    yield _memory_figure("bare relay, after load", hop)
 
 
 def _idle_percents(*processes: ManagedProcess) -> tuple[float, ...]:
-    """Watch idle processes for a while; return the share of a core each used."""
-    began_s = time.monotonic()
+    """Return the percentage of a core that each idle process used."""
+    start_s = time.monotonic()
     before_s = [process.cpu_s() for process in processes]
     time.sleep(IDLE_S)
     used_s = [
         process.cpu_s() - before
         for process, before in zip(processes, before_s, strict=True)
     ]
-    return tuple(100 * used / (time.monotonic() - began_s) for used in used_s)
+    return tuple(100 * used / (time.monotonic() - start_s) for used in used_s)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -1,4 +1,4 @@
-"""Slopes of a sidecar's control: what is told, and decisions by size of the fleet."""
+"""Cost of a sidecar's messages and decisions by the size of the fleet."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -27,23 +27,23 @@
 from sassafraswinch_standins.slopes_timing import Figure, best_cpu_us
 
 FLEETS = (17, 140, 560)
-"""Sizes, in hosts."""
+"""Fleet sizes in hosts."""
 
 ZONES = 6
 SERVICES = 50
 SERVICES_CALLED = (3, 50)
-"""Services that the requests of one entry lead to."""
+"""Numbers of services that the requests of one ingress sidecar use."""
 
 PRIORITIES = 3
 ROUTES = 4
-"""Routes whose requests arrive at one entry."""
+"""Routes whose requests arrive at one ingress sidecar."""
 
 COUNT = 200
-"""Calls in a round."""
+"""Calls of the measured function in each round."""
 
 
 def demand_of(services: int) -> list[Claim]:
-    """Return the demand of an entry whose routes lead to so many services."""
+    """Return the demand of an ingress sidecar whose routes use some services."""
     names = [f"service-{number}" for number in range(services)]
     return [
         Claim(
@@ -57,7 +57,7 @@
 
 
 def report(services: int) -> HostReport:
-    """Return the report of a host whose requests lead to so many services."""
+    """Return the report of a host whose requests use some services."""
     return HostReport(
         revision=120_000,
         load=ServerLoad(in_flight=60, queued=9, limit=110),
@@ -88,52 +88,54 @@
 
 
 def measure() -> Iterator[Figure]:
-    """Measure messages first, then decisions by size of the fleet."""
-    yield from _messages()
+    """Measure messages, then decisions by size of the fleet."""
+    yield from _message_figures()
     for count in FLEETS:
-        yield from _decisions(count)
+        yield from _decision_figures(count)
 
 
-def _messages() -> Iterator[Figure]:
+def _message_figures() -> Iterator[Figure]:
     for services in SERVICES_CALLED:
-        yield from _message(f"report, {services} services", report(services))
+        yield from _codec_figures(f"report, {services} services", report(services))
     for count in FLEETS:
-        yield from _gathering(count)
+        yield from _aggregation_figures(count)
 
 
-def _message(name: str, message: Message) -> Iterator[Figure]:
+def _codec_figures(name: str, message: Message) -> Iterator[Figure]:
     frame = serialize_message(message)
     payload = frame[LENGTH_BYTES:]
     yield Figure(name=f"{name}, frame", value=len(frame), unit="B")
-    yield _cost(f"{name}, written", partial(serialize_message, message))
-    yield _cost(f"{name}, read", partial(parse_message, payload))
+    yield _cost_figure(f"{name}, written", partial(serialize_message, message))
+    yield _cost_figure(f"{name}, read", partial(parse_message, payload))
 
 
-def _gathering(count: int) -> Iterator[Figure]:
-    """Measure what the sums of a fleet cost a gatherer, and a host of its zone."""
-    gatherers = [
+def _aggregation_figures(count: int) -> Iterator[Figure]:
+    """Measure the cost of fleet totals at an aggregator and at a host of its zone."""
+    aggregators = [
         ZoneGatherer(
             availability_zone=f"zone-{n}", is_near_limit=lambda name, use: True
         )
         for n in range(ZONES)
     ]
     for number, found in enumerate(hosts(count)):
-        gatherers[number % ZONES].heard(found.ip, report(SERVICES_CALLED[0]), 0.0)
-    first, *others = gatherers
+        aggregators[number % ZONES].heard(found.ip, report(SERVICES_CALLED[0]), 0.0)
+    first, *others = aggregators
     for other in others:
         first.heard_zone(other.summary(), 0.0)
     own = first.summary()
     digest = first.digest(own, 120_000, 0.0)
     view = FleetView(own_ip="10.9.0.1")
-    yield from _message(f"digest of {count} hosts", digest)
-    answer = SummaryReply(120_000, ["10.0.0.0", "10.0.0.6"], own)
-    yield from _message(f"zone's sum of {count} hosts", answer)
-    yield _cost(f"zone added up, {count} hosts", first.summary)
-    yield _cost(f"digest made, {count} hosts", lambda: first.digest(own, 120_000, 0.0))
-    yield _cost(f"digest taken, {count} hosts", lambda: view.take(digest, 0.0))
+    yield from _codec_figures(f"digest of {count} hosts", digest)
+    reply = SummaryReply(120_000, ["10.0.0.0", "10.0.0.6"], own)
+    yield from _codec_figures(f"zone's sum of {count} hosts", reply)
+    yield _cost_figure(f"zone added up, {count} hosts", first.summary)
+    yield _cost_figure(
+        f"digest made, {count} hosts", lambda: first.digest(own, 120_000, 0.0)
+    )
+    yield _cost_figure(f"digest taken, {count} hosts", lambda: view.take(digest, 0.0))
 
 
-def _decisions(count: int) -> Iterator[Figure]:
+def _decision_figures(count: int) -> Iterator[Figure]:
     instances = hosts(count)
     loads = {found.ip: PeerLoad(in_flight=60, limit=103) for found in instances}
     admission = EntryAdmission()
@@ -148,17 +150,17 @@
     )
     of_service = [found for found in instances if found.service == "service-0"]
     zone = {f"10.1.0.{n}": n < 2 for n in range(count // ZONES)}
-    duty = ZoneDuty(own_ip="10.2.0.0", holders=2, step_ms=50.0)
+    role = ZoneDuty(own_ip="10.2.0.0", holders=2, step_ms=50.0)
     measured = {
         "slots that can be reached": lambda: capacities_of(instances, loads.get),
         "admission decided": lambda: admission.decide(capacities, 1_000.0, demand),
-        "watch duty decided": lambda: duty.decide(zone, 1_000.0),
+        "watch duty decided": lambda: role.decide(zone, 1_000.0),
         "instance chosen": lambda: placement.choose(of_service, (), 0.0),
     }
     for name, action in measured.items():
-        yield _cost(f"{name}, {count} hosts", action)
+        yield _cost_figure(f"{name}, {count} hosts", action)
 
 
-def _cost(name: str, action: Callable[[], object]) -> Figure:
+def _cost_figure(name: str, action: Callable[[], object]) -> Figure:
     cost_us = best_cpu_us(action, count=COUNT)
     return Figure(name=name, value=cost_us, unit="us")
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
@@ -1,4 +1,4 @@
-"""How far a new document travels over the links that 560 nodes plan."""
+"""Hops and connectivity of the links that 560 nodes plan to spread documents."""
 
 import random
 from collections import Counter
@@ -12,13 +12,13 @@
 
 HOSTS = 560
 CALLED = (0, 3)
-"""Services that each host calls."""
+"""Numbers of services that each host calls."""
 
 Graph = Mapping[str, set[str]]
 
 
 def planned_graph(records: tuple[HostRecord, ...], called: int, seed: int) -> Graph:
-    """Return the links of a fleet, each usable both ways, as neighbours by host."""
+    """Return the links of a fleet as neighbours by host; links work in both ways."""
     rng = random.Random(seed)
     neighbours: dict[str, set[str]] = {record.name: set() for record in records}
     for record in records:
@@ -32,29 +32,29 @@
 
 
 def hops_from(graph: Graph, sources: set[str]) -> dict[str, int]:
-    """Return the fewest links from any source to each host that can be reached."""
+    """Return the number of hops from the nearest source to each reachable host."""
     hops = dict.fromkeys(sources, 0)
-    edge, distance = set(sources), 0
-    while edge:
+    frontier, distance = set(sources), 0
+    while frontier:
         distance += 1
-        edge = {far for near in edge for far in graph[near]} - hops.keys()
-        hops |= dict.fromkeys(edge, distance)
+        frontier = {far for near in frontier for far in graph[near]} - hops.keys()
+        hops |= dict.fromkeys(frontier, distance)
     return hops
 
 
 def largest_part(graph: Graph, members: set[str]) -> int:
-    """Return the size of the largest connected part of a graph cut to ``members``."""
+    """Return the size of the largest connected component among ``members``."""
     inside = {name: graph[name] & members for name in members}
-    left, largest = set(members), 0
-    while left:
-        part = hops_from(inside, {next(iter(left))}).keys()
-        largest = max(largest, len(part))
-        left -= part
+    remaining, largest = set(members), 0
+    while remaining:
+        component = hops_from(inside, {next(iter(remaining))}).keys()
+        largest = max(largest, len(component))
+        remaining -= component
     return largest
 
 
 def measure() -> Iterator[Figure]:
-    """Measure hops from the watchers, and how whole a cut-off zone stays."""
+    """Measure hops from the watchers, and connectivity of a partitioned zone."""
     records = host_records(HOSTS)
     zone = {r.name for r in records if r.availability_zone == "zone-0"}
     for called in CALLED:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
@@ -1,4 +1,4 @@
-"""Slopes of what a node remembers: documents, tickets, received calls, burn."""
+"""Cost of a node's state: documents, tickets, received calls and burn series."""
 
 import json
 import time
@@ -24,9 +24,9 @@
 )
 
 DOCUMENT_BYTES = (10_000, 100_000, 950_000)
-"""Sizes aimed at; the figures name the sizes reached."""
+"""Approximate sizes; the figures name the actual sizes."""
 PARSES = 1
-"""Parses in a round: the largest document takes long."""
+"""Parses in a round: only one, since the largest document takes long."""
 SERVICES = 50
 CLASS_COUNTS = (10, 40, 160)
 RECORDS = 2_000
@@ -35,14 +35,14 @@
 
 
 def make_body(size_bytes: int, *, classes: int = 10) -> bytes:
-    """Return a valid document of about this many bytes.
+    """Return a valid document of about ``size_bytes``.
 
-    A third each of its entries are organisations, callers and operations; there are
+    Organisations, callers and operations are a third each of the entries; there are
     50 services. Each class but the last has two selectors.
     """
     entry_bytes = 85
     count = max(1, (size_bytes - 5_000) // (3 * entry_bytes))
-    chosen = [
+    selecting_classes = [
         {
             "name": f"class-{number}",
             "organisations": f"tier=tier-{number}",
@@ -74,7 +74,7 @@
             }
             for n in range(count)
         ],
-        "classes": [*chosen, {"name": "rest", "deadline_ms": 2_000}],
+        "classes": [*selecting_classes, {"name": "rest", "deadline_ms": 2_000}],
         "non_repeatable": ["action in (approval, release)"],
     }
     return json.dumps(body, separators=(",", ":")).encode()
@@ -114,11 +114,11 @@
     yield Figure(
         name="most memory while the largest is read", value=peak / 1e6, unit="MB"
     )
-    text = yaml.dump(json.loads(body), Dumper=yaml.CSafeDumper).encode()
-    began_ns = time.process_time_ns()
-    _parse(text)
-    yaml_ms = (time.process_time_ns() - began_ns) / 1e6
-    name = f"the largest as YAML, {len(text) / 1_000:.0f} kB: taken"
+    yaml_body = yaml.dump(json.loads(body), Dumper=yaml.CSafeDumper).encode()
+    start_ns = time.process_time_ns()
+    _parse(yaml_body)
+    yaml_ms = (time.process_time_ns() - start_ns) / 1e6
+    name = f"the largest as YAML, {len(yaml_body) / 1_000:.0f} kB: taken"
     yield Figure(name=name, value=yaml_ms, unit="ms")
     digest_us = best_cpu_us(lambda: digest(body), count=10)
     yield Figure(name="digest of the largest", value=digest_us, unit="us")
@@ -128,17 +128,19 @@
 def _classify_figures(document: Document) -> Iterator[Figure]:
     classifier = Classifier(document=document)
 
-    def hit() -> None:
+    def classify_cached() -> None:
         found = classifier.operation("service-0", "GET", "/r0/7")
         classifier.classify(
             caller="caller-1", organisation="organisation-1", operation=found
         )
 
     yield Figure(
-        name="classify, remembered", value=best_cpu_us(hit, count=2_000), unit="us"
+        name="classify, remembered",
+        value=best_cpu_us(classify_cached, count=2_000),
+        unit="us",
     )
     costs_us = {
-        classes: _classify_anew_us(_parse(make_body(50_000, classes=classes)))
+        classes: _uncached_classify_us(_parse(make_body(50_000, classes=classes)))
         for classes in CLASS_COUNTS
     }
     base_us, per_class_us = line_through(costs_us)
@@ -150,8 +152,8 @@
     )
 
 
-def _classify_anew_us(document: Document) -> float:
-    """Return the cost of a caller not met before whom only the last class takes."""
+def _uncached_classify_us(document: Document) -> float:
+    """Return the cost to classify a new caller that only the last class matches."""
     classifier = Classifier(document=document)
     operation = document.operations[1]
     callers = iter(document.callers)
@@ -171,14 +173,14 @@
     issued, held = held_bytes(
         lambda: [ledger.issue("acme", "approve", 1.0) for _ in range(RECORDS)]
     )
-    texts = sum(text.__sizeof__() for text in issued)
-    unused = max(0, held - texts - issued.__sizeof__()) / RECORDS
+    ticket_bytes = sum(ticket.__sizeof__() for ticket in issued)
+    unused = max(0, held - ticket_bytes - issued.__sizeof__()) / RECORDS
     yield Figure(name="ticket not used", value=unused, unit="B")
 
-    def use() -> None:
-        for text in issued:
-            mark = fingerprint("POST", "/orders/7", text.encode())
-            claim = ledger.claim(text, "acme", "approve", mark, 2.0)
+    def use_tickets() -> None:
+        for ticket in issued:
+            request_fingerprint = fingerprint("POST", "/orders/7", ticket.encode())
+            claim = ledger.claim(ticket, "acme", "approve", request_fingerprint, 2.0)
             assert isinstance(claim, Dispatch)
             answer = Answer(
                 number=claim.number,
@@ -188,14 +190,14 @@
             )
             ledger.finish(claim.number, answer, 3.0)
 
-    _, held = held_bytes(use)
+    _, held = held_bytes(use_tickets)
     yield Figure(name="ticket with an answer of 500 B", value=held / RECORDS, unit="B")
 
 
 def _ledger_figures() -> Iterator[Figure]:
     ledger, owner = ExecutionLedger(max_answer_bytes=2**23), NodeId("h2", 8)
 
-    def receive() -> None:
+    def receive_calls() -> None:
         for number in range(1, RECORDS + 1):
             ledger.receive(owner, 1, number)
             ledger.start(owner, number)
@@ -207,10 +209,10 @@
             )
             ledger.finish(owner, number, answer)
 
-    _, held = held_bytes(receive)
+    _, held = held_bytes(receive_calls)
     yield Figure(name="received call, unacknowledged", value=held / RECORDS, unit="B")
 
-    def acknowledged() -> ExecutionLedger:
+    def acknowledge_calls() -> ExecutionLedger:
         kept = ExecutionLedger(max_answer_bytes=2**23)
         for number in range(1, RECORDS + 1):
             kept.receive(owner, 1, number)
@@ -220,14 +222,16 @@
             kept.acknowledge(owner, (number,))
         return kept
 
-    _, left = held_bytes(acknowledged)
-    yield Figure(name="received call, acknowledged", value=left / RECORDS, unit="B")
+    _, remaining = held_bytes(acknowledge_calls)
+    yield Figure(
+        name="received call, acknowledged", value=remaining / RECORDS, unit="B"
+    )
 
 
 def _burn_figures() -> Iterator[Figure]:
     series = 16
 
-    def fill() -> BurnRecorder:
+    def fill_recorder() -> BurnRecorder:
         recorder = BurnRecorder(host="h1", now_ms=0.0)
         for now_ms in range(0, SIX_HOURS_MS, 300_000):
             for number in range(series):
@@ -241,12 +245,12 @@
                 )
         return recorder
 
-    _, held = held_bytes(fill)
+    _, held = held_bytes(fill_recorder)
     yield Figure(name="burn series", value=held / series / 1_000, unit="kB")
 
 
 def measure() -> Iterator[Figure]:
-    """Measure documents against their size, and records one by one."""
+    """Measure documents by size, and the memory of single records."""
     yield from _document_figures()
     yield from _ticket_figures()
     yield from _ledger_figures()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_timing.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_timing.py
@@ -1,4 +1,4 @@
-"""Measuring of slopes: processor time, memory, and straight lines through points."""
+"""Measurement of processor time and memory, and linear fits."""
 
 import gc
 import os
@@ -11,7 +11,7 @@
 Made = TypeVar("Made")
 
 ROUNDS = 5
-"""Rounds of a measurement; the best one counts, since other work only adds time."""
+"""Rounds of a measurement; the fastest counts, since other load only adds time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -24,24 +24,24 @@
 
 
 def best_cpu_us(action: Callable[[], object], *, count: int) -> float:
-    """Return the processor time of one call of ``action``, in microseconds.
+    """Return the processor time of one call of ``action`` in microseconds.
 
     Args:
-        action: what is measured.
-        count: calls in each round.
+        action: function to measure.
+        count: number of calls in each round.
     """
     rounds_ns = []
     for _ in range(ROUNDS):
         gc.collect()
-        began_ns = time.process_time_ns()
+        start_ns = time.process_time_ns()
         for _ in range(count):
             action()
-        rounds_ns.append(time.process_time_ns() - began_ns)
+        rounds_ns.append(time.process_time_ns() - start_ns)
     return min(rounds_ns) / count / 1_000
 
 
 def held_bytes(make: Callable[[], Made]) -> tuple[Made, int]:
-    """Return what ``make`` returns, and the bytes allocated for it and still held."""
+    """Return the result of ``make``, and the bytes still allocated for it."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -53,7 +53,7 @@
 
 
 def peak_bytes(action: Callable[[], object]) -> int:
-    """Return the most bytes allocated at once while ``action`` runs."""
+    """Return the peak number of allocated bytes while ``action`` runs."""
     gc.collect()
     tracemalloc.start()
     action()
@@ -63,10 +63,10 @@
 
 
 def line_through(points: Mapping[float, float]) -> tuple[float, float]:
-    """Return base and slope of the line of least squares through points.
+    """Return intercept and slope of a linear least-squares fit.
 
     Args:
-        points: measured value by size; at least two sizes.
+        points: measured values by size; at least two sizes.
     """
     mean_x = sum(points) / len(points)
     mean_y = sum(points.values()) / len(points)
@@ -77,17 +77,20 @@
 
 
 def core_percent(cost_us: float, times_per_s: float) -> float:
-    """Return the share of one core that a repeated cost takes, in percent."""
+    """Return the percentage of one core that a periodic cost uses."""
     return cost_us * times_per_s / 10_000
 
 
 def is_busy(load_average: float, cores: int) -> bool:
-    """Return whether figures are trials: over half of the cores have other work."""
+    """Return whether the load average exceeds half the cores.
+
+    Figures that are measured then count as trials.
+    """
     return load_average > cores / 2
 
 
 def machine() -> dict[str, float | bool]:
-    """Return load average and cores of this machine, and whether it is busy."""
+    """Return load average and cores of this host, and whether it is busy."""
     cores = os.cpu_count() or 1
     load_average = os.getloadavg()[0]
     return {
--- a/packages/sassafraswinch-standins/tests/test_simulator.py
+++ b/packages/sassafraswinch-standins/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""Overloads replayed over the sidecars' own decisions, on a simulated clock."""
+"""Tests of the simulator: repeatability, and service by priority under overload."""
 
 import pytest
 
@@ -6,15 +6,17 @@
 from sassafraswinch_standins.simulator_load import PATTERNS
 
 
-def test_same_seed_plays_the_same():
+def test_same_seed_gives_same_figures():
     assert play("surge", 3, 2) == play("surge", 3, 2)
 
 
 @pytest.mark.parametrize("name", PATTERNS)
-def test_paying_requests_are_served_first_under_each_pattern(name):
-    """Whatever is full, slow or out of reach: the most important trees are served at
-    least as well as the least important ones that need the same.
+def test_most_important_requests_are_served_first_under_each_pattern(name):
+    """Guards against less important requests that displace more important ones.
+
+    Whichever service is full, slow or unreachable, the most important call trees are
+    served at least as well as the least important ones that use the same services.
     """
     figures = play(name, 1, 6)
-    first, last = ("approve", "history") if "approve" in figures else ("book", "view")
-    assert figures[first] >= figures[last] - 0.05
+    most, least = ("approve", "history") if "approve" in figures else ("book", "view")
+    assert figures[most] >= figures[least] - 0.05
--- a/packages/sassafraswinch-standins/tests/test_simulator_crashes.py
+++ b/packages/sassafraswinch-standins/tests/test_simulator_crashes.py
@@ -1,4 +1,4 @@
-"""Servers that end, by themselves and under one request, on a simulated clock."""
+"""Tests of crashing backend servers in the simulator."""
 
 import pytest
 
@@ -6,11 +6,14 @@
 
 
 @pytest.mark.parametrize("name", ["fatal", "crashes", "fatal-and-crashes"])
-def test_hardly_anybody_is_held_back_for_servers_that_end(name):
-    """Servers of the front end, by themselves, under one request that comes four times
-    a second, or both. That request may end three, and three more before all know of
-    it. Each end loses dozens of other requests, of which fewer are held back than
-    servers end, and none where servers end by themselves.
+def test_few_innocent_requests_are_held_back_after_crashes(name):
+    """Guards against holding back requests that only ran beside a fatal one.
+
+    Servers of ``front`` crash by themselves, under one fatal request that is sent four
+    times per second, or both. The fatal request may crash three servers, and three more
+    before all hosts have received the reports. Each crash interrupts dozens of other
+    requests; fewer of them are held back than servers crash, and none where servers
+    crash by themselves.
     """
     figures = play(name, 1)
     assert figures["view"] > 0.8
--- a/packages/sassafraswinch-standins/tests/test_simulator_rates.py
+++ b/packages/sassafraswinch-standins/tests/test_simulator_rates.py
@@ -1,4 +1,4 @@
-"""The limits of organisations over load patterns, at a small fleet's size."""
+"""Tests of the rate limits of organisations under load patterns, on a small fleet."""
 
 import random
 
@@ -22,7 +22,7 @@
 PER_S = 400.0
 
 
-def played(name, seed=1):
+def run_pattern(name, seed=1):
     return play_rates(
         pattern=RATE_PATTERNS[name],
         way=SumsTold,
@@ -36,21 +36,21 @@
 @pytest.mark.parametrize("name", RATE_PATTERNS)
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_limit_holds_over_every_window(name, seed):
-    assert played(name, seed).worst <= 1.0
+    assert run_pattern(name, seed).worst <= 1.0
 
 
-def test_next_to_nothing_is_refused_below_the_limit_when_calm():
-    assert played("calm").refused_below < 0.01
+def test_few_requests_below_the_limit_are_refused_under_usual_load():
+    assert run_pattern("calm").refused_below < 0.01
 
 
 MACHINE_HOSTS = 9
 LIMITED = Organisation(name="a", limit=RateLimit(rate_per_s=40.0, burst=40.0))
 FLOOD_PER_S = 200.0
-"""Five times the limit, as when eight times the usual is sent."""
+"""Five times the limit, as when eight times the usual rate is sent."""
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Floods, cuts, restarts, and reports that are lost or come twice."""
+    """Floods, network partitions, restarts, and reports that are lost or duplicated."""
 
     def __init__(self):
         super().__init__()
@@ -60,10 +60,10 @@
             rng=random.Random(1),
             limits={"a": LIMITED.limit},
         )
-        self.let_in = []
+        self.admitted_ms = []
 
     @rule(zone=st.sampled_from([0, 1, 2, None]))
-    def cut(self, zone):
+    def partition_zone(self, zone):
         self.fleet.cut_zone = zone
 
     @rule(numbers=st.sets(st.integers(0, MACHINE_HOSTS - 1), min_size=1))
@@ -71,35 +71,35 @@
         self.fleet.restart([self.fleet.hosts[number] for number in numbers])
 
     @rule(number=st.integers(0, MACHINE_HOSTS - 1), up=st.booleans())
-    def lose(self, number, up):
+    def set_host_up(self, number, up):
         self.fleet.hosts[number].up = up
 
     @rule()
-    def tell_twice(self):
+    def duplicate_reports(self):
         self.fleet.tell()
 
     @rule(
         steps=st.integers(1, 12),
         zones=st.sets(st.sampled_from(range(ZONES)), min_size=1),
-        part=st.sampled_from([0.1, 0.5, 1.0]),
+        flood_share=st.sampled_from([0.1, 0.5, 1.0]),
     )
-    def send(self, steps, zones, part):
+    def send(self, steps, zones, flood_share):
         senders = [h for h in self.fleet.hosts if h.up and h.zone in zones]
         for _ in range(steps):
             self.fleet.now_ms += STEP_MS
             self.fleet.tell()
             if not senders:
                 continue
-            count = round(FLOOD_PER_S * part * STEP_MS / 1000)
+            count = round(FLOOD_PER_S * flood_share * STEP_MS / 1000)
             for number in range(count):
                 host = senders[number % len(senders)]
                 at_ms = self.fleet.now_ms + number * STEP_MS / count
                 if host.way.ask(LIMITED, at_ms) is None:
-                    self.let_in.append(at_ms)
+                    self.admitted_ms.append(at_ms)
 
     @invariant()
     def every_window_holds(self):
-        assert worst_window(self.let_in, LIMITED.limit, 0.0) <= 1.0
+        assert worst_window(self.admitted_ms, LIMITED.limit, 0.0) <= 1.0
 
 
 LimitMachine.TestCase.settings = settings(
--- a/packages/sassafraswinch-standins/tests/test_slopes.py
+++ b/packages/sassafraswinch-standins/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""The arithmetic of slopes."""
+"""Tests of the arithmetic of cost measurements."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from sassafraswinch_standins import slopes_links, slopes_sidecar, slopes_timing
 
 
-def test_a_line_gives_base_and_slope():
+def test_line_through_points_gives_intercept_and_slope():
     points = {7: 107.0, 14: 114.0, 56: 156.0}
     assert slopes_timing.line_through(points) == pytest.approx((100.0, 1.0))
 
@@ -15,18 +15,18 @@
     assert slopes_timing.core_percent(cost_us=250, times_per_s=40) == 1.0
 
 
-def test_busy_above_half_of_the_cores():
+def test_host_is_busy_above_half_of_the_cores():
     assert not slopes_timing.is_busy(6.0, 12)
     assert slopes_timing.is_busy(6.1, 12)
 
 
-def test_bytes_of_a_link_are_two_heartbeats_and_one_answer():
-    beat = slopes_links.frame_bytes(slopes_links.HEARTBEAT)
+def test_bytes_of_an_idle_link_are_two_heartbeats_and_one_reply():
+    heartbeat = slopes_links.frame_bytes(slopes_links.HEARTBEAT)
     reply = slopes_links.frame_bytes(HeartbeatReply(sequence=86_400))
-    assert slopes_links.link_bytes_per_s() == 2 * beat + reply
+    assert slopes_links.link_bytes_per_s() == 2 * heartbeat + reply
 
 
-def test_the_sidecars_fleet_is_spread_over_zones_and_services():
+def test_sidecar_fleet_is_spread_over_zones_and_services():
     instances = slopes_sidecar.hosts(560)
     assert len({found.ip for found in instances}) == 560
     assert len({found.service for found in instances}) == slopes_sidecar.SERVICES
