--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -151,13 +151,13 @@
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
         """Admit a request, or return the delay until a retry (see ``Way``)."""
-        reached = self._fleet.reached(self._number)
+        reachable = self._fleet.reached(self._number)
         home = max(
-            reached, key=lambda host: hash((organisation.name, host.number * 7919))
+            reachable, key=lambda host: hash((organisation.name, host.number * 7919))
         )
         self._fleet.messages += 0 if home.number == self._number else 2
         limit = organisation.limit
-        share = len(reached) / len(self._fleet.hosts)
+        share = len(reachable) / len(self._fleet.hosts)
         bucket = home.way.buckets.setdefault(organisation.name, TokenBucket(0, now_ms))
         depth = max(1.0, limit.burst * share)
         if bucket.take(limit.rate_per_s * share, depth, now_ms):
@@ -199,7 +199,7 @@
         self.now_ms = 0.0
         self.messages = 0
         self.cut_zone: int | None = None
-        self._way = way
+        self._limiter_class = way
         self.hosts: list[Host] = []
         for number in range(hosts):
             limiter = way(fleet=self, number=number, now_ms=-WINDOW_MS)
@@ -218,7 +218,9 @@
     def restart(self, hosts: Sequence[Host]) -> None:
         """Restart hosts with empty state."""
         for host in hosts:
-            host.way = self._way(fleet=self, number=host.number, now_ms=self.now_ms)
+            host.way = self._limiter_class(
+                fleet=self, number=host.number, now_ms=self.now_ms
+            )
             host.reports = []
             host.told = FleetUse()
             host.told_ms = -VIEW_LIFE_MS
@@ -469,13 +471,13 @@
         "pattern | limiter | worst window / allowed | refused below limit | "
         "messages per request"
     )
-    for (name, pattern), (way_name, way) in itertools.product(
+    for (name, pattern), (limiter_name, limiter_class) in itertools.product(
         RATE_PATTERNS.items(), WAYS.items()
     ):
         results = [
             play_rates(
                 pattern=pattern,
-                way=way,
+                way=limiter_class,
                 hosts=hosts,
                 organisations=organisations,
                 per_s=per_s,
@@ -487,7 +489,7 @@
         worst = max(each.worst for each in results)
         below = sum(each.refused_below for each in results) / seeds
         messages = sum(each.messages for each in results) / seeds
-        print(f"{name} | {way_name} | {worst:.2f} | {below:.4f} | {messages:.2f}")
+        print(f"{name} | {limiter_name} | {worst:.2f} | {below:.4f} | {messages:.2f}")
 
 
 if __name__ == "__main__":
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
@@ -79,7 +79,7 @@
 
 
 async def _tick_cpu_share(node: Node) -> float:
-    """Return the share of a core used by ticks of an event loop that sleeps between."""
+    """Return the share of a core that ticks use in an event loop."""
     start_s, start_cpu_s = time.monotonic(), time.process_time()
     while (elapsed_s := time.monotonic() - start_s) < TRUE_TRIAL_S:
         node.tick(60_000.0)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
@@ -72,7 +72,7 @@
 )
 
 
-class _Quiet:
+class _LinkCounter:
     """Link event handler that only counts established links."""
 
     def __init__(self):
@@ -105,12 +105,12 @@
     return 2 * frame_bytes(HEARTBEAT) + frame_bytes(reply)
 
 
-async def _beat_cost(
-    links: int, *, beat_ms: float = BEAT_MS, trial_s: float = TRIAL_S
+async def _heartbeat_cost(
+    links: int, *, heartbeat_ms: float = BEAT_MS, trial_s: float = TRIAL_S
 ) -> tuple[float, float]:
     """Return processor time (us) of a heartbeat on all links, and allocated bytes."""
-    events = _Quiet()
-    timing = LinkTiming(heartbeat_ms=beat_ms, silence_ms=60_000)
+    events = _LinkCounter()
+    timing = LinkTiming(heartbeat_ms=heartbeat_ms, silence_ms=60_000)
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -144,8 +144,8 @@
         start_s, start_cpu_ns = time.monotonic(), time.process_time_ns()
         await asyncio.sleep(trial_s)
         cpu_us = (time.process_time_ns() - start_cpu_ns) / 1_000
-        beats = (time.monotonic() - start_s) * 1000 / beat_ms
-        costs_us.append(cpu_us / beats)
+        heartbeats = (time.monotonic() - start_s) * 1000 / heartbeat_ms
+        costs_us.append(cpu_us / heartbeats)
     await pool.close()
     for server in servers:
         await server.close()
@@ -168,13 +168,13 @@
     """Measure heartbeats by the number of links, and encoding of messages."""
     costs_us, held = {}, {}
     for links in LINK_COUNTS:
-        costs_us[links], held[links] = asyncio.run(_beat_cost(links))
+        costs_us[links], held[links] = asyncio.run(_heartbeat_cost(links))
         yield Figure(name=f"beat of {links} links", value=costs_us[links], unit="us")
     per_link_us = line_through(costs_us)[1]
     yield Figure(name="beat per link, both ends", value=per_link_us, unit="us")
     largest = max(LINK_COUNTS)
     interval_us, _ = asyncio.run(
-        _beat_cost(largest, beat_ms=TRUE_BEAT_MS, trial_s=TRUE_TRIAL_S)
+        _heartbeat_cost(largest, heartbeat_ms=TRUE_BEAT_MS, trial_s=TRUE_TRIAL_S)
     )
     yield Figure(
         name=f"beat per link at the true pace, {largest} links, both ends",
