--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -56,7 +56,7 @@
     Attributes:
         ended: number of crashes.
         fatal_sent: number of fatal requests sent.
-        held: keys of the requests that were held back although they are not fatal.
+        held: keys of non-fatal requests that were held back.
     """
 
     def __init__(self, *, simulation: CrashingFleet):
@@ -152,11 +152,13 @@
 def tell_suspects(zone: str, hosts: Iterable[Host], now_ms: float) -> None:
     """Send the hosts of a zone the suspects that changed since its last round."""
     changed_hosts = [
-        host for host in hosts if host.told.get(zone) != host.suspects.last_change
+        host
+        for host in hosts
+        if host.last_reported.get(zone) != host.suspects.last_change
     ]
     for sender in changed_hosts:
-        reports = sender.suspects.words(now_ms, after=sender.told.get(zone, 0))
-        sender.told[zone] = sender.suspects.last_change
+        reports = sender.suspects.words(now_ms, after=sender.last_reported.get(zone, 0))
+        sender.last_reported[zone] = sender.suspects.last_change
         for host in hosts:
             if host.instance.availability_zone == zone:
                 host.suspects.take(reports, now_ms)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
@@ -38,7 +38,7 @@
     Attributes:
         up: whether the backend server runs.
         executions: requests that are queued or running at the server.
-        told: last change of this host's suspects that each zone has received.
+        last_reported: last change of this host's suspects that each zone has received.
         totals: totals of retry counts as last received.
         demand: demand of all ingress sidecars as last received.
     """
@@ -68,7 +68,7 @@
             suspects=self.suspect_requests,
             running=lambda: (each.request for each in self.executions),
         )
-        self.told: dict[str, int] = {}
+        self.last_reported: dict[str, int] = {}
         self.queue = ServerQueue(limit=int(instance.slots * SLOT_SHARE))
         self.loads = {ip: PeerLoad() for ip in ips}
         self.admission = EntryAdmission(worths=worths)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -56,8 +56,8 @@
         zone: index of its zone.
         way: its rate limiter.
         up: whether it exchanges reports.
-        told: usage in the fleet as last received.
-        told_ms: time at which it was received.
+        last_reported: usage in the fleet as last received.
+        reported_ms: time at which it was received.
         reports: latest reports of the host, oldest first.
     """
 
@@ -65,8 +65,8 @@
     zone: int
     way: Way
     up: bool = True
-    told: FleetUse = field(default_factory=FleetUse)
-    told_ms: float = -VIEW_LIFE_MS
+    last_reported: FleetUse = field(default_factory=FleetUse)
+    reported_ms: float = -VIEW_LIFE_MS
     reports: list[FleetUse] = field(default_factory=list)
 
 
@@ -83,7 +83,7 @@
         )
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request, or return the delay until a retry (see ``Way``)."""
+        """Admit a request or return a retry delay (see ``Way``)."""
         decision = self._rates.ask(organisation, now_ms)
         if decision is None or decision.admitted:
             self._rates.spend(organisation, now_ms)
@@ -121,7 +121,7 @@
         self._buckets: dict[str, TokenBucket] = {}
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request, or return the delay until a retry (see ``Way``)."""
+        """Admit a request or return a retry delay (see ``Way``)."""
         limit = organisation.limit
         hosts = len(self._fleet.hosts)
         bucket = self._buckets.setdefault(
@@ -150,7 +150,7 @@
         self.buckets: dict[str, TokenBucket] = {}
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request, or return the delay until a retry (see ``Way``)."""
+        """Admit a request or return a retry delay (see ``Way``)."""
         reachable = self._fleet.reached(self._number)
         home = max(
             reachable, key=lambda host: hash((organisation.name, host.number * 7919))
@@ -208,7 +208,11 @@
     def told(self, number: int, now_ms: float) -> FleetUse:
         """Return the usage that a host last received; empty if it is outdated."""
         host = self.hosts[number]
-        return host.told if now_ms - host.told_ms < VIEW_LIFE_MS else FleetUse()
+        return (
+            host.last_reported
+            if now_ms - host.reported_ms < VIEW_LIFE_MS
+            else FleetUse()
+        )
 
     def reached(self, number: int) -> list[Host]:
         """Return the hosts that a host can reach."""
@@ -222,8 +226,8 @@
                 fleet=self, number=host.number, now_ms=self.now_ms
             )
             host.reports = []
-            host.told = FleetUse()
-            host.told_ms = -VIEW_LIFE_MS
+            host.last_reported = FleetUse()
+            host.reported_ms = -VIEW_LIFE_MS
 
     def tell(self) -> None:
         """Run one round of reports."""
@@ -245,7 +249,7 @@
             usage = self._near_limits(usage)
             for host in self.hosts:
                 if host.zone == zone and host.up and host.reports:
-                    host.told, host.told_ms = usage, self.now_ms
+                    host.last_reported, host.reported_ms = usage, self.now_ms
 
     def _near_limits(self, usage: FleetUse) -> FleetUse:
         near = {
