--- a/packages/sassafraswinch-standins/tests/test_simulator_load.py
+++ b/packages/sassafraswinch-standins/tests/test_simulator_load.py
@@ -21,8 +21,8 @@
 
     Call trees of ``view`` fill the small service ``office``, the only one that ``file``
     uses; both have the lowest priority. ``file`` requests cost 2.5 times less there, so
-    they must be served more often; with the failure they earned 0.32 of their credit,
-    ``view`` 0.48.
+    they must be served more often. Admission that ignored the cost earned them 0.32 of
+    their credit, and ``view`` 0.48.
     """
     figures = play("from-nothing", 1, 8)
     assert figures["file"] > figures["view"]
@@ -44,9 +44,9 @@
 def test_slots_are_filled_soon_after_a_slow_service_recovers():
     """Guards against cost estimates that stay high after a service has recovered.
 
-    ``office`` is four times slower for six seconds. With the failure half of its slots
-    stayed empty for three more seconds, since requests were still expected to take as
-    long.
+    ``office`` is four times slower for six seconds. With outdated estimates half of its
+    slots stayed empty for three more seconds, since requests were still expected to
+    take as long.
     """
     figures = play("slower", 1, 16)
     assert figures["view"] > 0.54
