--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
@@ -17,9 +17,10 @@
     """Credit of one kind of request, by the second in which it was first sent.
 
     Attributes:
-        owed: credit that the callers would get if all requests were answered in time.
+        owed: credit if all requests were answered in time.
         earned: credit of the requests that were answered.
-        refused_again: credit of the requests that failed after several refusals.
+        refused_again: credit of requests that failed after several
+            refusals.
     """
 
     owed: dict[int, float] = field(default_factory=dict)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
@@ -93,7 +93,7 @@
         shed_share: share of requests that the servers refuse without running them.
         slower: factor on the work times of the service.
         service: affected service; empty if only the load or the callers change.
-        lost: number of unreachable servers; the first ones of the service.
+        lost: number of unreachable servers of the service, its first.
         abuse_share: share of callers that ignore Retry-After and retry three times more
             than others, without waiting.
         crashes_per_s: rate of server crashes that no request causes.
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -310,7 +310,7 @@
 
     Attributes:
         worst: largest ratio of admitted to allowed requests within a window.
-        refused_below: share of first requests below their limit that were refused.
+        refused_below: share of first requests below the limit that were refused.
         messages: messages between hosts per request.
     """
 
