--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -38,7 +38,7 @@
     COPY_RUNS,
     HELD_BACK,
 )
-from sassafraswinch_sidecar.zone_gatherer import PAUSE_MS
+from sassafraswinch_sidecar.zone_aggregator import PAUSE_MS
 from sassafraswinch_standins.simulator_callers import Caller, Tally
 from sassafraswinch_standins.simulator_clock import Clock
 from sassafraswinch_standins.simulator_crashes import (
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -32,7 +32,7 @@
 EXCESS = 1.25
 """Admissions allowed within a window: ``EXCESS`` times the limit plus ``SLACK``."""
 
-VIEW_LIFE_MS = 2_000.0
+MAX_VIEW_AGE_MS = 2_000.0
 COMES_BACK = 0.5
 """Share of refused callers that retry once."""
 
@@ -66,7 +66,7 @@
     way: Way
     up: bool = True
     last_reported: FleetUse = field(default_factory=FleetUse)
-    reported_ms: float = -VIEW_LIFE_MS
+    reported_ms: float = -MAX_VIEW_AGE_MS
     reports: list[FleetUse] = field(default_factory=list)
 
 
@@ -210,7 +210,7 @@
         host = self.hosts[number]
         return (
             host.last_reported
-            if now_ms - host.reported_ms < VIEW_LIFE_MS
+            if now_ms - host.reported_ms < MAX_VIEW_AGE_MS
             else FleetUse()
         )
 
@@ -227,7 +227,7 @@
             )
             host.reports = []
             host.last_reported = FleetUse()
-            host.reported_ms = -VIEW_LIFE_MS
+            host.reported_ms = -MAX_VIEW_AGE_MS
 
     def tell(self) -> None:
         """Run one round of reports."""
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -22,8 +22,8 @@
     parse_message,
     serialize_message,
 )
-from sassafraswinch_sidecar.zone_duty import ZoneDuty
-from sassafraswinch_sidecar.zone_gatherer import ZoneGatherer
+from sassafraswinch_sidecar.zone_aggregator import ZoneAggregator
+from sassafraswinch_sidecar.zone_role import ZoneRole
 from sassafraswinch_standins.slopes_timing import Figure, best_cpu_us
 
 FLEETS = (17, 140, 560)
@@ -112,16 +112,18 @@
 def _aggregation_figures(count: int) -> Iterator[Figure]:
     """Measure the cost of fleet totals at an aggregator and at a host of its zone."""
     aggregators = [
-        ZoneGatherer(
+        ZoneAggregator(
             availability_zone=f"zone-{n}", is_near_limit=lambda name, use: True
         )
         for n in range(ZONES)
     ]
     for number, found in enumerate(hosts(count)):
-        aggregators[number % ZONES].heard(found.ip, report(SERVICES_CALLED[0]), 0.0)
+        aggregators[number % ZONES].record_report(
+            found.ip, report(SERVICES_CALLED[0]), 0.0
+        )
     first, *others = aggregators
     for other in others:
-        first.heard_zone(other.summary(), 0.0)
+        first.record_summary(other.summary(), 0.0)
     own = first.summary()
     digest = first.digest(own, 120_000, 0.0)
     view = FleetView(own_ip="10.9.0.1")
@@ -132,7 +134,9 @@
     yield _cost_figure(
         f"digest made, {count} hosts", lambda: first.digest(own, 120_000, 0.0)
     )
-    yield _cost_figure(f"digest taken, {count} hosts", lambda: view.take(digest, 0.0))
+    yield _cost_figure(
+        f"digest taken, {count} hosts", lambda: view.apply_digest(digest, 0.0)
+    )
 
 
 def _decision_figures(count: int) -> Iterator[Figure]:
@@ -150,11 +154,11 @@
     )
     of_service = [found for found in instances if found.service == "service-0"]
     zone = {f"10.1.0.{n}": n < 2 for n in range(count // ZONES)}
-    role = ZoneDuty(own_ip="10.2.0.0", holders=2, step_ms=50.0)
+    role = ZoneRole(own_ip="10.2.0.0", active_sidecars=2, step_ms=50.0)
     measured = {
         "slots that can be reached": lambda: capacities_of(instances, loads.get),
         "admission decided": lambda: admission.decide(capacities, 1_000.0, demand),
-        "watch duty decided": lambda: role.decide(zone, 1_000.0),
+        "watch duty decided": lambda: role.update_role(zone, 1_000.0),
         "instance chosen": lambda: placement.choose(of_service, (), 0.0),
     }
     for name, action in measured.items():
