--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
@@ -4,7 +4,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sassafraswinch_sidecar.relay_answers import MIN_RETRY_AFTER_MS, RETRY_AFTER_SHARES
+from sassafraswinch_sidecar.caller_responses import (
+    MIN_RETRY_AFTER_MS,
+    RETRY_AFTER_SHARES,
+)
 from sassafraswinch_standins.simulator_clock import Clock
 from sassafraswinch_standins.simulator_load import Kind
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -110,12 +110,12 @@
         host.up = False
         instance_id = f"i-{next(self._crash_numbers)}"
         for execution in list(host.executions):
-            was_started = execution.place.started_at_ms is not None
+            was_started = execution.queue_entry.started_at_ms is not None
             if was_started:
                 digests = digest_request(execution.request)
                 host.suspect_requests.ended(digests, instance_id)
             else:
-                host.queue.withdraw(execution.place)
+                host.queue.withdraw(execution.queue_entry)
             verdict = Verdict.MAY_HAVE_RUN if was_started else Verdict.NOT_RUN
             self._simulation.end(host, execution, verdict, "server-ended")
         self._simulation.clock.after(DOWN_MS, lambda: setattr(host, "up", True))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -17,16 +17,16 @@
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.placement import capacities_of
-from sassafraswinch_sidecar.relay import MAX_PLACES
+from sassafraswinch_sidecar.relay import MAX_REFUSALS
 from sassafraswinch_sidecar.relay_intake import Relay
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     RelayRequest,
     RelayResponse,
     Verdict,
 )
-from sassafraswinch_sidecar.relay_repeats import MIN_RETRY_LEFT_MS
-from sassafraswinch_sidecar.relay_requests import INNER_WAIT_SHARE, ROOT_WAIT_SHARE
-from sassafraswinch_sidecar.repeat_budget import sum_counts
+from sassafraswinch_sidecar.relay_requests import CHILD_WAIT_SHARE, ROOT_WAIT_SHARE
+from sassafraswinch_sidecar.relay_retry_policy import MIN_RETRY_REMAINING_MS
+from sassafraswinch_sidecar.retry_budget import sum_counts
 from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
 from sassafraswinch_sidecar.server_queue import QueuedRequest
 from sassafraswinch_sidecar.slot_times import (
@@ -188,7 +188,7 @@
             priority=parent.request.priority if parent else kind.priority,
             level=parent.request.level if parent else self.rng.randrange(LEVELS),
             parent=parent,
-            repeated=parent is not None and parent.request.repeated,
+            is_retry=parent is not None and parent.request.repeated,
             progress=parent.request.progress + parent.calls_done + 1 if parent else 0,
         )
         if parent is None:
@@ -207,8 +207,8 @@
         remaining_ms = relay.deadline_ms - now_ms
         instance = None
         if (
-            remaining_ms >= MIN_RETRY_LEFT_MS
-            and relay.places - relay.offers < MAX_PLACES
+            remaining_ms >= MIN_RETRY_REMAINING_MS
+            and relay.placements - relay.offers < MAX_REFUSALS
         ):
             instances = self.instances_of(relay.service)
             if judgement.standing is Standing.FREE:
@@ -220,12 +220,12 @@
         if instance is None:
             self._refuse(host, relay)
             return
-        relay.places += 1
+        relay.placements += 1
         relay.tried.add(instance.identity)
         is_child = relay.parent is not None
         span_ms = remaining_ms if is_child else relay.route.target_latency_ms
-        wait_ms = span_ms * (INNER_WAIT_SHARE if is_child else ROOT_WAIT_SHARE)
-        host.repeats.sent(relay)
+        wait_ms = span_ms * (CHILD_WAIT_SHARE if is_child else ROOT_WAIT_SHARE)
+        host.repeats.record_sent(relay)
         host.loads[instance.ip].sent_since += 1
         content = content_of(relay.request_id)
         request = RelayRequest(
@@ -239,7 +239,7 @@
             priority=relay.priority,
             level=relay.level,
             inner=is_child,
-            repeated=relay.repeated,
+            repeated=relay.is_retry,
             progress=relay.progress,
             last=not is_child
             and host.admission.needs_only(relay.route.name, relay.service),
@@ -260,7 +260,7 @@
     def _submit(self, host: Host, execution: Execution) -> None:
         now_ms = self.now_ms()
         request = execution.request
-        execution.place = QueuedRequest(
+        execution.queue_entry = QueuedRequest(
             execution,
             request.inner,
             request.priority,
@@ -272,7 +272,7 @@
         if refusal or not host.up:
             self.end(host, execution, Verdict.NOT_RUN, refusal or "server-down")
             return
-        if not host.queue.offer(execution.place, now_ms):
+        if not host.queue.offer(execution.queue_entry, now_ms):
             self.end(host, execution, Verdict.NOT_RUN, "overloaded")
             return
         host.executions.add(execution)
@@ -340,7 +340,7 @@
         if execution.ended:
             return
         host.executions.discard(execution)
-        queued, now_ms = execution.place, self.now_ms()
+        queued, now_ms = execution.queue_entry, self.now_ms()
         if queued.started_at_ms is not None:
             service = host.instance.service
             held_ms = host.queue.finished(queued, now_ms)
@@ -369,38 +369,38 @@
             relay.offers += 1
             relay.offered_to.add(instance.identity)
         relay.repeats_spent = relay.repeats_spent or response.repeats_spent
-        host.repeats.learn(relay)
-        host.outcomes.execution_ended(relay, response, load)
+        host.repeats.record_downstream_services(relay)
+        host.outcomes.record_execution(relay, response, load)
         if response.verdict == Verdict.ANSWERED:
             is_failed = response.status >= 500
-            if is_failed and host.repeats.allow_failed(relay):
+            if is_failed and host.repeats.allows_retry_of_failed(relay):
                 self._retry(host, relay)
                 return
             if not is_failed:
                 host.suspect_requests.answered(content_of(relay.request_id))
-            host.outcomes.answered(relay, response)
+            host.outcomes.record_response(relay, response)
             self._complete(relay, response.status)
         elif response.verdict == Verdict.MAY_HAVE_RUN:
-            if host.repeats.allow_failed(relay):
+            if host.repeats.allows_retry_of_failed(relay):
                 self._retry(host, relay)
             else:
-                host.outcomes.failed(relay)
+                host.outcomes.record_failure(relay)
                 self._complete(relay, 502)
         elif response.reason in (HELD_BACK, COPY_RUNS):
             self._refuse(host, relay)
         elif not response.offered:
             self._place(host, relay)
-        elif host.repeats.allow_unrun(relay):
+        elif host.repeats.allows_retry_of_unexecuted(relay):
             self._retry(host, relay)
         else:
             self._refuse(host, relay)
 
     def _retry(self, host: Host, relay: Relay) -> None:
-        relay.repeated = True
+        relay.is_retry = True
         self._place(host, relay)
 
     def _refuse(self, host: Host, relay: Relay) -> None:
-        host.outcomes.failed(relay)
+        host.outcomes.record_failure(relay)
         self._complete(relay, 503)
 
     def _complete(self, relay: Relay, status: int) -> None:
@@ -422,7 +422,7 @@
     now_ms = simulation.now_ms()
     hosts = simulation.hosts.values()
     demand = merge_claims(host.admission.demand() for host in hosts)
-    counts = sum_counts(host.budget.counted(now_ms) for host in hosts)
+    counts = sum_counts(host.budget.window_counts(now_ms) for host in hosts)
     tell_suspects(f"zone-{zone}", hosts, now_ms)
     for host in hosts:
         if host.instance.availability_zone != f"zone-{zone}":
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
@@ -8,11 +8,11 @@
 from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.instances import Instance
+from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.placement import PeerLoad, Placement
-from sassafraswinch_sidecar.relay_outcomes import RelayOutcomes
 from sassafraswinch_sidecar.relay_protocol.ttypes import ServerLoad
-from sassafraswinch_sidecar.relay_repeats import RelayRepeats
-from sassafraswinch_sidecar.repeat_budget import RepeatBudget, Totals
+from sassafraswinch_sidecar.relay_retry_policy import RelayRetryPolicy
+from sassafraswinch_sidecar.retry_budget import FleetTotals, RetryBudget
 from sassafraswinch_sidecar.server_queue import SLOT_SHARE, ServerQueue
 from sassafraswinch_sidecar.suspect_gate import SuspectGate
 from sassafraswinch_sidecar.suspect_requests import SuspectRequests
@@ -72,18 +72,18 @@
         self.queue = ServerQueue(limit=int(instance.slots * SLOT_SHARE))
         self.loads = {ip: PeerLoad() for ip in ips}
         self.admission = EntryAdmission(worths=worths)
-        self.totals: Totals = ({}, 0)
+        self.totals: FleetTotals = ({}, 0)
         self.demand: list[Claim] = []
-        self.budget = RepeatBudget(
+        self.budget = RetryBudget(
             ratio=REPEAT_RATIO,
             slack=REPEAT_SLACK,
             window_ms=REPEAT_WINDOW_MS,
-            most_sidecars=lambda: len(ips),
+            max_sidecars=lambda: len(ips),
             sidecars=lambda: len(ips),
             totals=lambda now_ms: self.totals,
         )
-        self.repeats = RelayRepeats(budget=self.budget, now_ms=now_ms)
-        self.outcomes = RelayOutcomes(admission=self.admission, now_ms=now_ms)
+        self.repeats = RelayRetryPolicy(budget=self.budget, now_ms=now_ms)
+        self.outcomes = OutcomeRecorder(admission=self.admission, now_ms=now_ms)
         self.placement = Placement(
             own_ip=instance.ip,
             availability_zone=instance.availability_zone,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -10,6 +10,11 @@
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.host_reports import serialize_demand
 from sassafraswinch_sidecar.instances import Instance
+from sassafraswinch_sidecar.message_codec import (
+    Message,
+    parse_message,
+    serialize_message,
+)
 from sassafraswinch_sidecar.placement import PeerLoad, Placement, capacities_of
 from sassafraswinch_sidecar.relay_protocol.ttypes import (
     HostReport,
@@ -17,11 +22,6 @@
     ServerLoad,
     SummaryReply,
 )
-from sassafraswinch_sidecar.relay_wire import (
-    Message,
-    parse_message,
-    serialize_message,
-)
 from sassafraswinch_sidecar.zone_aggregator import ZoneAggregator
 from sassafraswinch_sidecar.zone_role import ZoneRole
 from sassafraswinch_standins.slopes_timing import Figure, best_cpu_us
