--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -93,7 +93,7 @@
 
     def refusal(self, host: Host, request: RelayRequest) -> str:
         """Return why a host's gate refuses a request; empty if it is admitted."""
-        refusal = host.gate.refusal(request)
+        refusal = host.gate.refusal_reason(request)
         if refusal == HELD_BACK:
             self._record_held(request.request_id)
         return refusal
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -10,11 +10,11 @@
 from functools import partial
 
 from sassafraswinch.crash_suspects import Standing
-from sassafraswinch_sidecar.entry_admission import (
+from sassafraswinch_sidecar.executor import Execution
+from sassafraswinch_sidecar.ingress_admission import (
     LEVELS,
     merge_claims,
 )
-from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.placement import capacities_of
 from sassafraswinch_sidecar.relay import MAX_REFUSALS
@@ -27,7 +27,10 @@
 from sassafraswinch_sidecar.relay_requests import CHILD_WAIT_SHARE, ROOT_WAIT_SHARE
 from sassafraswinch_sidecar.relay_retry_policy import MIN_RETRY_REMAINING_MS
 from sassafraswinch_sidecar.retry_budget import sum_counts
-from sassafraswinch_sidecar.server_choice import choose_for_suspect, choose_server
+from sassafraswinch_sidecar.server_choice import (
+    choose_server,
+    choose_server_for_suspect,
+)
 from sassafraswinch_sidecar.server_queue import QueuedRequest
 from sassafraswinch_sidecar.slot_times import (
     add_slot_times,
@@ -159,13 +162,13 @@
 
     def _tick(self, host: Host) -> None:
         now_ms = self.now_ms()
-        for queued in host.queue.expired(now_ms):
+        for queued in host.queue.pop_expired(now_ms):
             self.end(host, queued.item, Verdict.NOT_RUN, "queue-timeout")
-        if host.admission.due(now_ms):
+        if host.admission.is_due(now_ms):
             services = self.pattern.services
             reachable = itertools.chain.from_iterable(map(self.instances_of, services))
             capacities = capacities_of(reachable, host.loads.get)
-            host.admission.decide(capacities, now_ms, host.demand)
+            host.admission.decide_shares(capacities, now_ms, host.demand)
         self.clock.after(TICK_MS, lambda: self._tick(host))
 
     def enter(
@@ -192,8 +195,8 @@
             progress=parent.request.progress + parent.calls_done + 1 if parent else 0,
         )
         if parent is None:
-            host.admission.offered(name, kind.priority)
-            if host.admission.blocking(name, relay.level) is not None:
+            host.admission.record_arrival(name, kind.priority)
+            if host.admission.find_blocking_service(name, relay.level) is not None:
                 done(503)
                 return
         self._place(host, relay)
@@ -214,7 +217,7 @@
             if judgement.standing is Standing.FREE:
                 instance = choose_server(host.placement, relay, instances, now_ms)
             else:
-                instance = choose_for_suspect(
+                instance = choose_server_for_suspect(
                     host.placement, relay, instances, now_ms, judgement
                 )
         if instance is None:
@@ -226,7 +229,7 @@
         span_ms = remaining_ms if is_child else relay.route.target_latency_ms
         wait_ms = span_ms * (CHILD_WAIT_SHARE if is_child else ROOT_WAIT_SHARE)
         host.repeats.record_sent(relay)
-        host.loads[instance.ip].sent_since += 1
+        host.loads[instance.ip].sent_since_report += 1
         content = content_of(relay.request_id)
         request = RelayRequest(
             request_id=relay.request_id,
@@ -242,7 +245,7 @@
             repeated=relay.is_retry,
             progress=relay.progress,
             last=not is_child
-            and host.admission.needs_only(relay.route.name, relay.service),
+            and host.admission.uses_only(relay.route.name, relay.service),
         )
         execution = Execution(
             request=request,
@@ -272,14 +275,14 @@
         if refusal or not host.up:
             self.end(host, execution, Verdict.NOT_RUN, refusal or "server-down")
             return
-        if not host.queue.offer(execution.queue_entry, now_ms):
+        if not host.queue.enqueue(execution.queue_entry, now_ms):
             self.end(host, execution, Verdict.NOT_RUN, "overloaded")
             return
         host.executions.add(execution)
         self._start_queued(host)
 
     def _start_queued(self, host: Host) -> None:
-        for queued in host.queue.startable(self.now_ms()):
+        for queued in host.queue.pop_startable(self.now_ms()):
             self._run(host, queued.item)
 
     def _run(self, host: Host, execution: Execution) -> None:
@@ -343,7 +346,7 @@
         queued, now_ms = execution.queue_entry, self.now_ms()
         if queued.started_at_ms is not None:
             service = host.instance.service
-            held_ms = host.queue.finished(queued, now_ms)
+            held_ms = host.queue.release_slot(queued, now_ms)
             add_slot_times(execution.slot_ms, {service: held_ms})
         execution.ended = True
         self._start_queued(host)
@@ -363,7 +366,7 @@
         self, host: Host, relay: Relay, instance: Instance, response: RelayResponse
     ) -> None:
         load = host.loads[instance.ip]
-        load.report(response.load, self.now_ms())
+        load.apply_report(response.load, self.now_ms())
         add_slot_times(relay.slot_ms, parse_slot_times(response.slot_times))
         if response.offered:
             relay.offers += 1
@@ -430,7 +433,7 @@
         host.demand = demand
         host.totals = counts, len(simulation.hosts)
         for ip, peer in simulation.hosts.items():
-            host.loads[ip].report(peer.load(), now_ms)
+            host.loads[ip].apply_report(peer.load(), now_ms)
     simulation.clock.after(PAUSE_MS, partial(_run_aggregation_round, simulation, zone))
 
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
@@ -5,15 +5,15 @@
 
 from sassafraswinch.crash_suspects import CrashSuspects
 from sassafraswinch.fitting_shares import Claim
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.executor import Execution
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.outcome_recorder import OutcomeRecorder
 from sassafraswinch_sidecar.placement import PeerLoad, Placement
 from sassafraswinch_sidecar.relay_protocol.ttypes import ServerLoad
 from sassafraswinch_sidecar.relay_retry_policy import RelayRetryPolicy
 from sassafraswinch_sidecar.retry_budget import FleetTotals, RetryBudget
-from sassafraswinch_sidecar.server_queue import SLOT_SHARE, ServerQueue
+from sassafraswinch_sidecar.server_queue import USABLE_SLOT_SHARE, ServerQueue
 from sassafraswinch_sidecar.suspect_gate import SuspectGate
 from sassafraswinch_sidecar.suspect_requests import SuspectRequests
 from sassafraswinch_standins.simulator_clock import Clock
@@ -62,16 +62,16 @@
         self.executions: set[Execution] = set()
         self.suspects = CrashSuspects()
         self.suspect_requests = SuspectRequests(
-            suspects=self.suspects, now_ms=now_ms, changed=lambda: None
+            suspects=self.suspects, now_ms=now_ms, on_change=lambda: None
         )
         self.gate = SuspectGate(
             suspects=self.suspect_requests,
             running=lambda: (each.request for each in self.executions),
         )
         self.last_reported: dict[str, int] = {}
-        self.queue = ServerQueue(limit=int(instance.slots * SLOT_SHARE))
+        self.queue = ServerQueue(limit=int(instance.slots * USABLE_SLOT_SHARE))
         self.loads = {ip: PeerLoad() for ip in ips}
-        self.admission = EntryAdmission(worths=worths)
+        self.admission = IngressAdmission(worths=worths)
         self.totals: FleetTotals = ({}, 0)
         self.demand: list[Claim] = []
         self.budget = RetryBudget(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -6,9 +6,9 @@
 
 from sassafraswinch.fitting_shares import Claim
 from sassafraswinch_node.frames import LENGTH_BYTES
-from sassafraswinch_sidecar.entry_admission import EntryAdmission
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.host_reports import serialize_demand
+from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.instances import Instance
 from sassafraswinch_sidecar.message_codec import (
     Message,
@@ -142,7 +142,7 @@
 def _decision_figures(count: int) -> Iterator[Figure]:
     instances = hosts(count)
     loads = {found.ip: PeerLoad(in_flight=60, limit=103) for found in instances}
-    admission = EntryAdmission()
+    admission = IngressAdmission()
     demand = demand_of(SERVICES_CALLED[0])
     capacities = capacities_of(instances, loads.get)
     placement = Placement(
@@ -157,9 +157,11 @@
     role = ZoneRole(own_ip="10.2.0.0", active_sidecars=2, step_ms=50.0)
     measured = {
         "slots that can be reached": lambda: capacities_of(instances, loads.get),
-        "admission decided": lambda: admission.decide(capacities, 1_000.0, demand),
+        "admission decided": lambda: admission.decide_shares(
+            capacities, 1_000.0, demand
+        ),
         "watch duty decided": lambda: role.update_role(zone, 1_000.0),
-        "instance chosen": lambda: placement.choose(of_service, (), 0.0),
+        "instance chosen": lambda: placement.choose_instance(of_service, (), 0.0),
     }
     for name, action in measured.items():
         yield _cost_figure(f"{name}, {count} hosts", action)
