--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Protocol
 
-from sassafraswinch.crash_suspects import Judgement, Standing
+from sassafraswinch.crash_suspects import Restriction, SuspectDecision
 from sassafraswinch.request_digest import RequestContent, digest_request
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.relay_protocol.ttypes import RelayRequest, Verdict
@@ -84,10 +84,10 @@
                 wait_ms, lambda: self._crash_under(host, execution)
             )
 
-    def judge(self, host: Host, key: str) -> Judgement:
+    def judge(self, host: Host, key: str) -> SuspectDecision:
         """Return how a host restricts a request, and count it if it is held back."""
-        judgement = host.suspect_requests.judge(content_of(key))
-        if judgement.standing is Standing.HELD:
+        judgement = host.suspect_requests.decide(content_of(key))
+        if judgement.restriction is Restriction.HELD:
             self._record_held(key)
         return judgement
 
@@ -113,7 +113,7 @@
             was_started = execution.queue_entry.started_at_ms is not None
             if was_started:
                 digests = digest_request(execution.request)
-                host.suspect_requests.ended(digests, instance_id)
+                host.suspect_requests.record_crash(digests, instance_id)
             else:
                 host.queue.withdraw(execution.queue_entry)
             verdict = Verdict.MAY_HAVE_RUN if was_started else Verdict.NOT_RUN
@@ -157,8 +157,10 @@
         if host.last_reported.get(zone) != host.suspects.last_change
     ]
     for sender in changed_hosts:
-        reports = sender.suspects.words(now_ms, after=sender.last_reported.get(zone, 0))
+        reports = sender.suspects.reports(
+            now_ms, after=sender.last_reported.get(zone, 0)
+        )
         sender.last_reported[zone] = sender.suspects.last_change
         for host in hosts:
             if host.instance.availability_zone == zone:
-                host.suspects.take(reports, now_ms)
+                host.suspects.merge_reports(reports, now_ms)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -9,7 +9,7 @@
 import random
 from functools import partial
 
-from sassafraswinch.crash_suspects import Standing
+from sassafraswinch.crash_suspects import Restriction
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.ingress_admission import (
     LEVELS,
@@ -204,7 +204,7 @@
     def _place(self, host: Host, relay: Relay) -> None:
         now_ms = self.now_ms()
         judgement = self.crashes.judge(host, relay.request_id)
-        if judgement.standing is Standing.HELD:
+        if judgement.restriction is Restriction.HELD:
             self._refuse(host, relay)
             return
         remaining_ms = relay.deadline_ms - now_ms
@@ -214,7 +214,7 @@
             and relay.placements - relay.offers < MAX_REFUSALS
         ):
             instances = self.instances_of(relay.service)
-            if judgement.standing is Standing.FREE:
+            if judgement.restriction is Restriction.FREE:
                 instance = choose_server(host.placement, relay, instances, now_ms)
             else:
                 instance = choose_server_for_suspect(
@@ -333,7 +333,7 @@
             return
         is_late = self.now_ms() > execution.deadline_ms
         if not is_late and status == 200:
-            host.suspect_requests.answered(execution.request)
+            host.suspect_requests.record_answer(execution.request)
         self.end(host, execution, Verdict.ANSWERED, "", 504 if is_late else status)
 
     def end(
@@ -380,7 +380,7 @@
                 self._retry(host, relay)
                 return
             if not is_failed:
-                host.suspect_requests.answered(content_of(relay.request_id))
+                host.suspect_requests.record_answer(content_of(relay.request_id))
             host.outcomes.record_response(relay, response)
             self._complete(relay, response.status)
         elif response.verdict == Verdict.MAY_HAVE_RUN:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_host.py
@@ -3,8 +3,8 @@
 import random
 from collections.abc import Callable, Sequence
 
+from sassafraswinch.capacity_shares import Claim
 from sassafraswinch.crash_suspects import CrashSuspects
-from sassafraswinch.fitting_shares import Claim
 from sassafraswinch_sidecar.executor import Execution
 from sassafraswinch_sidecar.ingress_admission import IngressAdmission
 from sassafraswinch_sidecar.instances import Instance
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -11,10 +11,10 @@
 import defopt
 
 from sassafraswinch.organisation_rates import (
-    FleetUse,
+    FleetUsage,
     OrganisationRates,
     RateRule,
-    sum_uses,
+    total_usage,
 )
 from sassafraswinch.organisations import Organisation, RateLimit
 
@@ -43,7 +43,7 @@
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
         """Return None to admit a request, or the delay in ms until a retry."""
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return the usage counts that are reported to other hosts."""
 
 
@@ -65,9 +65,9 @@
     zone: int
     way: Way
     up: bool = True
-    last_reported: FleetUse = field(default_factory=FleetUse)
+    last_reported: FleetUsage = field(default_factory=FleetUsage)
     reported_ms: float = -MAX_VIEW_AGE_MS
-    reports: list[FleetUse] = field(default_factory=list)
+    reports: list[FleetUsage] = field(default_factory=list)
 
 
 class SumsTold:
@@ -77,20 +77,20 @@
         self._rates = OrganisationRates(
             rule=RULE,
             now_ms=now_ms,
-            most_hosts=lambda: len(fleet.hosts),
-            told=lambda at_ms: fleet.told(number, at_ms),
+            max_hosts=lambda: len(fleet.hosts),
+            fleet_usage=lambda at_ms: fleet.told(number, at_ms),
             random=fleet.rng.random,
         )
 
     def ask(self, organisation: Organisation, now_ms: float) -> float | None:
         """Admit a request or return a retry delay (see ``Way``)."""
-        decision = self._rates.ask(organisation, now_ms)
+        decision = self._rates.decide_admission(organisation, now_ms)
         if decision is None or decision.admitted:
             self._rates.spend(organisation, now_ms)
             return None
         return self._rates.wait_ms(decision)
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return the counts of this host (see ``Way``)."""
         return self._rates.report(now_ms)
 
@@ -132,9 +132,9 @@
             return None
         return 1_000.0
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return no counts (see ``Way``)."""
-        return FleetUse()
+        return FleetUsage()
 
 
 class HomeHost:
@@ -164,9 +164,9 @@
             return None
         return 1_000.0
 
-    def report(self, now_ms: float) -> FleetUse:
+    def report(self, now_ms: float) -> FleetUsage:
         """Return no counts (see ``Way``)."""
-        return FleetUse()
+        return FleetUsage()
 
 
 WAYS: dict[str, Callable[..., Way]] = {
@@ -205,13 +205,13 @@
             limiter = way(fleet=self, number=number, now_ms=-WINDOW_MS)
             self.hosts.append(Host(number, number % ZONES, limiter))
 
-    def told(self, number: int, now_ms: float) -> FleetUse:
+    def told(self, number: int, now_ms: float) -> FleetUsage:
         """Return the usage that a host last received; empty if it is outdated."""
         host = self.hosts[number]
         return (
             host.last_reported
             if now_ms - host.reported_ms < MAX_VIEW_AGE_MS
-            else FleetUse()
+            else FleetUsage()
         )
 
     def reached(self, number: int) -> list[Host]:
@@ -226,7 +226,7 @@
                 fleet=self, number=host.number, now_ms=self.now_ms
             )
             host.reports = []
-            host.last_reported = FleetUse()
+            host.last_reported = FleetUsage()
             host.reported_ms = -MAX_VIEW_AGE_MS
 
     def tell(self) -> None:
@@ -241,7 +241,7 @@
             for zone in range(ZONES)
         ]
         for zone in range(ZONES):
-            usage = sum_uses(
+            usage = total_usage(
                 zone_totals[other][0 if other == zone else 1]
                 for other in range(ZONES)
                 if self._are_connected(zone, other)
@@ -251,16 +251,16 @@
                 if host.zone == zone and host.up and host.reports:
                     host.last_reported, host.reported_ms = usage, self.now_ms
 
-    def _near_limits(self, usage: FleetUse) -> FleetUse:
+    def _near_limits(self, usage: FleetUsage) -> FleetUsage:
         near = {
             name: use
             for name, use in usage.uses.items()
             if RULE.is_near(self.limits[name], use)
         }
-        return FleetUse(near, usage.hosts, usage.unknown_ms)
+        return FleetUsage(near, usage.hosts, usage.unknown_ms)
 
-    def _zone_total(self, zone: int, rounds: int) -> FleetUse:
-        return sum_uses(
+    def _zone_total(self, zone: int, rounds: int) -> FleetUsage:
+        return total_usage(
             host.reports[-rounds]
             for host in self.hosts
             if host.zone == zone and host.up and len(host.reports) >= rounds
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
@@ -9,7 +9,7 @@
 from sassafraswinch.admission import AdaptiveGate
 from sassafraswinch.document import digest, parse_document
 from sassafraswinch.execution import ExecutionLedger
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.membership import HostRecord, HostState, Membership
 from sassafraswinch.messages import Heartbeat, Message, NodeId
 from sassafraswinch.node import Node
@@ -112,7 +112,7 @@
             max_answer_bytes=MAX_ANSWER_BYTES,
         ),
         ledger=ExecutionLedger(max_answer_bytes=MAX_ANSWER_BYTES),
-        shedder=EntryShedder(),
+        shedder=IngressShedder(),
         budget=CallerRetryBudget(share_percent=10),
         keeper=ConfigKeeper(
             parse=lambda body: parse_document(body, source="slopes"),
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 from functools import partial
 
-from sassafraswinch.fitting_shares import Claim
+from sassafraswinch.capacity_shares import Claim
 from sassafraswinch_node.frames import LENGTH_BYTES
 from sassafraswinch_sidecar.fleet_view import FleetView
 from sassafraswinch_sidecar.host_reports import serialize_demand
@@ -50,7 +50,7 @@
             kind=f"route-{number}",
             priority=number % PRIORITIES,
             rate_per_s=3.25,
-            needs=dict.fromkeys(names[number::ROUTES], 0.05),
+            costs=dict.fromkeys(names[number::ROUTES], 0.05),
         )
         for number in range(min(ROUTES, services))
     ]
