--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
@@ -40,7 +40,7 @@
         yield Figure(name=f"tick with {hosts} hosts", value=ticks_us[hosts], unit="us")
         plan = LinkPlan(host="h1", availability_zone="zone-1")
         for number in range(SERVICES):
-            plan.need_service(f"service-{number}", 0.0)
+            plan.record_service_demand(f"service-{number}", 0.0)
         membership = node.membership
         plans_us[hosts] = best_cpu_us(
             lambda plan=plan, m=membership: plan.choose(m.peers(1.0), 1.0), count=10
@@ -67,7 +67,7 @@
     yield Figure(name=f"membership of {largest} hosts", value=held, unit="B")
     records, versions = host_records(largest), itertools.count(2)
     cost_us = best_cpu_us(
-        lambda: membership.replace(records, next(versions), 0.0), count=50
+        lambda: membership.apply_host_list(records, next(versions), 0.0), count=50
     )
     yield Figure(name="host list taken", value=cost_us, unit="us")
     reply_bytes = len(encode(HostsReply(hosts=tuple(records)), sent_ms=0))
@@ -92,7 +92,7 @@
     for services in (0, 3, 50):
         plan = LinkPlan(host="h1", availability_zone="zone-1")
         for number in range(services):
-            plan.need_service(f"service-{number}", 0.0)
+            plan.record_service_demand(f"service-{number}", 0.0)
         links = len(plan.choose(records, 1.0))
         yield Figure(
             name=f"links planned, {services} services called", value=links, unit="links"
@@ -101,12 +101,12 @@
 
 def _filled_membership(hosts: int) -> Membership:
     membership = Membership(self_host="h1")
-    membership.replace(host_records(hosts), 1, 0.0)
+    membership.apply_host_list(host_records(hosts), 1, 0.0)
     for number in range(SERVICES):
         membership.candidates(f"service-{number}", 0.0)
     return membership
 
 
 def _select_uncached(membership: Membership) -> None:
-    membership.distrust(0.0)
+    membership.require_fresh_round_trips(0.0)
     membership.candidates("service-7", 0.0)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
@@ -18,7 +18,7 @@
 from sassafraswinch.routing import Router
 from sassafraswinch.tickets import TicketLedger
 from sassafraswinch.verdict import Verdict
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 from sassafraswinch_standins.memory_document import make_document
 from sassafraswinch_standins.slopes_links import HEARTBEAT
 from sassafraswinch_standins.slopes_timing import (
@@ -96,7 +96,7 @@
     ports, rng = Ports(), random.Random(1)
     node_id = NodeId(host, int(host[1:]) + 1)
     membership = Membership(self_host=host)
-    membership.replace(host_records(hosts), 1, 0.0)
+    membership.apply_host_list(host_records(hosts), 1, 0.0)
     node = Node(
         node=node_id,
         links=ports,
@@ -114,7 +114,7 @@
         ledger=ExecutionLedger(max_answer_bytes=MAX_ANSWER_BYTES),
         shedder=IngressShedder(),
         budget=CallerRetryBudget(share_percent=10),
-        keeper=ConfigKeeper(
+        document_store=DocumentStore(
             parse=lambda body: parse_document(body, source="slopes"),
             digest=digest,
             rng=rng,
@@ -125,7 +125,7 @@
     keeper = node.configuration.keeper
     body = make_document(1, slots=120)
     node.start(0.0)
-    node.configuration.platform_read(keeper.read(body), 0.0)
+    node.configuration.platform_read(keeper.parse_body(body), 0.0)
     for now_ms in range(0, 60_000, 1_000):
         node.tick(float(now_ms))
     return node, ports
@@ -229,8 +229,8 @@
     )
 
     def receive_heartbeats() -> None:
-        node.message(peer, 1, heartbeat, 60_001.0)
-        node.message(peer, 1, heartbeat, 60_001.0)
+        node.handle_message(peer, 1, heartbeat, 60_001.0)
+        node.handle_message(peer, 1, heartbeat, 60_001.0)
         node.link_proved(peer, 60_000.0, 60_001.0)
 
     cost_us = best_cpu_us(receive_heartbeats, count=1_000)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
@@ -24,7 +24,7 @@
     for record in records:
         plan = LinkPlan(host=record.name, availability_zone=record.availability_zone)
         for number in rng.sample(range(SERVICES), called):
-            plan.need_service(f"service-{number}", 0.0)
+            plan.record_service_demand(f"service-{number}", 0.0)
         for other in plan.choose(records, 1.0):
             neighbours[record.name].add(other)
             neighbours[other].add(record.name)
