--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
@@ -118,22 +118,22 @@
     for number in range(links):
         node = NodeId(f"h{number}", number + 1)
         server = LinkServer(
-            hello=_hello_of(node),
+            build_hello=_hello_of(node),
             events=events,
-            heartbeat=lambda sequence: HEARTBEAT,
+            build_heartbeat=lambda sequence: HEARTBEAT,
             timing=timing,
         )
         addresses[node.host] = await server.start("127.0.0.1", 0)
         servers.append(server)
     pool = LinkPool(
-        hello=_hello_of(NodeId("self", 9)),
-        addresses=addresses.get,
+        build_hello=_hello_of(NodeId("self", 9)),
+        find_address=addresses.get,
         events=events,
-        heartbeat=lambda sequence: HEARTBEAT,
+        build_heartbeat=lambda sequence: HEARTBEAT,
         rng=random.Random(1),
         timing=timing,
     )
-    pool.want(addresses)
+    pool.set_hosts(addresses)
     while events.up < 2 * links:
         await asyncio.sleep(BEAT_MS / 1000)
     gc.collect()
