--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
@@ -122,10 +122,10 @@
         service=SERVICE,
         rng=rng,
     )
-    keeper = node.configuration.keeper
+    keeper = node.document_exchange.keeper
     body = make_document(1, slots=120)
     node.start(0.0)
-    node.configuration.platform_read(keeper.parse_body(body), 0.0)
+    node.document_exchange.apply_platform_document(keeper.parse_body(body), 0.0)
     for now_ms in range(0, 60_000, 1_000):
         node.tick(float(now_ms))
     return node, ports
@@ -224,8 +224,8 @@
     heartbeat = Heartbeat(
         sequence=1,
         load=HEARTBEAT.load,
-        document_version=node.configuration.keeper.stamp.version,
-        document_digest=node.configuration.keeper.stamp.digest,
+        document_version=node.document_exchange.keeper.stamp.version,
+        document_digest=node.document_exchange.keeper.stamp.digest,
     )
 
     def receive_heartbeats() -> None:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
@@ -129,7 +129,7 @@
     classifier = Classifier(document=document)
 
     def classify_cached() -> None:
-        found = classifier.operation("service-0", "GET", "/r0/7")
+        found = classifier.find_operation("service-0", "GET", "/r0/7")
         classifier.classify(
             caller="caller-1", organisation="organisation-1", operation=found
         )
