--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator.py
@@ -12,7 +12,7 @@
 from sassafraswinch_standins.simulator_fleet import Simulation
 from sassafraswinch_standins.simulator_load import PATTERNS
 
-COUNTED_SECONDS = 16
+MEASURED_SECONDS = 16
 TAIL_SECONDS = 2
 """Measured length of a run, and the time after it that lets its requests finish.
 
@@ -25,40 +25,47 @@
 Figures = dict[str, float]
 
 
-def figures_of(tallies: dict[str, Tally], seconds: int) -> Figures:
+def credit_shares(tallies: dict[str, Tally], seconds: int) -> Figures:
     """Return the shares of the offered credit that callers earned.
 
     Only requests that were first sent in the given number of seconds are counted.
     """
     measured = range(seconds)
-    owed = [sum(t.owed.get(s, 0.0) for t in tallies.values()) for s in measured]
-    earned = [sum(t.earned.get(s, 0.0) for t in tallies.values()) for s in measured]
+    offered_credit = [
+        sum(t.offered_credit.get(s, 0.0) for t in tallies.values()) for s in measured
+    ]
+    earned = [
+        sum(t.earned_credit.get(s, 0.0) for t in tallies.values()) for s in measured
+    ]
     windows = [
-        sum(earned[start : start + WINDOW_S]) / sum(owed[start : start + WINDOW_S])
+        sum(earned[start : start + WINDOW_S])
+        / sum(offered_credit[start : start + WINDOW_S])
         for start in range(0, seconds, WINDOW_S)
     ]
     earned_by_kind = {
-        name: sum(tally.earned.get(s, 0.0) for s in measured)
-        / sum(tally.owed.get(s, 0.0) for s in measured)
+        name: sum(tally.earned_credit.get(s, 0.0) for s in measured)
+        / sum(tally.offered_credit.get(s, 0.0) for s in measured)
         for name, tally in tallies.items()
     }
-    refused_again = sum(tally.refused_again for tally in tallies.values())
+    failed_after_refusals = sum(
+        tally.failed_after_refusals for tally in tallies.values()
+    )
     return {
-        "whole": sum(earned) / sum(owed),
+        "whole": sum(earned) / sum(offered_credit),
         "worst windows": statistics.mean(sorted(windows)[:WORST_WINDOWS]),
         **earned_by_kind,
-        "refused again": refused_again / sum(owed),
+        "refused again": failed_after_refusals / sum(offered_credit),
     }
 
 
-def play(name: str, seed: int, seconds: int = COUNTED_SECONDS) -> Figures:
+def play(name: str, seed: int, seconds: int = MEASURED_SECONDS) -> Figures:
     """Run one load pattern once and return its figures."""
     simulation = Simulation(pattern=PATTERNS[name], seed=seed)
     simulation.run(seconds + TAIL_SECONDS)
     crashes = simulation.crashes
-    return figures_of(simulation.tallies, seconds) | {
-        "servers ended": crashes.ended,
-        "innocent held": len(crashes.held),
+    return credit_shares(simulation.tallies, seconds) | {
+        "servers ended": crashes.crash_count,
+        "innocent held": len(crashes.innocent_held_back),
     }
 
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_callers.py
@@ -20,15 +20,15 @@
     """Credit of one kind of request, by the second in which it was first sent.
 
     Attributes:
-        owed: credit if all requests were answered in time.
-        earned: credit of the requests that were answered.
-        refused_again: credit of requests that failed after several
+        offered_credit: credit if all requests were answered in time.
+        earned_credit: credit of the requests that were answered.
+        failed_after_refusals: credit of requests that failed after several
             refusals.
     """
 
-    owed: dict[int, float] = field(default_factory=dict)
-    earned: dict[int, float] = field(default_factory=dict)
-    refused_again: float = 0.0
+    offered_credit: dict[int, float] = field(default_factory=dict)
+    earned_credit: dict[int, float] = field(default_factory=dict)
+    failed_after_refusals: float = 0.0
 
 
 class Caller:
@@ -64,7 +64,9 @@
         self._refusals = 0
         self._first_ms = clock.now_ms
         second = int(self._first_ms / 1000)
-        tally.owed[second] = tally.owed.get(second, 0.0) + kind.worth
+        tally.offered_credit[second] = (
+            tally.offered_credit.get(second, 0.0) + kind.worth
+        )
         send(self._handle_response)
 
     def _handle_response(self, status: int) -> None:
@@ -73,7 +75,7 @@
         if status == 200:
             second = int(self._first_ms / 1000)
             credit = kind.worth if elapsed_ms <= kind.target_ms else kind.late_worth
-            tally.earned[second] = tally.earned.get(second, 0.0) + credit
+            tally.earned_credit[second] = tally.earned_credit.get(second, 0.0) + credit
             return
         is_refused = status == 503
         self._refusals += is_refused
@@ -84,13 +86,13 @@
             or not (is_refused or kind.idempotent)
         ):
             if self._refusals > 1:
-                tally.refused_again += kind.worth
+                tally.failed_after_refusals += kind.worth
             return
         self._retries -= 1
         wait_ms = (
             self._retry_delay_ms() if is_refused and self._obeys_retry_after else 0.0
         )
-        self._clock.after(
+        self._clock.schedule(
             min(wait_ms, remaining_ms / 3), lambda: self._send(self._handle_response)
         )
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_clock.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_clock.py
@@ -13,7 +13,7 @@
         self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
 
-    def after(self, wait_ms: float, action: Callable[[], None]) -> None:
+    def schedule(self, wait_ms: float, action: Callable[[], None]) -> None:
         """Schedule an action to run once the wait has passed."""
         at_ms = self.now_ms + wait_ms
         heapq.heappush(self._scheduled, (at_ms, next(self._order), action))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_crashes.py
@@ -17,7 +17,7 @@
 DOWN_MS = 2_000.0
 """Time from the crash of a backend server until it runs again."""
 
-FATAL_RUN_MS = (30.0, 120.0)
+FATAL_RUN_TIME_MS = (30.0, 120.0)
 """Shortest and longest run time of a fatal request before its server crashes."""
 
 FATAL = "fatal"
@@ -39,7 +39,7 @@
     def end(self, host: Host, execution: Execution, verdict: int, reason: str) -> None:
         """End an execution and send the response to its owner."""
 
-    def enter(
+    def receive_request(
         self, host: Host, name: str, parent: Execution | None, done: Done, key: str
     ) -> None:
         """Receive a request at a host."""
@@ -54,33 +54,35 @@
     """Crashes backend servers and counts the effects.
 
     Attributes:
-        ended: number of crashes.
+        crash_count: number of crashes.
         fatal_sent: number of fatal requests sent.
-        held: keys of non-fatal requests that were held back.
+        innocent_held_back: keys of non-fatal requests that were held back.
     """
 
     def __init__(self, *, simulation: CrashingFleet):
-        self.ended = 0
+        self.crash_count = 0
         self.fatal_sent = 0
-        self.held: set[str] = set()
+        self.innocent_held_back: set[str] = set()
         self._simulation = simulation
         self._crash_numbers = itertools.count(1)
 
-    def begin(self) -> None:
+    def schedule_faults(self) -> None:
         """Schedule the crashes and fatal requests of the load pattern."""
-        for spell in self._simulation.pattern.spells:
+        for disturbance in self._simulation.pattern.disturbances:
             for per_s, action in (
-                (spell.crashes_per_s, self._crash_random_server),
-                (spell.fatal_per_s, self._send_fatal_request),
+                (disturbance.crashes_per_s, self._crash_random_server),
+                (disturbance.fatal_per_s, self._send_fatal_request),
             ):
                 if per_s:
-                    self._schedule(spell.from_s * 1000, spell, per_s, action)
+                    self._schedule(
+                        disturbance.from_s * 1000, disturbance, per_s, action
+                    )
 
-    def runs(self, host: Host, execution: Execution) -> None:
+    def handle_start(self, host: Host, execution: Execution) -> None:
         """Schedule the server's crash if the request that starts on it is fatal."""
         if execution.request.request_id == FATAL:
-            wait_ms = self._simulation.rng.uniform(*FATAL_RUN_MS)
-            self._simulation.clock.after(
+            wait_ms = self._simulation.rng.uniform(*FATAL_RUN_TIME_MS)
+            self._simulation.clock.schedule(
                 wait_ms, lambda: self._crash_under(host, execution)
             )
 
@@ -100,13 +102,13 @@
 
     def _record_held(self, key: str) -> None:
         if key != FATAL:
-            self.held.add(key)
+            self.innocent_held_back.add(key)
 
     def crash(self, host: Host) -> None:
         """End the server's process; it restarts after ``DOWN_MS``."""
         if not host.up:
             return
-        self.ended += 1
+        self.crash_count += 1
         host.up = False
         instance_id = f"i-{next(self._crash_numbers)}"
         for execution in list(host.executions):
@@ -118,20 +120,20 @@
                 host.queue.withdraw(execution.queue_entry)
             verdict = Verdict.MAY_HAVE_RUN if was_started else Verdict.NOT_RUN
             self._simulation.end(host, execution, verdict, "server-ended")
-        self._simulation.clock.after(DOWN_MS, lambda: setattr(host, "up", True))
+        self._simulation.clock.schedule(DOWN_MS, lambda: setattr(host, "up", True))
 
     def _crash_under(self, host: Host, execution: Execution) -> None:
         if not execution.ended:
             self.crash(host)
 
-    def _schedule(self, wait_ms, spell, per_s, action) -> None:
+    def _schedule(self, wait_ms, disturbance, per_s, action) -> None:
         def act_and_reschedule() -> None:
-            if spell.holds(self._simulation.now_ms()):
-                action(spell.service)
+            if disturbance.is_active(self._simulation.now_ms()):
+                action(disturbance.service)
                 gap_ms = self._simulation.rng.expovariate(per_s) * 1000
-                self._schedule(gap_ms, spell, per_s, action)
+                self._schedule(gap_ms, disturbance, per_s, action)
 
-        self._simulation.clock.after(wait_ms, act_and_reschedule)
+        self._simulation.clock.schedule(wait_ms, act_and_reschedule)
 
     def _crash_random_server(self, service: str) -> None:
         hosts = [
@@ -146,10 +148,10 @@
         name = next(n for n, k in kinds if k.service == service and k.worth)
         host = self._simulation.hosts[self._simulation.rng.choice(self._simulation.ips)]
         self.fatal_sent += 1
-        self._simulation.enter(host, name, None, lambda status: None, FATAL)
+        self._simulation.receive_request(host, name, None, lambda status: None, FATAL)
 
 
-def tell_suspects(zone: str, hosts: Iterable[Host], now_ms: float) -> None:
+def exchange_suspects(zone: str, hosts: Iterable[Host], now_ms: float) -> None:
     """Send the hosts of a zone the suspects that changed since its last round."""
     changed_hosts = [
         host
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_fleet.py
@@ -47,7 +47,7 @@
 from sassafraswinch_standins.simulator_crashes import (
     ServerCrashes,
     content_of,
-    tell_suspects,
+    exchange_suspects,
 )
 from sassafraswinch_standins.simulator_host import Done, Host
 from sassafraswinch_standins.simulator_load import Pattern, route_of
@@ -59,7 +59,7 @@
 SHED_MS = 0.5
 """Time that a backend server takes to refuse a request."""
 
-WORK_SPREAD = 0.5
+WORK_TIME_SIGMA = 0.5
 """Sigma of the lognormal distribution of work times."""
 
 TICK_MS = 20.0
@@ -105,19 +105,24 @@
         for host in self.hosts.values():
             self._tick(host)
         for zone in range(ZONES):
-            self.clock.after(
+            self.clock.schedule(
                 self.rng.uniform(0, PAUSE_MS),
                 partial(_run_aggregation_round, self, zone),
             )
-        self.crashes.begin()
+        self.crashes.schedule_faults()
         self.clock.run(seconds * 1000)
 
     def instances_of(self, service: str) -> list[Instance]:
         """Return the reachable instances of a service."""
-        spells = self.pattern.of_service(service, self.now_ms())
+        disturbances = self.pattern.of_service(service, self.now_ms())
         instances = (host.instance for host in self.hosts.values())
         of_service = [each for each in instances if each.service == service]
-        return of_service[max((spell.lost for spell in spells), default=0) :]
+        return of_service[
+            max(
+                (disturbance.unreachable_servers for disturbance in disturbances),
+                default=0,
+            ) :
+        ]
 
     def _make_host(self, ip: str, service: str, number: int) -> Host:
         group = self.pattern.services[service]
@@ -145,7 +150,7 @@
         kind = self.pattern.kinds[name]
         rate_per_s = kind.rate_per_s * self.pattern.load_at(self.now_ms())
         wait_ms = self.rng.expovariate(rate_per_s) * 1000
-        self.clock.after(wait_ms, lambda: self._arrive(name))
+        self.clock.schedule(wait_ms, lambda: self._arrive(name))
         is_abusive = self.rng.random() < self.pattern.abuse_share(self.now_ms())
         Caller(
             kind=kind,
@@ -158,7 +163,7 @@
 
     def _send(self, name: str, key: str, done: Done) -> None:
         host = self.hosts[self.rng.choice(self.ips)]
-        self.enter(host, name, None, done, key)
+        self.receive_request(host, name, None, done, key)
 
     def _tick(self, host: Host) -> None:
         now_ms = self.now_ms()
@@ -169,9 +174,9 @@
             reachable = itertools.chain.from_iterable(map(self.instances_of, services))
             capacities = capacities_of(reachable, host.loads.get)
             host.admission.decide_shares(capacities, now_ms, host.demand)
-        self.clock.after(TICK_MS, lambda: self._tick(host))
+        self.clock.schedule(TICK_MS, lambda: self._tick(host))
 
-    def enter(
+    def receive_request(
         self, host: Host, name: str, parent: Execution | None, done: Done, key: str
     ) -> None:
         """Receive a request at a host; ``done`` is called once with its final status.
@@ -256,7 +261,7 @@
             deadline_ms=relay.deadline_ms,
         )
         target = self.hosts[instance.ip]
-        self.clock.after(
+        self.clock.schedule(
             _message_delay_ms(host, target), lambda: self._submit(target, execution)
         )
 
@@ -287,17 +292,23 @@
 
     def _run(self, host: Host, execution: Execution) -> None:
         execution.offered = True
-        spells = self.pattern.of_service(host.instance.service, self.now_ms())
-        if self.rng.random() < max((s.shed_share for s in spells), default=0.0):
+        disturbances = self.pattern.of_service(host.instance.service, self.now_ms())
+        if self.rng.random() < max((s.shed_share for s in disturbances), default=0.0):
             refuse = lambda: self.end(host, execution, Verdict.NOT_RUN, "server-shed")  # noqa: E731
-            self.clock.after(SHED_MS, refuse)
+            self.clock.schedule(SHED_MS, refuse)
             return
-        self.crashes.runs(host, execution)
+        self.crashes.handle_start(host, execution)
         kind = self.pattern.kinds[execution.owner]
-        mean_ms = kind.work_ms * host.speed * max((s.slower for s in spells), default=1)
-        work_ms = mean_ms * self.rng.lognormvariate(-(WORK_SPREAD**2) / 2, WORK_SPREAD)
+        mean_ms = (
+            kind.work_ms
+            * host.speed
+            * max((s.work_time_factor for s in disturbances), default=1)
+        )
+        work_ms = mean_ms * self.rng.lognormvariate(
+            -(WORK_TIME_SIGMA**2) / 2, WORK_TIME_SIGMA
+        )
         calls = [call for call in kind.calls for _ in range(call.times)]
-        in_parallel = any(call.together for call in kind.calls)
+        in_parallel = any(call.in_parallel for call in kind.calls)
         remaining_calls = [call.kind for call in calls]
 
         def make_next_calls() -> None:
@@ -324,9 +335,9 @@
 
             for number, name in enumerate(batch):
                 key = f"{execution.request.request_id}/{len(remaining_calls)}.{number}"
-                self.enter(host, name, execution, handle_call_end, key)
+                self.receive_request(host, name, execution, handle_call_end, key)
 
-        self.clock.after(work_ms, make_next_calls)
+        self.clock.schedule(work_ms, make_next_calls)
 
     def _finish_run(self, host: Host, execution: Execution, status: int) -> None:
         if execution.ended:
@@ -360,7 +371,7 @@
             load=host.load(),
             repeats_spent=execution.repeats_spent,
         )
-        self.clock.after(NEAR_MS, lambda: execution.reply(response))
+        self.clock.schedule(NEAR_MS, lambda: execution.reply(response))
 
     def _handle_response(
         self, host: Host, relay: Relay, instance: Instance, response: RelayResponse
@@ -426,7 +437,7 @@
     hosts = simulation.hosts.values()
     demand = merge_claims(host.admission.demand() for host in hosts)
     counts = sum_counts(host.budget.window_counts(now_ms) for host in hosts)
-    tell_suspects(f"zone-{zone}", hosts, now_ms)
+    exchange_suspects(f"zone-{zone}", hosts, now_ms)
     for host in hosts:
         if host.instance.availability_zone != f"zone-{zone}":
             continue
@@ -434,7 +445,9 @@
         host.totals = counts, len(simulation.hosts)
         for ip, peer in simulation.hosts.items():
             host.loads[ip].apply_report(peer.load(), now_ms)
-    simulation.clock.after(PAUSE_MS, partial(_run_aggregation_round, simulation, zone))
+    simulation.clock.schedule(
+        PAUSE_MS, partial(_run_aggregation_round, simulation, zone)
+    )
 
 
 def _message_delay_ms(one: Host, other: Host) -> float:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_load.py
@@ -13,12 +13,12 @@
     Attributes:
         kind: kind of the child calls.
         times: number of calls.
-        together: whether all calls of the request are made in parallel.
+        in_parallel: whether all calls of the request are made in parallel.
     """
 
     kind: str
     times: int
-    together: bool = False
+    in_parallel: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Spell:
+class Disturbance:
     """Disturbance that is active for a limited time.
 
     Attributes:
@@ -91,9 +91,9 @@
         until_s: end.
         load: factor on the arrival rates.
         shed_share: share of requests that the servers refuse without running them.
-        slower: factor on the work times of the service.
+        work_time_factor: factor on the work times of the service.
         service: affected service; empty if only the load or the callers change.
-        lost: number of unreachable servers of the service, its first.
+        unreachable_servers: number of unreachable servers of the service, its first.
         abuse_share: share of callers that ignore Retry-After and retry three times more
             than others, without waiting.
         crashes_per_s: rate of server crashes that no request causes.
@@ -105,13 +105,13 @@
     load: float = 1.0
     service: str = ""
     shed_share: float = 0.0
-    slower: float = 1.0
-    lost: int = 0
+    work_time_factor: float = 1.0
+    unreachable_servers: int = 0
     abuse_share: float = 0.0
     crashes_per_s: float = 0.0
     fatal_per_s: float = 0.0
 
-    def holds(self, now_ms: float) -> bool:
+    def is_active(self, now_ms: float) -> bool:
         """Return whether the disturbance is active."""
         return self.from_s * 1000 <= now_ms < self.until_s * 1000
 
@@ -124,7 +124,7 @@
         services: servers by service.
         kinds: kinds of request by name.
         load: factor on the arrival rates.
-        spells: disturbances.
+        disturbances: disturbances.
         worths: worth by priority that ingress sidecars admit by; empty for strict
             priority order.
     """
@@ -132,26 +132,31 @@
     services: MappingProxyType[str, ServerGroup]
     kinds: MappingProxyType[str, Kind]
     load: float = 1.0
-    spells: tuple[Spell, ...] = field(default=())
+    disturbances: tuple[Disturbance, ...] = field(default=())
     worths: tuple[float, ...] = ()
 
     def load_at(self, now_ms: float) -> float:
         """Return the current factor on the arrival rates."""
         factor = self.load
-        for spell in self.spells:
-            factor *= spell.load if spell.holds(now_ms) else 1.0
+        for disturbance in self.disturbances:
+            factor *= disturbance.load if disturbance.is_active(now_ms) else 1.0
         return factor
 
-    def of_service(self, service: str, now_ms: float) -> list[Spell]:
+    def of_service(self, service: str, now_ms: float) -> list[Disturbance]:
         """Return the active disturbances of a service."""
-        return [s for s in self.spells if s.service == service and s.holds(now_ms)]
+        return [
+            s for s in self.disturbances if s.service == service and s.is_active(now_ms)
+        ]
 
     def abuse_share(self, now_ms: float) -> float:
         """Return the current share of callers that ignore Retry-After."""
-        return max((s.abuse_share for s in self.spells if s.holds(now_ms)), default=0.0)
+        return max(
+            (s.abuse_share for s in self.disturbances if s.is_active(now_ms)),
+            default=0.0,
+        )
 
 
-WIDE = Pattern(
+SHARED_LEAF_PATTERN = Pattern(
     services=MappingProxyType(
         {
             "front": ServerGroup(servers=5, slots=120, speeds=(0.5, 1.0, 1.0, 1.5)),
@@ -172,7 +177,7 @@
                 patience_ms=5_000.0,
                 worth=1.0,
                 late_worth=0.1,
-                calls=(Calls(kind="stock", times=2, together=True),),
+                calls=(Calls(kind="stock", times=2, in_parallel=True),),
             ),
             "book": Kind(
                 service="plan",
@@ -242,7 +247,7 @@
 )
 """Two kinds of call tree fill one small leaf service; a third kind calls only it."""
 
-LEADING = Pattern(
+PRIORITY_LEAF_PATTERN = Pattern(
     worths=(3.0, 2.0, 1.0),
     services=MappingProxyType(
         {
@@ -334,74 +339,97 @@
 """High-priority call trees fill the deepest service; short requests call only it."""
 
 PATTERNS: dict[str, Pattern] = {
-    "leading": replace(LEADING, spells=(Spell(from_s=0.3, until_s=14, load=2.1),)),
+    "leading": replace(
+        PRIORITY_LEAF_PATTERN,
+        disturbances=(Disturbance(from_s=0.3, until_s=14, load=2.1),),
+    ),
     "leading-shed": replace(
-        LEADING,
+        PRIORITY_LEAF_PATTERN,
         load=1.6,
-        spells=(Spell(from_s=6, until_s=14, service="status", shed_share=0.55),),
+        disturbances=(
+            Disturbance(from_s=6, until_s=14, service="status", shed_share=0.55),
+        ),
     ),
     "surge": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.35,
-        spells=(
-            Spell(from_s=3, until_s=13, load=1.6),
-            Spell(from_s=5, until_s=9, abuse_share=0.4),
+        disturbances=(
+            Disturbance(from_s=3, until_s=13, load=1.6),
+            Disturbance(from_s=5, until_s=9, abuse_share=0.4),
         ),
     ),
     "part-shed": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.35,
-        spells=(Spell(from_s=8, until_s=16, service="office", shed_share=0.55),),
+        disturbances=(
+            Disturbance(from_s=8, until_s=16, service="office", shed_share=0.55),
+        ),
     ),
     "out-of-reach": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.35,
-        spells=(Spell(from_s=5, until_s=11, service="field", lost=3),),
+        disturbances=(
+            Disturbance(from_s=5, until_s=11, service="field", unreachable_servers=3),
+        ),
     ),
     "slower": replace(
-        WIDE,
-        spells=(Spell(from_s=5, until_s=11, service="office", slower=4.0),),
+        SHARED_LEAF_PATTERN,
+        disturbances=(
+            Disturbance(from_s=5, until_s=11, service="office", work_time_factor=4.0),
+        ),
     ),
     "two-full": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.35,
-        spells=(Spell(from_s=4, until_s=14, service="plan", slower=3.0),),
+        disturbances=(
+            Disturbance(from_s=4, until_s=14, service="plan", work_time_factor=3.0),
+        ),
     ),
-    "from-nothing": replace(WIDE, load=1.8),
+    "from-nothing": replace(SHARED_LEAF_PATTERN, load=1.8),
     "power-back": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.1,
-        spells=(
-            Spell(from_s=0, until_s=0.7, load=2.5),
+        disturbances=(
+            Disturbance(from_s=0, until_s=0.7, load=2.5),
             *(
-                Spell(from_s=0, until_s=3, service=service, slower=2.0)
-                for service in WIDE.services
+                Disturbance(from_s=0, until_s=3, service=service, work_time_factor=2.0)
+                for service in SHARED_LEAF_PATTERN.services
             ),
         ),
     ),
     "crashes": replace(
-        WIDE, spells=(Spell(from_s=4, until_s=12, service="front", crashes_per_s=1.5),)
+        SHARED_LEAF_PATTERN,
+        disturbances=(
+            Disturbance(from_s=4, until_s=12, service="front", crashes_per_s=1.5),
+        ),
     ),
     "fatal": replace(
-        WIDE, spells=(Spell(from_s=4, until_s=12, service="front", fatal_per_s=4.0),)
+        SHARED_LEAF_PATTERN,
+        disturbances=(
+            Disturbance(from_s=4, until_s=12, service="front", fatal_per_s=4.0),
+        ),
     ),
     "fatal-and-crashes": replace(
-        WIDE,
-        spells=(
-            Spell(from_s=4, until_s=12, service="front", fatal_per_s=4.0),
-            Spell(from_s=4, until_s=12, service="front", crashes_per_s=1.0),
+        SHARED_LEAF_PATTERN,
+        disturbances=(
+            Disturbance(from_s=4, until_s=12, service="front", fatal_per_s=4.0),
+            Disturbance(from_s=4, until_s=12, service="front", crashes_per_s=1.0),
         ),
     ),
     "fatal-in-surge": replace(
-        WIDE,
+        SHARED_LEAF_PATTERN,
         load=1.35,
-        spells=(
-            Spell(from_s=3, until_s=13, load=1.6),
-            Spell(from_s=4, until_s=12, service="front", fatal_per_s=4.0),
+        disturbances=(
+            Disturbance(from_s=3, until_s=13, load=1.6),
+            Disturbance(from_s=4, until_s=12, service="front", fatal_per_s=4.0),
         ),
     ),
     "server-lost": replace(
-        WIDE, load=1.1, spells=(Spell(from_s=5, until_s=11, service="office", lost=1),)
+        SHARED_LEAF_PATTERN,
+        load=1.1,
+        disturbances=(
+            Disturbance(from_s=5, until_s=11, service="office", unreachable_servers=1),
+        ),
     ),
 }
 """Load patterns by name."""
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/simulator_rates.py
@@ -22,8 +22,8 @@
 STEP_MS = 125.0
 """Time between two rounds of reports."""
 
-OWN_ZONE_ROUNDS = 1
-OTHER_ZONE_ROUNDS = 3
+OWN_ZONE_REPORT_ROUNDS = 1
+OTHER_ZONE_REPORT_ROUNDS = 3
 """Rounds after which a host receives reports of its own and of other zones."""
 
 WINDOW_MS = 5_000.0
@@ -33,14 +33,16 @@
 """Admissions allowed within a window: ``EXCESS`` times the limit plus ``SLACK``."""
 
 MAX_VIEW_AGE_MS = 2_000.0
-COMES_BACK = 0.5
+REFUSED_RETRY_SHARE = 0.5
 """Share of refused callers that retry once."""
 
 
-class Way(Protocol):
+class HostRateLimiter(Protocol):
     """Rate limiter of one host."""
 
-    def ask(self, organisation: Organisation, now_ms: float) -> float | None:
+    def request_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> float | None:
         """Return None to admit a request, or the delay in ms until a retry."""
 
     def report(self, now_ms: float) -> FleetUsage:
@@ -54,7 +56,7 @@
     Attributes:
         number: index of the host in the fleet.
         zone: index of its zone.
-        way: its rate limiter.
+        rate_limiter: its rate limiter.
         up: whether it exchanges reports.
         last_reported: usage in the fleet as last received.
         reported_ms: time at which it was received.
@@ -63,14 +65,14 @@
 
     number: int
     zone: int
-    way: Way
+    rate_limiter: HostRateLimiter
     up: bool = True
     last_reported: FleetUsage = field(default_factory=FleetUsage)
     reported_ms: float = -MAX_VIEW_AGE_MS
     reports: list[FleetUsage] = field(default_factory=list)
 
 
-class SumsTold:
+class SharedTotalsLimiter:
     """Rate limiter that admits by the total of all hosts' counts."""
 
     def __init__(self, *, fleet: "RatesFleet", number: int, now_ms: float):
@@ -78,12 +80,14 @@
             rule=RULE,
             now_ms=now_ms,
             max_hosts=lambda: len(fleet.hosts),
-            fleet_usage=lambda at_ms: fleet.told(number, at_ms),
+            fleet_usage=lambda at_ms: fleet.last_reported_usage(number, at_ms),
             random=fleet.rng.random,
         )
 
-    def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request or return a retry delay (see ``Way``)."""
+    def request_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> float | None:
+        """Admit a request or return a retry delay (see ``HostRateLimiter``)."""
         decision = self._rates.decide_admission(organisation, now_ms)
         if decision is None or decision.admitted:
             self._rates.spend(organisation, now_ms)
@@ -91,7 +95,7 @@
         return self._rates.wait_ms(decision)
 
     def report(self, now_ms: float) -> FleetUsage:
-        """Return the counts of this host (see ``Way``)."""
+        """Return the counts of this host (see ``HostRateLimiter``)."""
         return self._rates.report(now_ms)
 
 
@@ -113,15 +117,17 @@
         return True
 
 
-class EvenParts:
+class EqualSharesLimiter:
     """Rate limiter that gives each host an equal share of a limit."""
 
     def __init__(self, *, fleet: "RatesFleet", number: int, now_ms: float):
         self._fleet = fleet
         self._buckets: dict[str, TokenBucket] = {}
 
-    def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request or return a retry delay (see ``Way``)."""
+    def request_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> float | None:
+        """Admit a request or return a retry delay (see ``HostRateLimiter``)."""
         limit = organisation.limit
         hosts = len(self._fleet.hosts)
         bucket = self._buckets.setdefault(
@@ -133,11 +139,11 @@
         return 1_000.0
 
     def report(self, now_ms: float) -> FleetUsage:
-        """Return no counts (see ``Way``)."""
+        """Return no counts (see ``HostRateLimiter``)."""
         return FleetUsage()
 
 
-class HomeHost:
+class HomeHostLimiter:
     """Rate limiter that requests each token from the organisation's home host.
 
     The home host is chosen by rendezvous hashing among the reachable hosts. It
@@ -149,30 +155,34 @@
         self._number = number
         self.buckets: dict[str, TokenBucket] = {}
 
-    def ask(self, organisation: Organisation, now_ms: float) -> float | None:
-        """Admit a request or return a retry delay (see ``Way``)."""
-        reachable = self._fleet.reached(self._number)
+    def request_admission(
+        self, organisation: Organisation, now_ms: float
+    ) -> float | None:
+        """Admit a request or return a retry delay (see ``HostRateLimiter``)."""
+        reachable = self._fleet.reachable_hosts(self._number)
         home = max(
             reachable, key=lambda host: hash((organisation.name, host.number * 7919))
         )
         self._fleet.messages += 0 if home.number == self._number else 2
         limit = organisation.limit
         share = len(reachable) / len(self._fleet.hosts)
-        bucket = home.way.buckets.setdefault(organisation.name, TokenBucket(0, now_ms))
+        bucket = home.rate_limiter.buckets.setdefault(
+            organisation.name, TokenBucket(0, now_ms)
+        )
         depth = max(1.0, limit.burst * share)
         if bucket.take(limit.rate_per_s * share, depth, now_ms):
             return None
         return 1_000.0
 
     def report(self, now_ms: float) -> FleetUsage:
-        """Return no counts (see ``Way``)."""
+        """Return no counts (see ``HostRateLimiter``)."""
         return FleetUsage()
 
 
-WAYS: dict[str, Callable[..., Way]] = {
-    "equal shares": EvenParts,
-    "home host": HomeHost,
-    "shared totals": SumsTold,
+RATE_LIMITERS: dict[str, Callable[..., HostRateLimiter]] = {
+    "equal shares": EqualSharesLimiter,
+    "home host": HomeHostLimiter,
+    "shared totals": SharedTotalsLimiter,
 }
 
 
@@ -181,7 +191,7 @@
 
     Args:
         hosts: number of hosts.
-        way: class of their rate limiters.
+        limiter_class: class of their rate limiters.
         rng: source of random choices.
         limits: limits by organisation; hosts receive the usage of those near theirs.
     """
@@ -190,7 +200,7 @@
         self,
         *,
         hosts: int,
-        way: Callable[..., Way],
+        limiter_class: Callable[..., HostRateLimiter],
         rng: random.Random,
         limits: Mapping[str, RateLimit],
     ):
@@ -198,14 +208,14 @@
         self.limits = limits
         self.now_ms = 0.0
         self.messages = 0
-        self.cut_zone: int | None = None
-        self._limiter_class = way
+        self.partitioned_zone: int | None = None
+        self._limiter_class = limiter_class
         self.hosts: list[Host] = []
         for number in range(hosts):
-            limiter = way(fleet=self, number=number, now_ms=-WINDOW_MS)
+            limiter = limiter_class(fleet=self, number=number, now_ms=-WINDOW_MS)
             self.hosts.append(Host(number, number % ZONES, limiter))
 
-    def told(self, number: int, now_ms: float) -> FleetUsage:
+    def last_reported_usage(self, number: int, now_ms: float) -> FleetUsage:
         """Return the usage that a host last received; empty if it is outdated."""
         host = self.hosts[number]
         return (
@@ -214,7 +224,7 @@
             else FleetUsage()
         )
 
-    def reached(self, number: int) -> list[Host]:
+    def reachable_hosts(self, number: int) -> list[Host]:
         """Return the hosts that a host can reach."""
         zone = self.hosts[number].zone
         return [h for h in self.hosts if h.up and self._are_connected(h.zone, zone)]
@@ -222,21 +232,21 @@
     def restart(self, hosts: Sequence[Host]) -> None:
         """Restart hosts with empty state."""
         for host in hosts:
-            host.way = self._limiter_class(
+            host.rate_limiter = self._limiter_class(
                 fleet=self, number=host.number, now_ms=self.now_ms
             )
             host.reports = []
             host.last_reported = FleetUsage()
             host.reported_ms = -MAX_VIEW_AGE_MS
 
-    def tell(self) -> None:
+    def run_report_round(self) -> None:
         """Run one round of reports."""
         for host in self.hosts:
-            host.reports = [*host.reports, host.way.report(self.now_ms)][-4:]
+            host.reports = [*host.reports, host.rate_limiter.report(self.now_ms)][-4:]
         zone_totals = [
             [
                 self._zone_total(zone, rounds)
-                for rounds in (OWN_ZONE_ROUNDS, OTHER_ZONE_ROUNDS)
+                for rounds in (OWN_ZONE_REPORT_ROUNDS, OTHER_ZONE_REPORT_ROUNDS)
             ]
             for zone in range(ZONES)
         ]
@@ -267,7 +277,7 @@
         )
 
     def _are_connected(self, one: int, other: int) -> bool:
-        return one == other or self.cut_zone not in (one, other)
+        return one == other or self.partitioned_zone not in (one, other)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -278,17 +288,17 @@
         factor: factor on the usual rates of all organisations.
         flood: further factor for the largest organisation and a small one.
         flood_s: start and end of the flood.
-        cut_s: start and end of the network partition of one zone.
-        kill_s: time at which all hosts are killed and restarted.
-        fall_s: time from which all limits are a tenth.
+        partition_s: start and end of the network partition of one zone.
+        restart_s: time at which all hosts are killed and restarted.
+        limit_drop_s: time from which all limits are a tenth.
     """
 
     factor: float = 1.0
     flood: float = 1.0
     flood_s: tuple[float, float] = (4.0, 12.0)
-    cut_s: tuple[float, float] = (99.0, 99.0)
-    kill_s: float = 99.0
-    fall_s: float = 99.0
+    partition_s: tuple[float, float] = (99.0, 99.0)
+    restart_s: float = 99.0
+    limit_drop_s: float = 99.0
 
 
 RATE_PATTERNS = {
@@ -297,10 +307,10 @@
     "all at 1.8": RatesPattern(factor=1.8),
     "flood 8": RatesPattern(flood=8.0),
     "flood 8 in a burst": RatesPattern(factor=1.6, flood=8.0),
-    "flood 8, zone cut": RatesPattern(flood=8.0, cut_s=(5.0, 11.0)),
-    "flood 8, cut and healed": RatesPattern(flood=8.0, cut_s=(2.0, 7.0)),
-    "flood 8, all killed": RatesPattern(flood=8.0, kill_s=7.0),
-    "limit falls": RatesPattern(fall_s=6.0),
+    "flood 8, zone cut": RatesPattern(flood=8.0, partition_s=(5.0, 11.0)),
+    "flood 8, cut and healed": RatesPattern(flood=8.0, partition_s=(2.0, 7.0)),
+    "flood 8, all killed": RatesPattern(flood=8.0, restart_s=7.0),
+    "limit falls": RatesPattern(limit_drop_s=6.0),
 }
 
 
@@ -310,12 +320,12 @@
 
     Attributes:
         worst: largest ratio of admitted to allowed requests within a window.
-        refused_below: share of first requests below the limit that were refused.
+        refused_below_limit: share of first requests below the limit that were refused.
         messages: messages between hosts per request.
     """
 
     worst: float
-    refused_below: float
+    refused_below_limit: float
     messages: float
 
 
@@ -334,7 +344,7 @@
 def play_rates(
     *,
     pattern: RatesPattern,
-    way: Callable[..., Way],
+    limiter_class: Callable[..., HostRateLimiter],
     hosts: int,
     organisations: int,
     per_s: float,
@@ -346,7 +356,10 @@
     rng = random.Random(seed)
     listed = organisations_of(organisations, per_s)
     fleet = RatesFleet(
-        hosts=hosts, way=way, rng=rng, limits={o.name: o.limit for o, _ in listed}
+        hosts=hosts,
+        limiter_class=limiter_class,
+        rng=rng,
+        limits={o.name: o.limit for o, _ in listed},
     )
     flooding = {listed[0][0].name, listed[organisations // 3][0].name}
     admitted_ms: dict[str, list[float]] = defaultdict(list)
@@ -360,15 +373,15 @@
     for step in range(steps):
         fleet.now_ms = step * STEP_MS
         second = fleet.now_ms / 1000
-        is_cut = pattern.cut_s[0] <= second < pattern.cut_s[1]
-        fleet.cut_zone = 0 if is_cut else None
-        if second >= pattern.fall_s:
+        is_cut = pattern.partition_s[0] <= second < pattern.partition_s[1]
+        fleet.partitioned_zone = 0 if is_cut else None
+        if second >= pattern.limit_drop_s:
             fleet.limits = {o.name: _lowered(o).limit for o, _ in listed}
-        if second >= pattern.kill_s and not was_killed:
+        if second >= pattern.restart_s and not was_killed:
             was_killed = True
             fleet.restart(fleet.hosts)
         if step % report_steps == 0:
-            fleet.tell()
+            fleet.run_report_round()
         due = [each for each in retries if each[0] < fleet.now_ms + STEP_MS]
         retries = [each for each in retries if each[0] >= fleet.now_ms + STEP_MS]
         arrivals = [(at_ms, o, number, False) for at_ms, o, number in due]
@@ -390,7 +403,7 @@
             arrivals, key=lambda each: each[0]
         ):
             organisation = caller
-            if second >= pattern.fall_s:
+            if second >= pattern.limit_drop_s:
                 organisation = _lowered(caller)
             limit = organisation.limit
             is_below = is_first and limits[caller.name].take(
@@ -398,14 +411,16 @@
             )
             below_limit[caller.name] += is_below
             requests += is_first
-            wait_ms = fleet.hosts[number].way.ask(organisation, at_ms)
+            wait_ms = fleet.hosts[number].rate_limiter.request_admission(
+                organisation, at_ms
+            )
             if wait_ms is None:
                 admitted_ms[caller.name].append(at_ms)
                 continue
             refused[caller.name] += is_below
-            if is_first and rng.random() < COMES_BACK:
+            if is_first and rng.random() < REFUSED_RETRY_SHARE:
                 retries.append((at_ms + wait_ms, caller, number))
-    after_ms = pattern.fall_s * 1000
+    after_ms = pattern.limit_drop_s * 1000
     is_lowered = after_ms < seconds * 1000
     worst = max(
         worst_window(
@@ -476,12 +491,12 @@
         "messages per request"
     )
     for (name, pattern), (limiter_name, limiter_class) in itertools.product(
-        RATE_PATTERNS.items(), WAYS.items()
+        RATE_PATTERNS.items(), RATE_LIMITERS.items()
     ):
         results = [
             play_rates(
                 pattern=pattern,
-                way=limiter_class,
+                limiter_class=limiter_class,
                 hosts=hosts,
                 organisations=organisations,
                 per_s=per_s,
@@ -491,7 +506,7 @@
             for seed in range(1, seeds + 1)
         ]
         worst = max(each.worst for each in results)
-        below = sum(each.refused_below for each in results) / seeds
+        below = sum(each.refused_below_limit for each in results) / seeds
         messages = sum(each.messages for each in results) / seeds
         print(f"{name} | {limiter_name} | {worst:.2f} | {below:.4f} | {messages:.2f}")
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_hosts.py
@@ -19,15 +19,15 @@
     Figure,
     best_cpu_us,
     core_percent,
+    fit_line,
     held_bytes,
-    line_through,
 )
 
 _HOST_LIST = TypeAdapter(tuple[HostRecord, ...])
 
 HOST_COUNTS = (17, 140, 560)
 TICKS_PER_S = 40
-TRUE_TRIAL_S = 2.0
+NODE_RATE_TRIAL_S = 2.0
 """Length of the trial at the tick rate of a real node."""
 
 
@@ -48,7 +48,7 @@
         yield Figure(
             name=f"link plan of {hosts} hosts", value=plans_us[hosts], unit="us"
         )
-    base_us, per_host_us = line_through(ticks_us)
+    base_us, per_host_us = fit_line(ticks_us)
     yield Figure(name="tick, base", value=base_us, unit="us")
     yield Figure(name="tick per host", value=per_host_us, unit="us")
     largest = max(HOST_COUNTS)
@@ -81,7 +81,7 @@
 async def _tick_cpu_share(node: Node) -> float:
     """Return the share of a core that ticks use in an event loop."""
     start_s, start_cpu_s = time.monotonic(), time.process_time()
-    while (elapsed_s := time.monotonic() - start_s) < TRUE_TRIAL_S:
+    while (elapsed_s := time.monotonic() - start_s) < NODE_RATE_TRIAL_S:
         node.tick(60_000.0)
         await asyncio.sleep(1 / TICKS_PER_S)
     return (time.process_time() - start_cpu_s) / elapsed_s
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_links.py
@@ -26,17 +26,17 @@
 from sassafraswinch_standins.slopes_timing import (
     Figure,
     best_cpu_us,
-    line_through,
+    fit_line,
 )
 
 LINK_COUNTS = (7, 14, 28, 56)
-BEAT_MS = 20
+TRIAL_HEARTBEAT_MS = 20
 """Heartbeat interval of trials: a fiftieth of a node's, which keeps trials short."""
 TRIAL_S = 0.5
 """Length of one trial of heartbeats."""
 TRIALS = 2
-TRUE_BEAT_MS = 1_000
-TRUE_TRIAL_S = 4.0
+NODE_HEARTBEAT_MS = 1_000
+NODE_RATE_TRIAL_S = 4.0
 """Length of the trial at the heartbeat interval of a node."""
 PREFIX_BYTES = 4
 
@@ -106,7 +106,7 @@
 
 
 async def _heartbeat_cost(
-    links: int, *, heartbeat_ms: float = BEAT_MS, trial_s: float = TRIAL_S
+    links: int, *, heartbeat_ms: float = TRIAL_HEARTBEAT_MS, trial_s: float = TRIAL_S
 ) -> tuple[float, float]:
     """Return processor time (us) of a heartbeat on all links, and allocated bytes."""
     events = _LinkCounter()
@@ -135,7 +135,7 @@
     )
     pool.set_hosts(addresses)
     while events.up < 2 * links:
-        await asyncio.sleep(BEAT_MS / 1000)
+        await asyncio.sleep(TRIAL_HEARTBEAT_MS / 1000)
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -170,18 +170,20 @@
     for links in LINK_COUNTS:
         costs_us[links], held[links] = asyncio.run(_heartbeat_cost(links))
         yield Figure(name=f"beat of {links} links", value=costs_us[links], unit="us")
-    per_link_us = line_through(costs_us)[1]
+    per_link_us = fit_line(costs_us)[1]
     yield Figure(name="beat per link, both ends", value=per_link_us, unit="us")
     largest = max(LINK_COUNTS)
     interval_us, _ = asyncio.run(
-        _heartbeat_cost(largest, heartbeat_ms=TRUE_BEAT_MS, trial_s=TRUE_TRIAL_S)
+        _heartbeat_cost(
+            largest, heartbeat_ms=NODE_HEARTBEAT_MS, trial_s=NODE_RATE_TRIAL_S
+        )
     )
     yield Figure(
         name=f"beat per link at the true pace, {largest} links, both ends",
         value=interval_us / largest,
         unit="us",
     )
-    per_link_bytes = line_through(held)[1]
+    per_link_bytes = fit_line(held)[1]
     yield Figure(name="memory per link, both ends", value=per_link_bytes, unit="B")
     yield Figure(name="heartbeat frame", value=frame_bytes(HEARTBEAT), unit="B")
     yield Figure(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_node.py
@@ -145,7 +145,7 @@
         self.handles = itertools.count(1)
         self.owner_ns = self.executor_ns = 0
 
-    def batch(self) -> None:
+    def run_batch(self) -> None:
         """Run ``BATCH`` calls from submission to outcome and time both nodes."""
         self.now_ms += STEP_MS
         owner, executor = self.owner, self.executor
@@ -190,7 +190,7 @@
     for _ in range(3):
         pair.owner_ns = pair.executor_ns = 0
         for _ in range(BATCHES):
-            pair.batch()
+            pair.run_batch()
         calls = BATCH * BATCHES
         costs_us.append(
             (pair.owner_ns / calls / 1_000, pair.executor_ns / calls / 1_000)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_sidecar.py
@@ -38,7 +38,7 @@
 ROUTES = 4
 """Routes whose requests arrive at one ingress sidecar."""
 
-COUNT = 200
+CALLS_PER_ROUND = 200
 """Calls of the measured function in each round."""
 
 
@@ -168,5 +168,5 @@
 
 
 def _cost_figure(name: str, action: Callable[[], object]) -> Figure:
-    cost_us = best_cpu_us(action, count=COUNT)
+    cost_us = best_cpu_us(action, count=CALLS_PER_ROUND)
     return Figure(name=name, value=cost_us, unit="us")
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_spread.py
@@ -11,7 +11,7 @@
 from sassafraswinch_standins.slopes_timing import Figure
 
 HOSTS = 560
-CALLED = (0, 3)
+SERVICES_CALLED_BY_HOST = (0, 3)
 """Numbers of services that each host calls."""
 
 Graph = Mapping[str, set[str]]
@@ -42,7 +42,7 @@
     return hops
 
 
-def largest_part(graph: Graph, members: set[str]) -> int:
+def largest_component(graph: Graph, members: set[str]) -> int:
     """Return the size of the largest connected component among ``members``."""
     inside = {name: graph[name] & members for name in members}
     remaining, largest = set(members), 0
@@ -57,7 +57,7 @@
     """Measure hops from the watchers, and connectivity of a partitioned zone."""
     records = host_records(HOSTS)
     zone = {r.name for r in records if r.availability_zone == "zone-0"}
-    for called in CALLED:
+    for called in SERVICES_CALLED_BY_HOST:
         graph = planned_graph(records, called, seed=1)
         watchers = set(random.Random(2).sample(sorted(graph), DOCUMENT_WATCHES))
         hops = Counter(hops_from(graph, watchers).values())
@@ -69,6 +69,6 @@
         yield Figure(name=f"{label}: links of a host", value=mean, unit="links")
         yield Figure(
             name=f"{label}: zone of {len(zone)} cut off, largest connected part",
-            value=largest_part(graph, zone),
+            value=largest_component(graph, zone),
             unit="hosts",
         )
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_state.py
@@ -18,14 +18,14 @@
     ROUNDS,
     Figure,
     best_cpu_us,
+    fit_line,
     held_bytes,
-    line_through,
     peak_bytes,
 )
 
 DOCUMENT_BYTES = (10_000, 100_000, 950_000)
 """Approximate sizes; the figures name the actual sizes."""
-PARSES = 1
+PARSES_PER_ROUND = 1
 """Parses in a round: only one, since the largest document takes long."""
 SERVICES = 50
 CLASS_COUNTS = (10, 40, 160)
@@ -92,7 +92,7 @@
         document, held = held_bytes(lambda body=body: _parse(body))
         held_kb[size_kb] = held / 1_000
         cost_us = best_cpu_us(
-            lambda body=body: Classifier(document=_parse(body)), count=PARSES
+            lambda body=body: Classifier(document=_parse(body)), count=PARSES_PER_ROUND
         )
         costs_ms[size_kb] = cost_us / 1_000
         name = f"document of {size_kb:.0f} kB"
@@ -105,10 +105,10 @@
         packed = len(pack_document(body))
         yield Figure(name=f"{name}: packed", value=packed / 1_000, unit="kB")
     yield Figure(
-        name="taking a document, per kB", value=line_through(costs_ms)[1], unit="ms"
+        name="taking a document, per kB", value=fit_line(costs_ms)[1], unit="ms"
     )
     yield Figure(
-        name="held for a document, per kB", value=line_through(held_kb)[1], unit="kB"
+        name="held for a document, per kB", value=fit_line(held_kb)[1], unit="kB"
     )
     peak = peak_bytes(lambda: _parse(body))
     yield Figure(
@@ -143,7 +143,7 @@
         classes: _uncached_classify_us(_parse(make_body(50_000, classes=classes)))
         for classes in CLASS_COUNTS
     }
-    base_us, per_class_us = line_through(costs_us)
+    base_us, per_class_us = fit_line(costs_us)
     yield Figure(name="classify anew, base", value=base_us, unit="us")
     yield Figure(
         name="classify anew, per class with two selectors",
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_timing.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_timing.py
@@ -62,7 +62,7 @@
     return peak
 
 
-def line_through(points: Mapping[float, float]) -> tuple[float, float]:
+def fit_line(points: Mapping[float, float]) -> tuple[float, float]:
     """Return intercept and slope of a linear least-squares fit.
 
     Args:
--- a/packages/sassafraswinch-standins/tests/test_simulator_rates.py
+++ b/packages/sassafraswinch-standins/tests/test_simulator_rates.py
@@ -12,7 +12,7 @@
     STEP_MS,
     ZONES,
     RatesFleet,
-    SumsTold,
+    SharedTotalsLimiter,
     play_rates,
     worst_window,
 )
@@ -25,7 +25,7 @@
 def run_pattern(name, seed=1):
     return play_rates(
         pattern=RATE_PATTERNS[name],
-        way=SumsTold,
+        limiter_class=SharedTotalsLimiter,
         hosts=HOSTS,
         organisations=ORGANISATIONS,
         per_s=PER_S,
@@ -40,7 +40,7 @@
 
 
 def test_few_requests_below_the_limit_are_refused_under_usual_load():
-    assert run_pattern("calm").refused_below < 0.01
+    assert run_pattern("calm").refused_below_limit < 0.01
 
 
 MACHINE_HOSTS = 9
@@ -56,7 +56,7 @@
         super().__init__()
         self.fleet = RatesFleet(
             hosts=MACHINE_HOSTS,
-            way=SumsTold,
+            limiter_class=SharedTotalsLimiter,
             rng=random.Random(1),
             limits={"a": LIMITED.limit},
         )
@@ -64,7 +64,7 @@
 
     @rule(zone=st.sampled_from([0, 1, 2, None]))
     def partition_zone(self, zone):
-        self.fleet.cut_zone = zone
+        self.fleet.partitioned_zone = zone
 
     @rule(numbers=st.sets(st.integers(0, MACHINE_HOSTS - 1), min_size=1))
     def restart(self, numbers):
@@ -76,7 +76,7 @@
 
     @rule()
     def duplicate_reports(self):
-        self.fleet.tell()
+        self.fleet.run_report_round()
 
     @rule(
         steps=st.integers(1, 12),
@@ -87,14 +87,14 @@
         senders = [h for h in self.fleet.hosts if h.up and h.zone in zones]
         for _ in range(steps):
             self.fleet.now_ms += STEP_MS
-            self.fleet.tell()
+            self.fleet.run_report_round()
             if not senders:
                 continue
             count = round(FLOOD_PER_S * flood_share * STEP_MS / 1000)
             for number in range(count):
                 host = senders[number % len(senders)]
                 at_ms = self.fleet.now_ms + number * STEP_MS / count
-                if host.way.ask(LIMITED, at_ms) is None:
+                if host.rate_limiter.request_admission(LIMITED, at_ms) is None:
                     self.admitted_ms.append(at_ms)
 
     @invariant()
--- a/packages/sassafraswinch-standins/tests/test_slopes.py
+++ b/packages/sassafraswinch-standins/tests/test_slopes.py
@@ -8,7 +8,7 @@
 
 def test_line_through_points_gives_intercept_and_slope():
     points = {7: 107.0, 14: 114.0, 56: 156.0}
-    assert slopes_timing.line_through(points) == pytest.approx((100.0, 1.0))
+    assert slopes_timing.fit_line(points) == pytest.approx((100.0, 1.0))
 
 
 def test_core_percent():
