--- a/packages/sassafraswinch-standins/sassafraswinch_standins/__init__.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for callers, backend servers and the platform."""
+"""Test doubles of callers, backend servers and the platform, and their test tools."""
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/asgi.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/asgi.py
@@ -1,4 +1,4 @@
-"""Small helpers for applications that speak ASGI without a framework."""
+"""Helper functions for ASGI applications that use no web framework."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -10,7 +10,7 @@
 async def respond(
     send: Send, status: int, body: bytes, *headers: tuple[bytes, bytes]
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     length = (b"content-length", b"%d" % len(body))
     await send(
         {
@@ -23,10 +23,10 @@
 
 
 async def cut_short(send: Send, body: bytes) -> None:
-    """Send an answer that breaks off in the middle.
+    """Send a truncated response.
 
-    It announces twice the bytes that it sends; uvicorn closes the connection of an
-    application that returns before its answer is whole.
+    The content length is twice the number of bytes sent; uvicorn closes the
+    connection of an application that returns before its response is complete.
     """
     length = (b"content-length", b"%d" % (2 * len(body)))
     await send({"type": "http.response.start", "status": 200, "headers": [length]})
@@ -34,7 +34,7 @@
 
 
 async def read_body(receive: Receive) -> bytes:
-    """Return the whole body of a request."""
+    """Return the full body of a request."""
     chunks = []
     more = True
     while more:
@@ -45,6 +45,6 @@
 
 
 async def disconnected(receive: Receive) -> None:
-    """Wait until the connection of the request is closed."""
+    """Wait until the client closes the connection of the request."""
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
@@ -1,4 +1,4 @@
-"""Backend server stand-in: slots, service times, onward calls, faults on demand."""
+"""Backend server stand-in: slots, service times, child calls and fault injection."""
 
 import asyncio
 from contextlib import suppress
@@ -35,11 +35,11 @@
 )
 
 NOT_RUN = (b"x-not-run", b"1")
-"""Header of the documented shed form: with status 503 it proves NOT_RUN."""
+"""Header of the documented shed response: with status 503 it proves NOT_RUN."""
 
 
 class Backend:
-    """ASGI application of one backend server stand-in."""
+    """ASGI application of a backend server stand-in."""
 
     def __init__(self, *, settings: BackendSettings):
         self.settings = settings
@@ -52,11 +52,11 @@
         )
         self._service_time.restart(now_ms())
         self._reports = LaggingReports(
-            lag_ms=settings.report_lag_ms, observe=self._observe
+            lag_ms=settings.report_lag_ms, observe=self._current_report
         )
         self._onward = OnwardCalls(settings=settings)
         self._plans = [(plan.pattern(), plan) for plan in settings.operations]
-        self._own_paths = {
+        self._management_handlers = {
             "/health": self._health,
             "/load": self._load,
             "/runs": self._runs,
@@ -68,23 +68,23 @@
         self._honesty = settings.honesty
 
     async def __call__(self, scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle one HTTP request."""
         body = await read_body(receive)
-        own = self._own_paths.get(scope["path"])
-        if own is not None:
-            await own(body, send)
+        handler = self._management_handlers.get(scope["path"])
+        if handler is not None:
+            await handler(body, send)
             return
         self._reports.tick(now_ms())
-        plan = self._plan(scope["method"], scope["path"])
+        plan = self._find_plan(scope["method"], scope["path"])
         if plan is None:
             await respond(send, 404, b"no such operation")
         elif self._draining or self.slots.full():
             self.runs.shed += 1
             await respond(send, 503, b"shed", NOT_RUN)
         else:
-            await self._call(plan, scope, body, receive, send)
+            await self._handle_call(plan, scope, body, receive, send)
 
-    def _plan(self, method: str, path: str) -> OperationPlan | None:
+    def _find_plan(self, method: str, path: str) -> OperationPlan | None:
         return next(
             (
                 plan
@@ -94,36 +94,36 @@
             None,
         )
 
-    async def _call(self, plan, scope, body: bytes, receive, send) -> None:
-        """Work until the answer is sent, or the connection closes."""
+    async def _handle_call(self, plan, scope, body: bytes, receive, send) -> None:
+        """Run a call until its response is sent or the caller disconnects."""
         headers = dict(scope["headers"])
         request = parse_request(query=scope["query_string"], body=body)
         request = request or RequestFields(request_id="", answer_bytes=len(body))
-        place = self.slots.take_place()
-        work = asyncio.create_task(self._work(plan, place, headers, request, send))
-        watch = asyncio.create_task(disconnected(receive))
+        waiter = self.slots.take_place()
+        work = asyncio.create_task(self._process(plan, waiter, headers, request, send))
+        disconnect = asyncio.create_task(disconnected(receive))
         try:
-            await asyncio.wait((work, watch), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((work, disconnect), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            watch.cancel()
+            disconnect.cancel()
             work.cancel()
             with suppress(asyncio.CancelledError):
                 await work
 
-    async def _work(
+    async def _process(
         self,
         plan: OperationPlan,
-        place: asyncio.Future[None],
+        waiter: asyncio.Future[None],
         headers: dict[bytes, bytes],
         request: RequestFields,
         send: Send,
     ) -> None:
         deadline_ms = headers.get(b"x-deadline-ms")
         timeout_s = None if deadline_ms is None else float(deadline_ms) / 1000
-        ends_at_s = None if timeout_s is None else now_ms() / 1000 + timeout_s
+        deadline_s = None if timeout_s is None else now_ms() / 1000 + timeout_s
         try:
             async with asyncio.timeout(timeout_s):
-                await self.slots.acquire(place)
+                await self.slots.acquire(waiter)
         except TimeoutError:
             self.runs.shed += 1
             await respond(send, 503, b"deadline before start", NOT_RUN)
@@ -136,54 +136,58 @@
                 request_id=request.request_id,
                 now_ms=now_ms(),
             )
-            state = await self._run(plan, run, traceparent, ends_at_s)
+            state = await self._run(plan, run, traceparent, deadline_s)
             self.runs.finish(run, state, now_ms())
         finally:
             self.slots.release()
-        await self._answer(state, request, send)
+        await self._send_response(state, request, send)
 
     async def _run(
-        self, plan: OperationPlan, run: Run, traceparent: str, ends_at_s: float | None
+        self, plan: OperationPlan, run: Run, traceparent: str, deadline_s: float | None
     ) -> RunState:
-        left_s = None if ends_at_s is None else ends_at_s - now_ms() / 1000
+        remaining_s = None if deadline_s is None else deadline_s - now_ms() / 1000
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 if self._fault is Fault.HANG:
                     await asyncio.Event().wait()
-                return await self._operate(plan, run, traceparent)
+                return await self._run_operation(plan, run, traceparent)
         except TimeoutError:
             return RunState.DEADLINE
         except asyncio.CancelledError:
             self.runs.finish(run, RunState.CANCELLED, now_ms())
             raise
 
-    async def _operate(self, plan: OperationPlan, run: Run, traceparent) -> RunState:
-        """Do half of the own work, the child calls, and the other half."""
+    async def _run_operation(
+        self, plan: OperationPlan, run: Run, traceparent
+    ) -> RunState:
+        """Do half of the operation's own work, its child calls, then the other half."""
         time_ms = self._service_time.draw_ms(plan.service_time_ms, plan.sigma, now_ms())
         if not plan.calls:
-            await self._busy(run, time_ms)
+            await self._simulate_work(run, time_ms)
             return RunState.ANSWERED
-        await self._busy(run, time_ms / 2)
+        await self._simulate_work(run, time_ms / 2)
         if not self.settings.hold_slot_during_calls:
             self.slots.release()
         try:
-            whole = await self._onward.make(plan, run, traceparent)
+            complete = await self._onward.make(plan, run, traceparent)
         finally:
             if not self.settings.hold_slot_during_calls:
                 await self.slots.acquire()
-        if not whole:
+        if not complete:
             return RunState.CHILD_FAILED
-        await self._busy(run, time_ms / 2)
+        await self._simulate_work(run, time_ms / 2)
         return RunState.ANSWERED
 
-    async def _busy(self, run: Run, time_ms: float) -> None:
+    async def _simulate_work(self, run: Run, time_ms: float) -> None:
         started_at_ms = now_ms()
         try:
             await asyncio.sleep(time_ms / 1000)
         finally:
             run.busy_ms += now_ms() - started_at_ms
 
-    async def _answer(self, state: RunState, request: RequestFields, send) -> None:
+    async def _send_response(
+        self, state: RunState, request: RequestFields, send
+    ) -> None:
         if state is RunState.CHILD_FAILED:
             await respond(send, 502, b"child call failed")
         elif state is RunState.DEADLINE:
@@ -197,7 +201,7 @@
                 return
             await respond(send, 200, answer)
 
-    def _observe(self) -> Report:
+    def _current_report(self) -> Report:
         return Report(
             at_ms=now_ms(),
             in_flight=self.slots.in_flight,
@@ -205,7 +209,7 @@
             draining=self._draining,
         )
 
-    async def _reported(self) -> Report:
+    async def _served_report(self) -> Report:
         if self._honesty is Honesty.HANGING:
             await asyncio.Event().wait()
         if self._honesty is Honesty.MISLEADING:
@@ -215,12 +219,12 @@
         return self._reports.read(now_ms())
 
     async def _health(self, _body: bytes, send: Send) -> None:
-        report = await self._reported()
-        status, word = (503, b"draining") if report.draining else (200, b"ok")
-        await respond(send, status, word)
+        report = await self._served_report()
+        status, text = (503, b"draining") if report.draining else (200, b"ok")
+        await respond(send, status, text)
 
     async def _load(self, _body: bytes, send: Send) -> None:
-        report = await self._reported()
+        report = await self._served_report()
         load = {"in_flight": report.in_flight, "slots": report.slots}
         await respond(send, 200, orjson.dumps(load))
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend_settings.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the backend server stand-in."""
+"""Settings and control messages of the backend server stand-in."""
 
 import enum
 import re
@@ -10,63 +10,63 @@
 
 
 class Order(enum.Enum):
-    """How an operation makes its child calls."""
+    """Order in which an operation makes its child calls."""
 
     SEQUENTIAL = "sequential"
     PARALLEL = "parallel"
 
 
 class Honesty(enum.Enum):
-    """What ``/load`` and ``/health`` say."""
+    """Accuracy of the reports of ``/load`` and ``/health``."""
 
     LAGGING = "lagging"
-    """The state of ``report_lag_ms`` ago."""
+    """Report the state of ``report_lag_ms`` ago."""
     MISLEADING = "misleading"
-    """Always idle and well."""
+    """Always report an idle, healthy server."""
     HANGING = "hanging"
-    """No answer."""
+    """Never respond."""
 
 
 class Fault(enum.Enum):
-    """How calls fail on demand."""
+    """Fault injected into calls."""
 
     NONE = "none"
     HANG = "hang"
-    """Calls start and never end."""
+    """Calls start and never finish."""
     CUT = "cut"
-    """Calls run, and the connection closes in the middle of the answer."""
+    """Calls run, and the connection closes in the middle of the response."""
     ERROR = "error"
-    """Calls run and answer 500."""
+    """Calls run and respond with status 500."""
 
 
 class ChildCall(StrictModel):
-    """A call that an operation makes through its node's egress."""
+    """Child call that an operation makes through the egress of its node."""
 
     service: str
     method: str = "GET"
     path: str
-    """May hold ``{id}``, which becomes the id of the child call."""
+    """Path of the call, where ``{id}`` is replaced by the id of the child call."""
     answer_bytes: int = 200
     repeats: int = 0
-    """Repeats by the service itself when the child call fails."""
+    """Retries by the service itself when the child call fails."""
 
 
 class OperationPlan(StrictModel):
-    """What an operation does."""
+    """Simulated behaviour of one operation."""
 
     name: str
     method: str = "GET"
     path: str
-    """Path with ``{name}`` for any one segment, as in the document."""
+    """Path template, as in the document: ``{name}`` matches any one segment."""
     service_time_ms: float = 20.0
-    """Mean of the operation's own work, without its child calls."""
+    """Mean time of the operation's own work, without its child calls."""
     sigma: float = 0.3
-    """Shape of the lognormal service time."""
+    """Shape parameter of the lognormal distribution of service times."""
     order: Order = Order.SEQUENTIAL
     calls: list[ChildCall] = []
 
     def pattern(self) -> re.Pattern[str]:
-        """Return the pattern that paths of this operation match whole."""
+        """Return the regular expression that paths of this operation match in full."""
         parts = re.split(r"\{\w+\}", self.path)
         return re.compile("[^/]+".join(map(re.escape, parts)))
 
@@ -80,17 +80,17 @@
     egress: str | None = None
     """``ip:port`` of the local node's egress listener."""
     slots: int = 8
-    """Calls that run at once."""
+    """Maximum number of calls that run concurrently."""
     backlog: int = 16
-    """Calls that wait for a slot; any more are shed."""
+    """Maximum number of calls that wait for a slot; further calls are shed."""
     hold_slot_during_calls: bool = True
-    """Whether a call keeps its slot while its child calls run, as a thread would."""
+    """Whether a call holds its slot during its child calls, as a thread would."""
     child_timeout_ms: float = 10_000.0
     seed: int = 1
     cold_start_ms: float = 0.0
-    """Time from the start until service times are normal."""
+    """Time from the start until service times are back to normal."""
     cold_factor: float = 4.0
-    """Factor on service times at the start; it falls linearly to 1."""
+    """Factor on service times at the start; it decreases linearly to 1."""
     report_lag_ms: float = 2_000.0
     honesty: Honesty = Honesty.LAGGING
     record_runs: bool = True
@@ -98,19 +98,19 @@
 
 
 class BackendControl(StrictModel):
-    """Body of ``POST /control``; each field that is given is carried out."""
+    """Body of ``POST /control``; each field that is set is applied."""
 
     slow_factor: float | None = Field(default=None, gt=0)
     """Factor on all service times."""
     drain: bool | None = None
-    """Refuses new calls and lets running ones end."""
+    """Whether to refuse new calls while running ones finish."""
     fault: Fault | None = None
     honesty: Honesty | None = None
     slots: int | None = None
     cold_start: bool | None = None
-    """Begins the cold start again."""
+    """Restart the cold start."""
     forget_runs: bool | None = None
 
     def given(self) -> dict[str, Any]:
-        """Return the fields that the order names."""
+        """Return the fields that are set."""
         return self.model_dump(exclude_none=True)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/clock.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/clock.py
@@ -1,8 +1,8 @@
-"""The one clock that all processes of a run share."""
+"""Monotonic clock shared by all processes of a run."""
 
 import time
 
 
 def now_ms() -> float:
-    """Return the machine's monotonic time in milliseconds, one for all processes."""
+    """Return the host's monotonic time in milliseconds, the same in all processes."""
     return time.monotonic() * 1000
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/control.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/control.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP towards control endpoints and nodes, for tests and the bench."""
+"""Blocking HTTP client for control endpoints and nodes, for tests and benchmarks."""
 
 import http.client
 from collections.abc import Mapping
@@ -9,27 +9,27 @@
 from sassafraswinch_standins.serving import parse_address
 
 HTTP_TIMEOUT_S = 10.0
-"""Longest wait for an answer of a control endpoint, in seconds."""
+"""Timeout of a request to a control endpoint, in seconds."""
 
 PROBE_TIMEOUT_S = 2.0
-"""Longest wait for the answer to a probe, in seconds."""
+"""Timeout of a probe, in seconds."""
 
 
-def call_json(address: str, path: str, order: Mapping[str, Any] | None = None) -> Any:
-    """Ask a control endpoint: GET, or POST when there is an order."""
+def call_json(address: str, path: str, message: Mapping[str, Any] | None = None) -> Any:
+    """Send a GET, or a POST if ``message`` is given, and return the decoded JSON."""
     host, port = parse_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=HTTP_TIMEOUT_S)
     try:
-        body = None if order is None else orjson.dumps(order)
-        connection.request("GET" if order is None else "POST", path, body)
+        body = None if message is None else orjson.dumps(message)
+        connection.request("GET" if message is None else "POST", path, body)
         return orjson.loads(connection.getresponse().read())
     finally:
         connection.close()
 
 
-def answers_probe(entry: str, service: str) -> bool:
-    """Whether a service answers through a node's entry."""
-    address, port = parse_address(entry)
+def answers_probe(ingress: str, service: str) -> bool:
+    """Return whether a service responds with 200 through the ingress of a node."""
+    address, port = parse_address(ingress)
     connection = http.client.HTTPConnection(address, port, timeout=PROBE_TIMEOUT_S)
     headers = {"x-caller-id": "trial-buyer", "x-organisation-id": "prospect"}
     try:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/host_settings.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/host_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the two processes of a backend server host."""
+"""Settings of the backend server and the node that run on one host."""
 
 from typing import Any
 
@@ -24,9 +24,9 @@
     """Return the settings of the node of a host.
 
     Args:
-        host: addresses and place of the node.
-        platform: ``ip:port`` of the platform that it reads.
-        gate: policy of the node.
+        host: addresses and availability zone of the node.
+        platform: ``ip:port`` of the platform that the node reads.
+        gate: admission policy of the node.
     """
     return {
         "host": host.name,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/platform.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/platform.py
@@ -1,4 +1,4 @@
-"""Platform stand-in: publishes a document and a host list, and fails on demand."""
+"""Platform stand-in: published document and host list, with fault injection."""
 
 import asyncio
 import enum
@@ -21,22 +21,22 @@
 from sassafraswinch_standins.serving import StrictModel, load_settings, serve
 
 MAX_WAIT_MS = 60_000
-"""Longest wait of a watch, in milliseconds."""
+"""Maximum duration of a watch (long poll), in milliseconds."""
 
 KEPT_SECONDS = 600
-"""Seconds of the reads-per-second series that are kept."""
+"""Length of the retained series of reads per second, in seconds."""
 
 
 class Mode(enum.Enum):
-    """How the platform answers reads."""
+    """Response mode of the platform for reads."""
 
     UP = "up"
     DOWN = "down"
-    """Every read fails with 503."""
+    """Every read fails with status 503."""
     STALE = "stale"
-    """Reads see the copies of the moment when the mode was set, or pinned ones."""
+    """Reads return the versions current when the mode was set, or pinned ones."""
     HANG = "hang"
-    """Reads get no answer until the mode changes."""
+    """Reads get no response until the mode changes."""
 
 
 class PlatformSettings(StrictModel):
@@ -49,24 +49,24 @@
 
 
 class Control(StrictModel):
-    """Body of ``POST /control``; each field that is given is carried out."""
+    """Body of ``POST /control``; each field that is set is applied."""
 
     mode: Mode | None = None
     document_version: int | None = None
-    """With mode stale: the version to serve, which may be an older one."""
+    """Document version to serve in mode ``stale``; it may be an older one."""
     document: str | dict[str, Any] | None = None
-    """Publishes this document; a text goes out byte for byte, also an invalid one."""
+    """Document to publish; a string is served byte for byte, even if it is invalid."""
     version: int | None = None
-    """Version for ``x-version``; by default the one in the document."""
+    """Version to send in ``x-version``; defaults to the version in the document."""
     hosts: list[dict[str, str]] | None = None
-    """Publishes this host list under the next version."""
+    """Host list to publish under the next version."""
     after_ms: float = 0
-    """Publishes the host list only after this time: the list lags."""
+    """Delay before the host list is published, to simulate a lagging list."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Copy:
-    """One published version of a value."""
+    """Published version of a value."""
 
     version: int
     body: bytes
@@ -75,23 +75,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class Shelf:
-    """All published versions of one value, oldest first."""
+    """Published versions of one value, oldest first."""
 
     copies: list[Copy] = field(default_factory=list)
     pinned: Copy | None = None
 
     def newest(self) -> Copy | None:
-        """Return the copy published last; None before the first."""
+        """Return the latest published version, or None if there is none."""
         return self.copies[-1] if self.copies else None
 
     def pin(self, version: int | None) -> None:
-        """Choose the copy of stale reads: of a version, or the newest."""
-        matches = [copy for copy in self.copies if copy.version == version]
+        """Pin the version for stale reads: the given one, or the newest if unknown."""
+        matches = [
+            published for published in self.copies if published.version == version
+        ]
         self.pinned = matches[-1] if matches else self.newest()
 
 
 class ReadCounter:
-    """Counts reads per second; a watch counts once, however long it waits."""
+    """Counter of reads per second; a watch counts once, however long it waits."""
 
     def __init__(self):
         self.total = 0
@@ -105,7 +107,7 @@
             del self._by_second[min(self._by_second)]
 
     def report(self, now_s: float) -> dict[str, Any]:
-        """Return the total, the peak second and the series up to now."""
+        """Return the total, the peak rate and the reads per second up to now."""
         first = min(self._by_second, default=int(now_s))
         series = [self._by_second[s] for s in range(first, int(now_s) + 1)]
         return {
@@ -116,7 +118,7 @@
 
 
 class Platform:
-    """What the platform publishes, its fault mode and the count of reads."""
+    """Published values of the platform, its response mode and its read counts."""
 
     def __init__(self):
         self.mode = Mode.UP
@@ -130,66 +132,68 @@
     def publish_document(
         self, document: str | dict[str, Any], *, version: int | None = None
     ) -> None:
-        """Put a document up, under its own version unless another one is given."""
+        """Publish a document, under its own version unless another one is given."""
         text = document if isinstance(document, str) else yaml.safe_dump(document)
         if version is None:
             fields = yaml.safe_load(text) if isinstance(document, str) else document
             version = int(fields["version"])
-        copy = Copy(version=version, body=text.encode(), media_type="application/yaml")
-        self.documents.copies.append(copy)
+        published = Copy(
+            version=version, body=text.encode(), media_type="application/yaml"
+        )
+        self.documents.copies.append(published)
 
     def publish_hosts(self, hosts: list[dict[str, str]]) -> None:
-        """Put a host list up under the next version."""
-        copy = Copy(
+        """Publish a host list under the next version."""
+        published = Copy(
             version=next(self._host_versions),
             body=orjson.dumps(hosts),
             media_type="application/json",
         )
-        self.host_lists.copies.append(copy)
+        self.host_lists.copies.append(published)
 
     async def control(self, control: Control) -> None:
-        """Carry out an order of a test, and wake the watches."""
+        """Apply a control message and wake all watches."""
         if control.document is not None:
             self.publish_document(control.document, version=control.version)
         if control.hosts is not None and not control.after_ms:
             self.publish_hosts(control.hosts)
         elif control.hosts is not None:
-            self._start(self._publish_late(control.hosts, control.after_ms))
+            self._start_task(self._publish_delayed(control.hosts, control.after_ms))
         if control.mode is not None:
             self.documents.pin(control.document_version)
             self.host_lists.pin(None)
             self.mode = control.mode
-        await self._wake()
+        await self._notify_watches()
 
     async def read(
-        self, shelf: Shelf, *, after: int, wait_ms: float
+        self, history: Shelf, *, after: int, wait_ms: float
     ) -> tuple[int, Copy | None]:
-        """Answer a read or a watch.
+        """Handle a read or a watch.
 
         Args:
-            shelf: which value is read.
-            after: only a greater version is news; -1 takes any.
-            wait_ms: how long a watch waits for news.
+            history: the published versions of the value to read.
+            after: return only a greater version; -1 returns any.
+            wait_ms: how long a watch waits for a greater version.
 
         Returns:
-            The HTTP status, and the copy when it is 200.
+            The HTTP status, and the published version if the status is 200.
         """
         self.reads.count(time.monotonic())
-        ends_at = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
+        deadline_s = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
         while True:
             if self.mode is Mode.DOWN:
                 return 503, None
-            copy = shelf.pinned if self.mode is Mode.STALE else shelf.newest()
+            published = history.pinned if self.mode is Mode.STALE else history.newest()
             if self.mode is not Mode.HANG:
-                if copy is not None and copy.version > after:
-                    return 200, copy
-                if time.monotonic() >= ends_at:
-                    return (404 if copy is None else 304), None
-            await self._wait_until(
-                None if self.mode is Mode.HANG else ends_at - time.monotonic()
+                if published is not None and published.version > after:
+                    return 200, published
+                if time.monotonic() >= deadline_s:
+                    return (404 if published is None else 304), None
+            await self._wait_for_change(
+                None if self.mode is Mode.HANG else deadline_s - time.monotonic()
             )
 
-    async def _wait_until(self, timeout_s: float | None) -> None:
+    async def _wait_for_change(self, timeout_s: float | None) -> None:
         async with self._changed:
             try:
                 async with asyncio.timeout(timeout_s):
@@ -197,43 +201,45 @@
             except TimeoutError:
                 return
 
-    async def _wake(self) -> None:
+    async def _notify_watches(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
-    async def _publish_late(self, hosts: list[dict[str, str]], after_ms: float) -> None:
+    async def _publish_delayed(
+        self, hosts: list[dict[str, str]], after_ms: float
+    ) -> None:
         await asyncio.sleep(after_ms / 1000)
         self.publish_hosts(hosts)
-        await self._wake()
+        await self._notify_watches()
 
-    def _start(self, work) -> None:
-        task = asyncio.create_task(work)
+    def _start_task(self, coroutine) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _reader(
-    platform: Platform, shelf: Shelf
+def _read_handler(
+    platform: Platform, history: Shelf
 ) -> Callable[[Request], Awaitable[Response]]:
     async def read(request: Request) -> Response:
-        status, copy = await platform.read(
-            shelf,
+        status, published = await platform.read(
+            history,
             after=int(request.query_params.get("after", -1)),
             wait_ms=float(request.query_params.get("wait_ms", 0)),
         )
-        if copy is None:
+        if published is None:
             return Response(status_code=status)
         return Response(
-            copy.body,
-            media_type=copy.media_type,
-            headers={"x-version": str(copy.version)},
+            published.body,
+            media_type=published.media_type,
+            headers={"x-version": str(published.version)},
         )
 
     return read
 
 
 def make_app(platform: Platform) -> Starlette:
-    """Return the HTTP interface of a platform stand-in."""
+    """Return the ASGI application of a platform stand-in."""
 
     async def stats(_request: Request) -> Response:
         return JSONResponse(platform.reads.report(time.monotonic()))
@@ -244,8 +250,8 @@
 
     return Starlette(
         routes=[
-            Route("/v1/document", _reader(platform, platform.documents)),
-            Route("/v1/hosts", _reader(platform, platform.host_lists)),
+            Route("/v1/document", _read_handler(platform, platform.documents)),
+            Route("/v1/hosts", _read_handler(platform, platform.host_lists)),
             Route("/stats", stats),
             Route("/control", control, methods=["POST"]),
         ]
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
@@ -1,4 +1,4 @@
-"""Brings a fleet back to its whole state between two faults."""
+"""Recovery of a test fleet to its healthy state between two faults."""
 
 from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.fleet import Fleet
@@ -6,23 +6,25 @@
 
 
 def recover(fleet: Fleet) -> None:
-    """Start the nodes that have ended, and wait until all is as at the start.
+    """Restart the nodes that have exited and wait until the fleet is healthy again.
 
     Raises:
-        NotReachedError: it isn't within the ceiling.
+        NotReachedError: the fleet is not healthy within the time limit.
     """
     for host in fleet.hosts:
         if not fleet.node(host).alive:
             fleet.node(host).start()
     fleet.wait_ready()
-    wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-    wait_until("own zones used", lambda: uses_own_zones(fleet))
+    wait_until("all hosts linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
+    wait_until(
+        "every node uses backend servers of its own zone", lambda: uses_own_zones(fleet)
+    )
 
 
 def uses_own_zones(fleet: Fleet) -> bool:
-    """Whether every node calls the servers of its availability zone again.
+    """Return whether every node calls the backend servers of its availability zone.
 
-    A node gives a host that failed a rest, and calls the others meanwhile.
+    After a host fails, a node avoids it for a while and calls hosts of other zones.
     """
     asker = Asker()
     pairs = [
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that can make a connection silent, slow, or cut it."""
+"""TCP relay that can delay, hold, silently drop or reset connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,11 +25,14 @@
 )
 
 ORDER_STEP_S = 1e-6
-"""Distance of two delayed writes, in seconds: timers of one time have no order."""
+"""Minimum interval between two delayed writes of a pipe, in seconds.
+
+Timers that are due at the same time fire in no defined order.
+"""
 
 
 class Pipe(asyncio.Protocol):
-    """One end of a relayed connection; writes what it reads to the other end."""
+    """One end of a relayed connection, whose data is forwarded to the other end."""
 
     def __init__(self, *, route: "Route", direction: Direction):
         self.route = route
@@ -37,89 +40,90 @@
         self.silent = False
         self.transport: asyncio.Transport | None = None
         self.peer: Pipe | None = None
-        self._early: list[bytes] = []
+        self._pending: list[bytes] = []
         self._due_s = 0.0
         self._holding = False
         self._held: list[tuple[Callable[..., None], tuple[bytes, ...]]] = []
 
     def connection_made(self, transport):
-        """Take the client's connection over, or complete the one to the target."""
+        """Store the transport and, for a client, open the connection to the target."""
         self.transport = transport
         if self.direction is Direction.TO_TARGET:
             self.route.connect(self)
 
     def data_received(self, data):
-        """Pass bytes on, or drop them."""
+        """Forward bytes, or drop them if this direction is silent."""
         if self.silent or self.route.silent(self.direction):
             return
         if self.peer is None:
-            self._early.append(data)
+            self._pending.append(data)
         else:
-            self._in_order(self.peer.write, data)
+            self._schedule(self.peer.write, data)
 
     def connection_lost(self, exc):
-        """Close the other end, unless the connection is silent."""
+        """Close the other end, unless this direction is silent."""
         self.route.pipes.discard(self)
         if self.peer is None or self.silent or self.route.silent(self.direction):
             return
-        self._in_order(self.peer.close)
+        self._schedule(self.peer.close)
 
-    def _in_order(self, act, *args) -> None:
-        """Act after the delay, never before what came earlier.
+    def _schedule(self, action, *args) -> None:
+        """Call ``action`` after the delay of the route, in the order of arrival.
 
-        A delay that is lowered while bytes wait would let later ones overtake them.
+        Without ``_due_s``, bytes that arrive after the delay was lowered would
+        overtake earlier ones that are still waiting.
         """
         if self._holding:
             self.route.held += 1
-            self._held.append((act, args))
+            self._held.append((action, args))
             return
         loop = asyncio.get_running_loop()
         due_s = max(loop.time() + self.route.delay_ms / 1000, self._due_s)
         if due_s <= loop.time():
-            act(*args)
+            action(*args)
             return
         self._due_s = due_s + ORDER_STEP_S
         self.route.held += 1
-        loop.call_at(due_s, self._release, act, *args)
+        loop.call_at(due_s, self._release, action, *args)
 
     def hold(self) -> None:
-        """Keep what comes from now on."""
+        """Hold all later data and closes until ``deliver_held`` is called."""
         self._holding = True
 
     def deliver_held(self) -> None:
-        """Deliver what was kept, in order, and keep nothing more."""
+        """Deliver held data and closes in order, and stop holding."""
         self._holding = False
         held, self._held = self._held, []
-        for act, args in held:
-            self._release(act, *args)
+        for action, args in held:
+            self._release(action, *args)
 
-    def _release(self, act, *args) -> None:
+    def _release(self, action, *args) -> None:
         self.route.held -= 1
-        act(*args)
+        action(*args)
 
     def join(self, peer: "Pipe") -> None:
-        """Tie the two ends together and pass on what came meanwhile."""
+        """Connect the two ends and forward the data received before."""
         self.peer, peer.peer = peer, self
-        for data in self._early:
+        for data in self._pending:
             self.data_received(data)
-        self._early.clear()
+        self._pending.clear()
 
     def write(self, data: bytes) -> None:
-        """Write to this end if it is still open."""
+        """Write to this end unless it is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close this end after what was written."""
+        """Close this end after its buffered data has been sent."""
         self.transport.close()
 
     def abort(self) -> None:
-        """Reset this end."""
+        """Reset the connection of this end."""
         self.transport.abort()
 
 
 class Route:
-    """One listener of the relay and its connections."""
+    """Listener of the relay, with its connections and faults."""
 
     def __init__(self, *, settings: RouteSettings):
         self.name = settings.name
@@ -128,8 +132,8 @@
         self.address = ""
         self.pipes: set[Pipe] = set()
         self.held = 0
-        """Writes and closes that wait for their delay or for the end of a fault."""
-        self._holding: list[Pipe] = []
+        """Number of writes and closes waiting for a delay or the end of a fault."""
+        self._holding_pipes: list[Pipe] = []
         self._listen = settings.listen
         self._fault = Fault.NONE
         self._direction = Direction.BOTH
@@ -137,7 +141,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> str:
-        """Listen; returns ``ip:port``."""
+        """Start to listen and return the address as ``ip:port``."""
         listener, self.address = bind(self._listen)
         self._server = await asyncio.get_running_loop().create_server(
             lambda: Pipe(route=self, direction=Direction.TO_TARGET), sock=listener
@@ -147,10 +151,10 @@
     def stop(self) -> None:
         """Close the listener and all connections."""
         self._server.close()
-        self._abort()
+        self._abort_pipes()
 
     def silent(self, direction: Direction) -> bool:
-        """Whether the route drops bytes of a direction, on all connections."""
+        """Return whether the route drops bytes of a direction on all connections."""
         return self._fault is Fault.SILENT and (
             self._direction in (direction, Direction.BOTH)
         )
@@ -162,35 +166,35 @@
         direction: Direction = Direction.BOTH,
         only_open: bool = False,
     ) -> None:
-        """Begin or end a fault.
+        """Start or end a fault.
 
-        A connection that ``only_open`` made silent stays silent until it closes, as
-        after a middlebox forgot it.
+        A connection silenced with ``only_open`` stays silent until it closes, as if
+        a middlebox had dropped its state.
         """
         if fault is Fault.SILENT and only_open:
             for pipe in self.pipes:
                 pipe.silent |= direction in (pipe.direction, Direction.BOTH)
             return
         if fault is Fault.HELD:
-            self._hold(direction)
+            self._hold_pipes(direction)
             return
         if fault is Fault.NONE:
             self._deliver_held()
         if fault is Fault.CUT:
-            self._abort()
+            self._abort_pipes()
         self._fault = Fault.NONE if fault is Fault.CUT and only_open else fault
         self._direction = direction
 
-    def _hold(self, direction: Direction) -> None:
+    def _hold_pipes(self, direction: Direction) -> None:
         for pipe in self.pipes:
             if direction in (pipe.direction, Direction.BOTH):
-                self._holding.append(pipe)
+                self._holding_pipes.append(pipe)
                 pipe.hold()
 
     def _deliver_held(self) -> None:
-        # Pipes whose own end has closed still hold what they read before.
-        holding, self._holding = self._holding, []
-        for pipe in holding:
+        # Closed pipes, no longer in ``self.pipes``, may still hold data they received.
+        pipes, self._holding_pipes = self._holding_pipes, []
+        for pipe in pipes:
             pipe.deliver_held()
 
     def connect(self, client: Pipe) -> None:
@@ -199,11 +203,11 @@
             client.abort()
             return
         self.pipes.add(client)
-        task = asyncio.create_task(self._connect(client))
+        task = asyncio.create_task(self._connect_target(client))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, client: Pipe) -> None:
+    async def _connect_target(self, client: Pipe) -> None:
         host, port = parse_address(self.target)
         try:
             _, pipe = await asyncio.get_running_loop().create_connection(
@@ -215,28 +219,28 @@
         self.pipes.add(pipe)
         client.join(pipe)
 
-    def _abort(self) -> None:
+    def _abort_pipes(self) -> None:
         for pipe in list(self.pipes):
             pipe.abort()
 
 
 class Relay:
-    """Routes by name."""
+    """Set of relayed routes, by name."""
 
     def __init__(self, *, routes: list[RouteSettings]):
         self.routes = {route.name: Route(settings=route) for route in routes}
 
     async def start(self) -> dict[str, str]:
-        """Listen on all routes; returns the address of each."""
+        """Start all routes and return their addresses by name."""
         return {name: await route.start() for name, route in self.routes.items()}
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop all routes."""
         for route in self.routes.values():
             route.stop()
 
     def chosen(self, patterns: list[str]) -> list[Route]:
-        """Return the routes that names or beginnings of names select."""
+        """Return the routes whose names match a pattern: a name, or a prefix and ``*``."""
         return [
             route
             for name, route in self.routes.items()
@@ -247,7 +251,7 @@
         ]
 
     def control(self, control: RelayControl) -> list[str]:
-        """Carry out an order; returns the names of the routes that it reached."""
+        """Apply a control message and return the names of the matching routes."""
         routes = self.chosen(control.routes)
         for route in routes:
             if control.delay_ms is not None:
@@ -262,11 +266,11 @@
 
 
 def make_app(relay: Relay) -> Starlette:
-    """Return the control endpoint of a relay."""
+    """Return the ASGI application of the control endpoint of a relay."""
 
     async def control(request: Request) -> Response:
-        order = RelayControl.model_validate_json(await request.body())
-        return JSONResponse(relay.control(order))
+        message = RelayControl.model_validate_json(await request.body())
+        return JSONResponse(relay.control(message))
 
     async def addresses(_request: Request) -> Response:
         return JSONResponse({n: r.address for n, r in relay.routes.items()})
@@ -284,7 +288,7 @@
 
 
 async def run(settings: RelaySettings) -> None:
-    """Relay until SIGTERM."""
+    """Run a relay until SIGTERM or SIGINT."""
     relay = Relay(routes=settings.routes)
     await relay.start()
     await serve(make_app(relay), listen=settings.listen)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/relay_settings.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings and orders of the relay."""
+"""Settings and control messages of the TCP relay."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Direction(enum.Enum):
-    """Which way the bytes go."""
+    """Direction of the relayed data."""
 
     TO_TARGET = "to-target"
     TO_CLIENT = "to-client"
@@ -14,26 +14,26 @@
 
 
 class Fault(enum.Enum):
-    """What the relay does to connections."""
+    """Fault that the relay injects into connections."""
 
     NONE = "none"
     SILENT = "silent"
-    """Drops bytes and the end of a connection, so that neither end learns of it."""
+    """Drop bytes and closes of connections, without notice to either end."""
     CUT = "cut"
-    """Resets open connections; new ones are refused while it lasts."""
+    """Reset open connections, and new ones until the fault ends."""
     HELD = "held"
-    """Keeps bytes and ends of the connections that are open now until the fault is
-    ended, and delivers them then; new connections work."""
+    """Hold bytes and closes of the currently open connections, and deliver them when
+    the fault ends; new connections are not affected."""
 
 
 class RouteSettings(StrictModel):
-    """One relayed listener."""
+    """Settings of one route: a listener and its target."""
 
     name: str
     listen: str = "127.0.0.1:0"
     target: str
     delay_ms: float = 0.0
-    """Added to the bytes of each direction."""
+    """Delay added in each direction."""
 
 
 class RelaySettings(StrictModel):
@@ -48,9 +48,9 @@
     """Body of ``POST /control``."""
 
     routes: list[str]
-    """Names of routes, or beginnings of names that end in ``*``."""
+    """Names of routes, or prefixes of names followed by ``*``."""
     fault: Fault | None = None
     direction: Direction = Direction.BOTH
     only_open: bool = False
-    """Only connections that are open now; new ones work."""
+    """Whether to affect only open connections; new ones work normally."""
     delay_ms: float | None = None
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/serving.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/serving.py
@@ -1,4 +1,4 @@
-"""Settings files and HTTP listeners, as all stand-ins use them."""
+"""Settings files and HTTP listeners of all stand-ins."""
 
 import asyncio
 import contextlib
@@ -12,20 +12,20 @@
 from pydantic import BaseModel, ConfigDict
 
 KEEP_ALIVE_S = 75
-"""Time after which an idle connection of a caller is closed, in seconds."""
+"""Idle time after which a client connection is closed, in seconds."""
 
 GRACEFUL_STOP_S = 5
-"""Longest wait for requests in flight when a stand-in is told to stop, in seconds."""
+"""Maximum wait for requests in flight at shutdown, in seconds."""
 
 LISTEN_BACKLOG = 1024
-"""Connections that the kernel holds until they are accepted."""
+"""Maximum number of connections that the kernel queues until they are accepted."""
 
 STARTED_POLL_S = 0.005
-"""Interval of the look at a listener that starts within this process, in seconds."""
+"""Interval at which the start of an in-process server is polled, in seconds."""
 
 
 class StrictModel(BaseModel):
-    """Base of all settings: an unknown field is a fault."""
+    """Base of all settings models; rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -39,28 +39,29 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split ``ip:port``; port 0 stands for any free one."""
+    """Split ``ip:port``; port 0 stands for any free port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def serialize_address(host: str, port: int) -> str:
-    """Join an IP number and a port to ``ip:port``."""
+    """Format an IP address and a port as ``ip:port``."""
     return f"{host}:{port}"
 
 
 def bind(listen: str) -> tuple[socket.socket, str]:
     """Open a listening socket.
 
-    The protocol is named: asyncio sets TCP_NODELAY only on sockets that say TCP, and
-    those that ``socket.create_server`` makes say 0. Without it each answer of uvicorn,
-    written in two parts, waits 40 ms for the delayed acknowledgement of the first.
+    The protocol is given explicitly because asyncio sets TCP_NODELAY only on sockets
+    with protocol ``IPPROTO_TCP``, and ``socket.create_server`` leaves it 0. Without
+    TCP_NODELAY, each response of uvicorn, which is written in two parts, waits
+    40 ms for the delayed acknowledgement of the first part.
 
     Args:
-        listen: ``ip:port``; port 0 takes any free one.
+        listen: ``ip:port``; port 0 selects any free port.
 
     Returns:
-        The socket, and its address with the port that it got.
+        The socket, and its address with the actual port.
     """
     host, port = parse_address(listen)
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
@@ -71,11 +72,11 @@
 
 
 def announce(address: str) -> None:
-    """Tell the process that started this one where it listens."""
+    """Print the listening address for the parent process."""
     print(f"listening {address}", flush=True)
 
 
-def _server(app) -> uvicorn.Server:
+def _make_server(app) -> uvicorn.Server:
     return uvicorn.Server(
         uvicorn.Config(
             app,
@@ -97,14 +98,14 @@
     """Serve an ASGI application until SIGTERM or SIGINT."""
     listener, address = bind(listen)
     announce(address)
-    await _server(app).serve(sockets=[listener])
+    await _make_server(app).serve(sockets=[listener])
 
 
 @contextlib.asynccontextmanager
 async def serving(app, *, listen: str = "127.0.0.1:0") -> AsyncIterator[str]:
-    """Serve an ASGI application within this process; gives its ``ip:port``."""
+    """Serve an ASGI application within this process; yields its ``ip:port``."""
     listener, address = bind(listen)
-    server = _server(app)
+    server = _make_server(app)
     task = asyncio.create_task(server.serve(sockets=[listener]))
     while not server.started:
         await asyncio.sleep(STARTED_POLL_S)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slots.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slots.py
@@ -1,4 +1,4 @@
-"""Slots of a backend server stand-in, and what it reports of them."""
+"""Slots, service times and load reports of a backend server stand-in."""
 
 import asyncio
 import random
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 
 REPORT_INTERVAL_MS = 100.0
-"""Smallest distance of two kept reports, in milliseconds."""
+"""Minimum interval between two stored reports, in milliseconds."""
 
 
 class Slots:
-    """Runs up to ``slots`` calls at once, and lets ``backlog`` more wait in order."""
+    """Semaphore of ``slots`` calls with a FIFO queue for ``backlog`` more."""
 
     def __init__(self, *, slots: int, backlog: int):
         self.slots = slots
@@ -21,15 +21,15 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls that run or wait."""
+        """Number of calls that run or wait."""
         return self.running + sum(not waiter.done() for waiter in self._waiting)
 
     def full(self) -> bool:
-        """Whether a call that came now would be shed."""
+        """Return whether a call that arrives now would be shed."""
         return self.in_flight >= self.slots + self.backlog
 
     def take_place(self) -> asyncio.Future[None]:
-        """Take a slot, or a place in the backlog; ``acquire`` must follow."""
+        """Reserve a slot or a place in the backlog; ``acquire`` must follow."""
         waiter = asyncio.get_running_loop().create_future()
         if self.running < self.slots:
             self.running += 1
@@ -39,10 +39,10 @@
         return waiter
 
     async def acquire(self, waiter: asyncio.Future[None] | None = None) -> None:
-        """Wait for a slot; a cancelled waiter takes none.
+        """Wait for a slot; a cancelled waiter holds none.
 
         Args:
-            waiter: the place taken before; None takes one now.
+            waiter: the result of ``take_place``; None reserves a place now.
         """
         waiter = waiter or self.take_place()
         try:
@@ -53,12 +53,12 @@
             raise
 
     def release(self) -> None:
-        """Give a slot back; the longest waiting call gets it."""
+        """Release a slot to the call that has waited longest."""
         self.running -= 1
         self.wake()
 
     def wake(self) -> None:
-        """Let waiting calls start while slots are free."""
+        """Start waiting calls while slots are free."""
         while self._waiting and self.running < self.slots:
             waiter = self._waiting.popleft()
             if not waiter.done():
@@ -67,7 +67,7 @@
 
 
 class ServiceTime:
-    """Draws service times: lognormal, slower after a cold start or on demand."""
+    """Generator of lognormal service times, with cold start and slow-down factors."""
 
     def __init__(self, *, seed: int, cold_start_ms: float, cold_factor: float):
         self.slow_factor = 1.0
@@ -77,25 +77,25 @@
         self._started_at_ms = 0.0
 
     def restart(self, now_ms: float) -> None:
-        """Begin the cold start."""
+        """Start the cold start period."""
         self._started_at_ms = now_ms
 
     def cold(self, now_ms: float) -> float:
-        """Return the factor of the cold start; 1 when it is over."""
+        """Return the factor of the cold start, which is 1 after its end."""
         if self._cold_start_ms <= 0:
             return 1.0
-        left = 1 - (now_ms - self._started_at_ms) / self._cold_start_ms
-        return 1 + (self._cold_factor - 1) * min(1.0, max(0.0, left))
+        remaining = 1 - (now_ms - self._started_at_ms) / self._cold_start_ms
+        return 1 + (self._cold_factor - 1) * min(1.0, max(0.0, remaining))
 
     def draw_ms(self, mean_ms: float, sigma: float, now_ms: float) -> float:
-        """Return one service time in milliseconds."""
-        shape = self._rng.lognormvariate(-sigma * sigma / 2, sigma)
-        return mean_ms * shape * self.slow_factor * self.cold(now_ms)
+        """Sample a service time, in milliseconds."""
+        factor = self._rng.lognormvariate(-sigma * sigma / 2, sigma)
+        return mean_ms * factor * self.slow_factor * self.cold(now_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """What ``/load`` and ``/health`` said at one time."""
+    """State that ``/load`` and ``/health`` report, as of one time."""
 
     at_ms: float
     in_flight: int
@@ -104,7 +104,7 @@
 
 
 class LaggingReports:
-    """Gives the report of some time ago."""
+    """History of reports that is read with a fixed lag."""
 
     def __init__(self, *, lag_ms: float, observe: Callable[[], Report]):
         self._lag_ms = lag_ms
@@ -112,7 +112,7 @@
         self._reports: deque[Report] = deque()
 
     def tick(self, now_ms: float) -> None:
-        """Keep a report, unless the last one is fresh."""
+        """Store a report if the report interval has passed, and discard old ones."""
         if self._reports and now_ms - self._reports[-1].at_ms < REPORT_INTERVAL_MS:
             return
         self._reports.append(self._observe())
@@ -122,6 +122,6 @@
             self._reports.popleft()
 
     def read(self, now_ms: float) -> Report:
-        """Return the newest report that is at least the lag old, else the oldest."""
+        """Return the newest report at least as old as the lag, else the oldest."""
         self.tick(now_ms)
         return self._reports[0]
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/ticket_stash.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/ticket_stash.py
@@ -1,4 +1,4 @@
-"""Tickets that a caller stand-in keeps for later requests."""
+"""Cache of the tickets that a caller stand-in uses for later requests."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 from sassafraswinch_standins.caller_settings import Traffic
 
 MAX_KEPT_TICKETS = 64
-"""Tickets kept for one organisation and operation."""
+"""Maximum number of tickets cached for one organisation and operation."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeptTicket:
-    """A ticket, and the entry that gave it."""
+    """A ticket, and the ingress address that issued it."""
 
     text: str
     entry: str
@@ -19,7 +19,7 @@
 
 
 class TicketStash:
-    """Tickets that answers brought, by organisation and operation."""
+    """Tickets from responses, by organisation and operation."""
 
     def __init__(self, *, max_age_ms: float):
         self._max_age_ms = max_age_ms
@@ -28,11 +28,11 @@
         )
 
     def put(self, traffic: Traffic, ticket: KeptTicket) -> None:
-        """Keep a ticket."""
+        """Store a ticket."""
         self._kept[traffic.name].append(ticket)
 
     def take(self, traffic: Traffic, at_ms: float) -> KeptTicket | None:
-        """Return the freshest ticket; None when none is young enough."""
+        """Remove and return the newest ticket; None if all have expired."""
         kept = self._kept[traffic.name]
         if kept and at_ms - kept[-1].kept_at_ms <= self._max_age_ms:
             return kept.pop()
--- a/packages/sassafraswinch-standins/tests/test_relay.py
+++ b/packages/sassafraswinch-standins/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the relay that makes silent links."""
+"""Tests of the TCP relay and its faults."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from sassafraswinch_standins.relay_settings import Direction, Fault, RouteSettings
 
 
-class Echo:
-    """Server that sends back what it reads, and keeps a copy."""
+class EchoServer:
+    """Handler that echoes and records the data it receives."""
 
     def __init__(self):
-        self.seen = b""
+        self.received = b""
 
     async def __call__(self, reader, writer):
         while data := await reader.read(1000):
-            self.seen += data
+            self.received += data
             writer.write(data)
         writer.close()
 
 
 @pytest.fixture
 async def echo():
-    return Echo()
+    return EchoServer()
 
 
 @pytest.fixture
@@ -37,78 +37,78 @@
     server.close()
 
 
-async def dial(route):
+async def open_connection(route):
     host, _, port = route.address.partition(":")
     return await asyncio.open_connection(host, int(port))
 
 
-async def ask(connection, data, timeout_s=5.0):
+async def request(connection, data, timeout_s=5.0):
     reader, writer = connection
     writer.write(data)
     async with asyncio.timeout(timeout_s):
         return await reader.readexactly(len(data))
 
 
-async def test_passes_bytes_in_order_with_a_changing_delay(route):
-    connection = await dial(route)
-    assert await ask(connection, b"one") == b"one"
+async def test_forwards_bytes_in_order_when_the_delay_changes(route):
+    connection = await open_connection(route)
+    assert await request(connection, b"one") == b"one"
     route.delay_ms = 50
     connection[1].write(b"slow ")
     await asyncio.sleep(0.01)
     route.delay_ms = 0
-    assert await ask(connection, b"fast ") + await connection[0].readexactly(5) == (
+    assert await request(connection, b"fast ") + await connection[0].readexactly(5) == (
         b"slow fast "
     )
     connection[1].close()
 
 
-async def test_old_connection_goes_silent_while_new_ones_work(route, echo):
-    """A middlebox forgets a connection: both ends keep it open and hear nothing."""
-    old = await dial(route)
-    assert await ask(old, b"a") == b"a"
+async def test_open_connection_is_silent_while_new_ones_work(route, echo):
+    """A middlebox drops the state of a connection; both ends keep it open, silently."""
+    old = await open_connection(route)
+    assert await request(old, b"a") == b"a"
     route.set_fault(Fault.SILENT, only_open=True)
     with pytest.raises(TimeoutError):
-        await ask(old, b"lost", timeout_s=0.05)
+        await request(old, b"lost", timeout_s=0.05)
     assert not old[0].at_eof()
-    assert await ask(await dial(route), b"new") == b"new"
-    assert b"lost" not in echo.seen
+    assert await request(await open_connection(route), b"new") == b"new"
+    assert b"lost" not in echo.received
 
 
 async def test_one_direction_silent(route, echo):
-    """The answers vanish while the requests still arrive."""
-    connection = await dial(route)
-    assert await ask(connection, b"a") == b"a"
+    """Responses are dropped while requests still arrive."""
+    connection = await open_connection(route)
+    assert await request(connection, b"a") == b"a"
     route.set_fault(Fault.SILENT, direction=Direction.TO_CLIENT)
     with pytest.raises(TimeoutError):
-        await ask(connection, b"heard", timeout_s=0.1)
-    assert echo.seen == b"aheard"
+        await request(connection, b"heard", timeout_s=0.1)
+    assert echo.received == b"aheard"
 
 
 async def test_cut_resets_and_refuses(route):
-    connection = await dial(route)
-    assert await ask(connection, b"a") == b"a"
+    connection = await open_connection(route)
+    assert await request(connection, b"a") == b"a"
     route.set_fault(Fault.CUT)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-        await ask(connection, b"b")
+        await request(connection, b"b")
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-        await ask(await dial(route), b"c")
+        await request(await open_connection(route), b"c")
     route.set_fault(Fault.NONE)
-    assert await ask(await dial(route), b"d") == b"d"
+    assert await request(await open_connection(route), b"d") == b"d"
 
 
 async def test_held_connection_delivers_all_in_order_once_the_fault_ends(route, echo):
-    """A middlebox keeps what an open connection carries, and delivers it much later.
+    """A middlebox holds the data of an open connection and delivers it much later.
 
-    New connections work meanwhile.
+    New connections are not affected.
     """
-    connection = await dial(route)
-    assert await ask(connection, b"one") == b"one"
+    connection = await open_connection(route)
+    assert await request(connection, b"one") == b"one"
     route.set_fault(Fault.HELD)
     connection[1].write(b"two ")
-    assert await ask(await dial(route), b"new") == b"new"
+    assert await request(await open_connection(route), b"new") == b"new"
     while not route.held:
         await asyncio.sleep(0.01)
-    assert b"two" not in echo.seen
+    assert b"two" not in echo.received
     connection[1].write(b"three")
     route.set_fault(Fault.NONE)
     assert await connection[0].readexactly(9) == b"two three"
--- a/packages/sassafraswinch-standins/tests/test_slots.py
+++ b/packages/sassafraswinch-standins/tests/test_slots.py
@@ -7,7 +7,7 @@
 from sassafraswinch_standins.slots import LaggingReports, Report, ServiceTime, Slots
 
 
-async def test_cancelled_waiter_leaves_its_place():
+async def test_cancelled_waiter_frees_its_place_in_the_backlog():
     slots = Slots(slots=1, backlog=2)
     await slots.acquire()
     waiters = [asyncio.create_task(slots.acquire()) for _ in range(2)]
@@ -21,19 +21,19 @@
     assert slots.running == 1
 
 
-def test_cold_start_falls_to_normal():
+def test_cold_start_factor_decreases_to_one():
     times = ServiceTime(seed=1, cold_start_ms=1000, cold_factor=5)
     times.restart(0)
     assert [times.cold(at) for at in (0, 500, 1000, 2000)] == [5, 3, 1, 1]
 
 
-def test_mean_service_time_is_as_set():
+def test_mean_service_time_matches_the_setting():
     times = ServiceTime(seed=1, cold_start_ms=0, cold_factor=1)
-    drawn = [times.draw_ms(40, 0.3, 0) for _ in range(20_000)]
-    assert sum(drawn) / len(drawn) == pytest.approx(40, rel=0.02)
+    samples = [times.draw_ms(40, 0.3, 0) for _ in range(20_000)]
+    assert sum(samples) / len(samples) == pytest.approx(40, rel=0.02)
 
 
-def test_report_is_as_old_as_the_lag():
+def test_report_is_at_least_as_old_as_the_lag():
     at = 0.0
     reports = LaggingReports(
         lag_ms=1000,
