--- a/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
@@ -240,7 +240,7 @@
             route.stop()
 
     def chosen(self, patterns: list[str]) -> list[Route]:
-        """Return the routes whose names match a pattern: a name, or a prefix and ``*``."""
+        """Return the routes that match a pattern: a name, or a prefix and ``*``."""
         return [
             route
             for name, route in self.routes.items()
