--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
@@ -65,7 +65,7 @@
         }
         self._draining = False
         self._fault = Fault.NONE
-        self._honesty = settings.honesty
+        self._report_mode = settings.honesty
 
     async def __call__(self, scope, receive: Receive, send: Send) -> None:
         """Handle one HTTP request."""
@@ -210,9 +210,9 @@
         )
 
     async def _served_report(self) -> Report:
-        if self._honesty is Honesty.HANGING:
+        if self._report_mode is Honesty.HANGING:
             await asyncio.Event().wait()
-        if self._honesty is Honesty.MISLEADING:
+        if self._report_mode is Honesty.MISLEADING:
             return Report(
                 at_ms=now_ms(), in_flight=0, slots=self.slots.slots, draining=False
             )
@@ -250,7 +250,7 @@
         if control.fault is not None:
             self._fault = control.fault
         if control.honesty is not None:
-            self._honesty = control.honesty
+            self._report_mode = control.honesty
         if control.slots is not None:
             self.slots.slots = control.slots
             self.slots.wake()
