--- a/packages/sassafraswinch-sidecar/tests/test_http_server.py
+++ b/packages/sassafraswinch-sidecar/tests/test_http_server.py
@@ -19,7 +19,7 @@
 
     def __init__(self):
         self.requests = []
-        self.disconnected = []
+        self.wait_disconnected = []
         self.holds = False
 
     def handle(self, request, connection):
@@ -28,7 +28,7 @@
             connection.respond(request, status=200, header_lines=b"", body=request.body)
 
     def caller_disconnected(self, request):
-        self.disconnected.append(request)
+        self.wait_disconnected.append(request)
 
 
 @pytest.fixture
@@ -135,7 +135,7 @@
     while not server._handler.requests:
         await asyncio.sleep(0.01)
     writer.close()
-    while not server._handler.disconnected:
+    while not server._handler.wait_disconnected:
         await asyncio.sleep(0.01)
 
 
@@ -216,7 +216,7 @@
     assert await asyncio.wait_for(reader.read(), 10) == b""
     assert [
         request for request, _ in server._handler.requests
-    ] == server._handler.disconnected
+    ] == server._handler.wait_disconnected
     writer.close()
 
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/asgi.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/asgi.py
@@ -22,7 +22,7 @@
     await send({"type": "http.response.body", "body": body})
 
 
-async def cut_short(send: Send, body: bytes) -> None:
+async def send_truncated(send: Send, body: bytes) -> None:
     """Send a truncated response.
 
     The content length is twice the number of bytes sent; uvicorn closes the
@@ -44,7 +44,7 @@
     return b"".join(chunks)
 
 
-async def disconnected(receive: Receive) -> None:
+async def wait_disconnected(receive: Receive) -> None:
     """Wait until the client closes the connection of the request."""
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
@@ -11,17 +11,17 @@
 from sassafraswinch_standins.asgi import (
     Receive,
     Send,
-    cut_short,
-    disconnected,
     read_body,
     respond,
+    send_truncated,
+    wait_disconnected,
 )
 from sassafraswinch_standins.backend_settings import (
     BackendControl,
     BackendSettings,
     Fault,
-    Honesty,
     OperationPlan,
+    ReportMode,
 )
 from sassafraswinch_standins.clock import now_ms
 from sassafraswinch_standins.onward import OnwardCalls
@@ -99,9 +99,9 @@
         headers = dict(scope["headers"])
         request = parse_request(query=scope["query_string"], body=body)
         request = request or RequestFields(request_id="", answer_bytes=len(body))
-        waiter = self.slots.take_place()
+        waiter = self.slots.reserve_place()
         work = asyncio.create_task(self._process(plan, waiter, headers, request, send))
-        disconnect = asyncio.create_task(disconnected(receive))
+        disconnect = asyncio.create_task(wait_disconnected(receive))
         try:
             await asyncio.wait((work, disconnect), return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -161,7 +161,9 @@
         self, plan: OperationPlan, run: Run, traceparent
     ) -> RunState:
         """Do half of the operation's own work, its child calls, then the other half."""
-        time_ms = self._service_time.draw_ms(plan.service_time_ms, plan.sigma, now_ms())
+        time_ms = self._service_time.sample_ms(
+            plan.service_time_ms, plan.sigma, now_ms()
+        )
         if not plan.calls:
             await self._simulate_work(run, time_ms)
             return RunState.ANSWERED
@@ -197,7 +199,7 @@
         else:
             answer = make_answer(request, server=self.settings.name)
             if self._fault is Fault.CUT:
-                await cut_short(send, answer)
+                await send_truncated(send, answer)
                 return
             await respond(send, 200, answer)
 
@@ -210,9 +212,9 @@
         )
 
     async def _served_report(self) -> Report:
-        if self._report_mode is Honesty.HANGING:
+        if self._report_mode is ReportMode.HANGING:
             await asyncio.Event().wait()
-        if self._report_mode is Honesty.MISLEADING:
+        if self._report_mode is ReportMode.MISLEADING:
             return Report(
                 at_ms=now_ms(), in_flight=0, slots=self.slots.slots, draining=False
             )
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend_settings.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend_settings.py
@@ -16,7 +16,7 @@
     PARALLEL = "parallel"
 
 
-class Honesty(enum.Enum):
+class ReportMode(enum.Enum):
     """Accuracy of the reports of ``/load`` and ``/health``."""
 
     LAGGING = "lagging"
@@ -92,7 +92,7 @@
     cold_factor: float = 4.0
     """Factor on service times at the start; it decreases linearly to 1."""
     report_lag_ms: float = 2_000.0
-    honesty: Honesty = Honesty.LAGGING
+    honesty: ReportMode = ReportMode.LAGGING
     record_runs: bool = True
     operations: list[OperationPlan] = []
 
@@ -105,7 +105,7 @@
     drain: bool | None = None
     """Whether to refuse new calls while running ones finish."""
     fault: Fault | None = None
-    honesty: Honesty | None = None
+    honesty: ReportMode | None = None
     slots: int | None = None
     cold_start: bool | None = None
     """Restart the cold start."""
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/platform.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/platform.py
@@ -23,7 +23,7 @@
 MAX_WAIT_MS = 60_000
 """Maximum duration of a watch (long poll), in milliseconds."""
 
-KEPT_SECONDS = 600
+READ_SERIES_S = 600
 """Length of the retained series of reads per second, in seconds."""
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Copy:
+class PublishedVersion:
     """Published version of a value."""
 
     version: int
@@ -74,20 +74,20 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Shelf:
+class VersionHistory:
     """Published versions of one value, oldest first."""
 
-    copies: list[Copy] = field(default_factory=list)
-    pinned: Copy | None = None
+    versions: list[PublishedVersion] = field(default_factory=list)
+    pinned: PublishedVersion | None = None
 
-    def newest(self) -> Copy | None:
+    def newest(self) -> PublishedVersion | None:
         """Return the latest published version, or None if there is none."""
-        return self.copies[-1] if self.copies else None
+        return self.versions[-1] if self.versions else None
 
     def pin(self, version: int | None) -> None:
         """Pin the version for stale reads: the given one, or the newest if unknown."""
         matches = [
-            published for published in self.copies if published.version == version
+            published for published in self.versions if published.version == version
         ]
         self.pinned = matches[-1] if matches else self.newest()
 
@@ -103,7 +103,7 @@
         """Count one read."""
         self.total += 1
         self._by_second[int(now_s)] += 1
-        if len(self._by_second) > KEPT_SECONDS:
+        if len(self._by_second) > READ_SERIES_S:
             del self._by_second[min(self._by_second)]
 
     def report(self, now_s: float) -> dict[str, Any]:
@@ -122,8 +122,8 @@
 
     def __init__(self):
         self.mode = Mode.UP
-        self.documents = Shelf()
-        self.host_lists = Shelf()
+        self.documents = VersionHistory()
+        self.host_lists = VersionHistory()
         self.reads = ReadCounter()
         self._host_versions = itertools.count(1)
         self._changed = asyncio.Condition()
@@ -137,19 +137,19 @@
         if version is None:
             fields = yaml.safe_load(text) if isinstance(document, str) else document
             version = int(fields["version"])
-        published = Copy(
+        published = PublishedVersion(
             version=version, body=text.encode(), media_type="application/yaml"
         )
-        self.documents.copies.append(published)
+        self.documents.versions.append(published)
 
     def publish_hosts(self, hosts: list[dict[str, str]]) -> None:
         """Publish a host list under the next version."""
-        published = Copy(
+        published = PublishedVersion(
             version=next(self._host_versions),
             body=orjson.dumps(hosts),
             media_type="application/json",
         )
-        self.host_lists.copies.append(published)
+        self.host_lists.versions.append(published)
 
     async def control(self, control: Control) -> None:
         """Apply a control message and wake all watches."""
@@ -166,8 +166,8 @@
         await self._notify_watches()
 
     async def read(
-        self, history: Shelf, *, after: int, wait_ms: float
-    ) -> tuple[int, Copy | None]:
+        self, history: VersionHistory, *, after: int, wait_ms: float
+    ) -> tuple[int, PublishedVersion | None]:
         """Handle a read or a watch.
 
         Args:
@@ -219,7 +219,7 @@
 
 
 def _read_handler(
-    platform: Platform, history: Shelf
+    platform: Platform, history: VersionHistory
 ) -> Callable[[Request], Awaitable[Response]]:
     async def read(request: Request) -> Response:
         status, published = await platform.read(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/relay.py
@@ -24,7 +24,7 @@
     serve,
 )
 
-ORDER_STEP_S = 1e-6
+MIN_WRITE_INTERVAL_S = 1e-6
 """Minimum interval between two delayed writes of a pipe, in seconds.
 
 Timers that are due at the same time fire in no defined order.
@@ -82,7 +82,7 @@
         if due_s <= loop.time():
             action(*args)
             return
-        self._due_s = due_s + ORDER_STEP_S
+        self._due_s = due_s + MIN_WRITE_INTERVAL_S
         self.route.held += 1
         loop.call_at(due_s, self._release, action, *args)
 
@@ -239,7 +239,7 @@
         for route in self.routes.values():
             route.stop()
 
-    def chosen(self, patterns: list[str]) -> list[Route]:
+    def select_routes(self, patterns: list[str]) -> list[Route]:
         """Return the routes that match a pattern: a name, or a prefix and ``*``."""
         return [
             route
@@ -252,7 +252,7 @@
 
     def control(self, control: RelayControl) -> list[str]:
         """Apply a control message and return the names of the matching routes."""
-        routes = self.chosen(control.routes)
+        routes = self.select_routes(control.routes)
         for route in routes:
             if control.delay_ms is not None:
                 route.delay_ms = control.delay_ms
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/serving.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/serving.py
@@ -20,7 +20,7 @@
 LISTEN_BACKLOG = 1024
 """Maximum number of connections that the kernel queues until they are accepted."""
 
-STARTED_POLL_S = 0.005
+STARTUP_POLL_S = 0.005
 """Interval at which the start of an in-process server is polled, in seconds."""
 
 
@@ -108,7 +108,7 @@
     server = _make_server(app)
     task = asyncio.create_task(server.serve(sockets=[listener]))
     while not server.started:
-        await asyncio.sleep(STARTED_POLL_S)
+        await asyncio.sleep(STARTUP_POLL_S)
     try:
         yield address
     finally:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slots.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slots.py
@@ -28,7 +28,7 @@
         """Return whether a call that arrives now would be shed."""
         return self.in_flight >= self.slots + self.backlog
 
-    def take_place(self) -> asyncio.Future[None]:
+    def reserve_place(self) -> asyncio.Future[None]:
         """Reserve a slot or a place in the backlog; ``acquire`` must follow."""
         waiter = asyncio.get_running_loop().create_future()
         if self.running < self.slots:
@@ -42,9 +42,9 @@
         """Wait for a slot; a cancelled waiter holds none.
 
         Args:
-            waiter: the result of ``take_place``; None reserves a place now.
+            waiter: the result of ``reserve_place``; None reserves a place now.
         """
-        waiter = waiter or self.take_place()
+        waiter = waiter or self.reserve_place()
         try:
             await waiter
         except asyncio.CancelledError:
@@ -80,17 +80,17 @@
         """Start the cold start period."""
         self._started_at_ms = now_ms
 
-    def cold(self, now_ms: float) -> float:
+    def cold_start_factor(self, now_ms: float) -> float:
         """Return the factor of the cold start, which is 1 after its end."""
         if self._cold_start_ms <= 0:
             return 1.0
         remaining = 1 - (now_ms - self._started_at_ms) / self._cold_start_ms
         return 1 + (self._cold_factor - 1) * min(1.0, max(0.0, remaining))
 
-    def draw_ms(self, mean_ms: float, sigma: float, now_ms: float) -> float:
+    def sample_ms(self, mean_ms: float, sigma: float, now_ms: float) -> float:
         """Sample a service time, in milliseconds."""
         factor = self._rng.lognormvariate(-sigma * sigma / 2, sigma)
-        return mean_ms * factor * self.slow_factor * self.cold(now_ms)
+        return mean_ms * factor * self.slow_factor * self.cold_start_factor(now_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/packages/sassafraswinch-standins/tests/test_slots.py
+++ b/packages/sassafraswinch-standins/tests/test_slots.py
@@ -24,12 +24,12 @@
 def test_cold_start_factor_decreases_to_one():
     times = ServiceTime(seed=1, cold_start_ms=1000, cold_factor=5)
     times.restart(0)
-    assert [times.cold(at) for at in (0, 500, 1000, 2000)] == [5, 3, 1, 1]
+    assert [times.cold_start_factor(at) for at in (0, 500, 1000, 2000)] == [5, 3, 1, 1]
 
 
 def test_mean_service_time_matches_the_setting():
     times = ServiceTime(seed=1, cold_start_ms=0, cold_factor=1)
-    samples = [times.draw_ms(40, 0.3, 0) for _ in range(20_000)]
+    samples = [times.sample_ms(40, 0.3, 0) for _ in range(20_000)]
     assert sum(samples) / len(samples) == pytest.approx(40, rel=0.02)
 
 
