--- a/packages/sassafraswinch-standins/sassafraswinch_standins/bench_run.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/bench_run.py
@@ -14,18 +14,18 @@
 from sassafraswinch_standins.figures import (
     Series,
     amplification,
-    doubled,
+    count_duplicate_runs,
     goodput,
     inversions,
     recovery_ms,
     request_of,
-    traffic_of,
+    traffic_name_of,
     wasted_share,
 )
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.graph import AVAILABILITY_ZONES, Graph
 from sassafraswinch_standins.scenarios import LOAD_SHARE, Scenario
-from sassafraswinch_standins.tally import SERIES_MS
+from sassafraswinch_standins.tally import SERIES_INTERVAL_MS
 
 CALLER_STARTUP_MS = 1_500.0
 """Time for caller processes to import their modules before the load starts."""
@@ -91,16 +91,16 @@
     ]
     _sleep_until(start_at_ms)
     cpu_s = fleet.node_cpu_s()
-    _sleep_until(start_at_ms + timeline.from_ms)
+    _sleep_until(start_at_ms + timeline.disturbance_start_ms)
     normal_cpu_s = fleet.node_cpu_s() - cpu_s
     control_bytes_per_s = fleet.node_status_median("control_bytes_per_s")
-    scenario.begin_pressure(fleet)
-    _sleep_until(start_at_ms + timeline.until_ms)
-    scenario.end_pressure(fleet)
+    scenario.start_disturbance(fleet)
+    _sleep_until(start_at_ms + timeline.disturbance_end_ms)
+    scenario.end_disturbance(fleet)
     _sleep_until(start_at_ms + timeline.end_ms)
     reports = [fleet.collect(caller, timeline.end_ms / 1000) for caller in callers]
     figures = measure(fleet.graph, scenario, reports, fleet.runs(), start_at_ms)
-    normal_load_s = timeline.from_ms / 1000
+    normal_load_s = timeline.disturbance_start_ms / 1000
     figures["node_cores_normal"] = normal_cpu_s / normal_load_s / len(fleet.hosts)
     figures["node_control_bytes_per_s"] = control_bytes_per_s
     figures["node_memory_mb"] = fleet.node_status_median("memory_mb")
@@ -152,12 +152,12 @@
         "told_not_run_but_ran": len(ran & set(not_run)),
         "unsure_actions": len(non_repeatable_attempts(unsure)),
         "unsure_actions_not_run": len(non_repeatable_attempts(unsure) - ran),
-        "doubled_actions": doubled(runs, NON_REPEATABLE_OPERATIONS),
+        "doubled_actions": count_duplicate_runs(runs, NON_REPEATABLE_OPERATIONS),
         "violations": violations(runs, not_run),
         "outcomes": _outcomes(figures),
         "latency": _latencies(figures),
         "reasons": _reasons(figures),
-        "series_ms": SERIES_MS,
+        "series_ms": SERIES_INTERVAL_MS,
         "good_series": {
             name: [series.total([name], "good", [i]) for i in intervals]
             for name in all_traffic
@@ -175,7 +175,7 @@
 
 def non_repeatable_attempts(attempts: Iterable[str]) -> set[str]:
     """Return the attempts whose traffic must not be retried after it ran."""
-    return {i for i in attempts if traffic_of(i) in NON_REPEATABLE_TRAFFIC}
+    return {i for i in attempts if traffic_name_of(i) in NON_REPEATABLE_TRAFFIC}
 
 
 def violations(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/figures.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/figures.py
@@ -7,7 +7,7 @@
 
 from sassafraswinch_standins.capacity import Demand, ideal_rates, traffic_demands
 from sassafraswinch_standins.graph import Graph, ServicePlan
-from sassafraswinch_standins.tally import SERIES_MS
+from sassafraswinch_standins.tally import SERIES_INTERVAL_MS
 
 WINDOW_INTERVALS = 10
 """Length of the sliding window that recovery is judged on: one second."""
@@ -29,18 +29,20 @@
     A disturbance is a load surge, a slowdown or an injected fault.
     """
 
-    before_ms: float
+    baseline_start_ms: float
     """Start of the baseline that recovery is compared with."""
-    from_ms: float
+    disturbance_start_ms: float
     """Start of the disturbance, and end of the baseline."""
-    until_ms: float
+    disturbance_end_ms: float
     """End of the disturbance."""
     end_ms: float
     """End of the load."""
 
     def intervals(self, start_ms: float, end_ms: float) -> range:
         """Return the indices of the time series intervals between two times."""
-        return range(int(start_ms // SERIES_MS), int(end_ms // SERIES_MS))
+        return range(
+            int(start_ms // SERIES_INTERVAL_MS), int(end_ms // SERIES_INTERVAL_MS)
+        )
 
 
 class Series:
@@ -62,7 +64,7 @@
 SERIES_FIELDS = ("offered", "good", "good_by_start", "objective_by_start", "refused")
 
 
-def traffic_of(request_id: str) -> str:
+def traffic_name_of(request_id: str) -> str:
     """Return the traffic name in the id of an attempt or of one of its child calls."""
     return request_id.split(":")[1]
 
@@ -95,7 +97,9 @@
     return len(runs) / max(1, len({request_of(run["request_id"]) for run in runs}))
 
 
-def doubled(runs: Iterable[Mapping[str, Any]], operations: set[str]) -> int:
+def count_duplicate_runs(
+    runs: Iterable[Mapping[str, Any]], operations: set[str]
+) -> int:
     """Count the runs of operations beyond the first one for the same request."""
     counts = Counter(
         request_of(run["request_id"]) for run in runs if run["operation"] in operations
@@ -122,10 +126,10 @@
     class_ranks = {t.name: order[t.class_name] for t in graph.traffic}
     lowest_started: dict[tuple[str, int], int] = defaultdict(int)
     for run in runs:
-        interval = int((run["started_at_ms"] - started_at_ms) // SERIES_MS)
+        interval = int((run["started_at_ms"] - started_at_ms) // SERIES_INTERVAL_MS)
         place = (run["service"], interval)
         lowest_started[place] = max(
-            lowest_started[place], class_ranks[traffic_of(run["request_id"])]
+            lowest_started[place], class_ranks[traffic_name_of(run["request_id"])]
         )
     demands = traffic_demands(graph, slow={})
     inverted = refused = 0
@@ -160,10 +164,12 @@
         offered = series.total(names, "offered", intervals)
         return series.total(names, field, intervals) / offered if offered else 1.0
 
-    before = timeline.intervals(timeline.before_ms, timeline.from_ms)
+    before = timeline.intervals(
+        timeline.baseline_start_ms, timeline.disturbance_start_ms
+    )
     min_share = RECOVERED_SHARE * share(everything, "good_by_start", before)
     min_paying_share = RECOVERED_SHARE * share(paying, "objective_by_start", before)
-    first, *_, last = timeline.intervals(timeline.until_ms, timeline.end_ms)
+    first, *_, last = timeline.intervals(timeline.disturbance_end_ms, timeline.end_ms)
     normal_intervals = 0
     for start in range(first, last - WINDOW_INTERVALS + 2):
         window = range(start, start + WINDOW_INTERVALS)
@@ -172,7 +178,9 @@
         )
         normal_intervals = normal_intervals + 1 if normal else 0
         if normal_intervals >= HOLD_INTERVALS:
-            return (start - HOLD_INTERVALS + 1) * SERIES_MS - timeline.until_ms
+            return (
+                start - HOLD_INTERVALS + 1
+            ) * SERIES_INTERVAL_MS - timeline.disturbance_end_ms
     return None
 
 
@@ -198,11 +206,13 @@
         timeline: phases of the run.
         slow: factors on the service times of slowed services.
     """
-    during = timeline.intervals(timeline.from_ms, timeline.until_ms)
+    during = timeline.intervals(
+        timeline.disturbance_start_ms, timeline.disturbance_end_ms
+    )
     if len(during) < WINDOW_INTERVALS:
-        during = timeline.intervals(timeline.from_ms, timeline.end_ms)
+        during = timeline.intervals(timeline.disturbance_start_ms, timeline.end_ms)
         slow = {}
-    seconds = len(during) * SERIES_MS / 1000
+    seconds = len(during) * SERIES_INTERVAL_MS / 1000
     offered = {
         t.name: series.total([t.name], "offered", during) / seconds
         for t in graph.traffic
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/latency.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/latency.py
@@ -81,7 +81,7 @@
     direct: bool
     rounds: dict[float, list[HdrHistogram]] = field(default_factory=dict)
     """Latency histograms by rate, one for each round."""
-    bad: int = 0
+    unanswered: int = 0
     """Number of requests without a good response."""
 
     def quantiles_ms(self, rate_per_s: float, quantile: float) -> list[float]:
@@ -111,7 +111,9 @@
     report = await caller.run()
     gc.unfreeze()
     tally = caller.tallies["work"]
-    arm.bad += tally.first_attempts - report["traffic"]["work"]["outcomes"]["good"]
+    arm.unanswered += (
+        tally.first_attempts - report["traffic"]["work"]["outcomes"]["good"]
+    )
     histogram = new_histogram()
     histogram.add(tally.latency)
     return histogram
@@ -201,7 +203,7 @@
     return {
         "rates_per_s": list(rates_per_s),
         "rounds": rounds,
-        "unanswered": {arm.name: arm.bad for arm in arms},
+        "unanswered": {arm.name: arm.unanswered for arm in arms},
         "arms": {
             arm.name: {f"{rate:g}": added_ms(arm, direct, rate) for rate in rates_per_s}
             for arm in arms
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/layout.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/layout.py
@@ -50,7 +50,7 @@
         """Return ``ip:port`` of a port that is currently free."""
         return free_address(self._port_random)
 
-    def inside(self, availability_zone: str) -> list[Host]:
+    def hosts_in(self, availability_zone: str) -> list[Host]:
         """Return the hosts of an availability zone."""
         return [
             host
@@ -58,9 +58,9 @@
             if host.availability_zone == availability_zone
         ]
 
-    def across(self, availability_zone: str) -> list[str]:
+    def routes_across(self, availability_zone: str) -> list[str]:
         """Return the relay routes into and out of an availability zone."""
-        inside = {host.name for host in self.inside(availability_zone)}
+        inside = {host.name for host in self.hosts_in(availability_zone)}
         return [
             route
             for route in self.routes
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/plots.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/plots.py
@@ -52,7 +52,11 @@
             rates = _median_rates(arm_runs, traffic)
             step_s = BIN_INTERVALS * arm_runs[0]["series_ms"] / 1000
             panel.plot([i * step_s for i in range(len(rates))], rates, label=traffic)
-        panel.axvspan(timeline.from_ms / 1000, timeline.until_ms / 1000, alpha=0.15)
+        panel.axvspan(
+            timeline.disturbance_start_ms / 1000,
+            timeline.disturbance_end_ms / 1000,
+            alpha=0.15,
+        )
         panel.set_title(arm)
         panel.set_ylabel("completed requests/s")
     panels[0, 0].legend(fontsize="small", ncols=2)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
@@ -30,7 +30,7 @@
     pairs = [
         (node, server)
         for node in fleet.hosts.values()
-        for server in fleet.layout.inside(node.availability_zone)
+        for server in fleet.layout.hosts_in(node.availability_zone)
     ]
     probes = [
         asker.ask(node.entry, asker.new("GET", f"/{server.service}/probe"))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/scenarios.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/scenarios.py
@@ -51,16 +51,16 @@
     """Injects the fault when the disturbance starts."""
     end: FleetAction | None = None
     """Removes the fault when the disturbance ends."""
-    pressure_ms: float = DISTURBANCE_MS
+    disturbance_ms: float = DISTURBANCE_MS
 
     def timeline(self) -> Timeline:
         """Return the phases of a run."""
-        from_ms = WARM_UP_MS + BASELINE_MS
-        until_ms = from_ms + self.pressure_ms
+        disturbance_start_ms = WARM_UP_MS + BASELINE_MS
+        until_ms = disturbance_start_ms + self.disturbance_ms
         return Timeline(
-            before_ms=WARM_UP_MS,
-            from_ms=from_ms,
-            until_ms=until_ms,
+            baseline_start_ms=WARM_UP_MS,
+            disturbance_start_ms=disturbance_start_ms,
+            disturbance_end_ms=until_ms,
             end_ms=until_ms + RECOVERY_MS,
         )
 
@@ -73,18 +73,20 @@
         timeline = self.timeline()
         return [
             Phase(at_ms=0, rate_per_s=rate_per_s),
-            Phase(at_ms=timeline.from_ms, rate_per_s=rate_per_s * self.surge),
-            Phase(at_ms=timeline.until_ms, rate_per_s=rate_per_s),
+            Phase(
+                at_ms=timeline.disturbance_start_ms, rate_per_s=rate_per_s * self.surge
+            ),
+            Phase(at_ms=timeline.disturbance_end_ms, rate_per_s=rate_per_s),
         ]
 
-    def begin_pressure(self, fleet: Fleet) -> None:
+    def start_disturbance(self, fleet: Fleet) -> None:
         """Slow the services down and inject the fault."""
         for service, factor in self.slow.items():
             fleet.control_service(service, slow_factor=factor)
         if self.begin is not None:
             self.begin(fleet)
 
-    def end_pressure(self, fleet: Fleet) -> None:
+    def end_disturbance(self, fleet: Fleet) -> None:
         """Restore normal service times and remove the fault."""
         for service in self.slow:
             fleet.control_service(service, slow_factor=1.0)
@@ -125,7 +127,7 @@
             name="silent-link",
             relay_links=True,
             begin=silence_links,
-            pressure_ms=200.0,
+            disturbance_ms=200.0,
         ),
         Scenario(
             name="platform-outage",
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/tally.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/tally.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-SERIES_MS = 100.0
+SERIES_INTERVAL_MS = 100.0
 """Length of a time series interval."""
 
 MAX_LATENCY_US = 120_000_000
@@ -84,12 +84,14 @@
         """Number of attempts that retry an earlier one."""
         return self.attempts - self.first_attempts - self.ticket_trips
 
-    def offer(self, at_ms: float) -> None:
+    def record_request(self, at_ms: float) -> None:
         """Count a request at its scheduled start."""
         self.first_attempts += 1
-        self.offered[int(at_ms // SERIES_MS)] += 1
+        self.offered[int(at_ms // SERIES_INTERVAL_MS)] += 1
 
-    def attempt(self, outcome: Outcome, reason: str | None, at_ms: float) -> None:
+    def record_attempt(
+        self, outcome: Outcome, reason: str | None, at_ms: float
+    ) -> None:
         """Count the end of one attempt."""
         self.attempts += 1
         self.attempt_outcomes[outcome] += 1
@@ -98,17 +100,17 @@
         if outcome is Outcome.TICKET_NEEDED:
             self.ticket_trips += 1
         if outcome is Outcome.NOT_RUN:
-            self.refused[int(at_ms // SERIES_MS)] += 1
+            self.refused[int(at_ms // SERIES_INTERVAL_MS)] += 1
 
-    def end(
+    def record_outcome(
         self, outcome: Outcome, *, at_ms: float, latency_ms: float, objective_ms: float
     ) -> None:
         """Count the end of a request."""
         self.outcomes[outcome] += 1
         if outcome is not Outcome.GOOD:
             return
-        start_interval = int((at_ms - latency_ms) // SERIES_MS)
-        self.good[int(at_ms // SERIES_MS)] += 1
+        start_interval = int((at_ms - latency_ms) // SERIES_INTERVAL_MS)
+        self.good[int(at_ms // SERIES_INTERVAL_MS)] += 1
         self.good_by_start[start_interval] += 1
         if latency_ms <= objective_ms:
             self.within_objective += 1
@@ -137,7 +139,7 @@
             "reasons": dict(self.reasons),
             "latency": quantiles_ms(self.latency),
             "latency_histogram": self.latency.encode().decode(),
-            "series_ms": SERIES_MS,
+            "series_ms": SERIES_INTERVAL_MS,
             "offered": [self.offered[i] for i in range(intervals)],
             "good": [self.good[i] for i in range(intervals)],
             "good_by_start": [self.good_by_start[i] for i in range(intervals)],
--- a/packages/sassafraswinch-standins/tests/test_figures.py
+++ b/packages/sassafraswinch-standins/tests/test_figures.py
@@ -7,7 +7,7 @@
     Series,
     Timeline,
     amplification,
-    doubled,
+    count_duplicate_runs,
     goodput,
     inversions,
     recovery_ms,
@@ -16,7 +16,9 @@
 from sassafraswinch_standins.graph import brno
 
 GRAPH = brno()
-TIMELINE = Timeline(before_ms=0, from_ms=1000, until_ms=2000, end_ms=8000)
+TIMELINE = Timeline(
+    baseline_start_ms=0, disturbance_start_ms=1000, disturbance_end_ms=2000, end_ms=8000
+)
 INTERVALS = 80
 
 
@@ -66,7 +68,7 @@
         run("c:approve:2.0/0"),
     ]
     assert amplification(runs) == pytest.approx(4 / 3)
-    assert doubled(runs, {"approve-order"}) == 1
+    assert count_duplicate_runs(runs, {"approve-order"}) == 1
 
 
 def test_inversion_needs_a_lower_class_in_the_call_tree_in_the_same_interval():
