--- a/Makefile
+++ b/Makefile
@@ -47,7 +47,7 @@
 	$(BIN)/python -m sassafraswinch_standins.soak --seed $(SEED) --minutes $(MINUTES)
 
 # Sidecars as processes, with faults from outside; a failed seed is printed. With
-# FATAL=--fatal a request that ends the servers that run it is sent as well; with
+# FATAL=--fatal a request that crashes the servers that run it is sent as well; with
 # RESTORES=--restores the store comes back from older copies as well.
 fault-soak: setup
 	cd tests && PYTHONPATH=$(FAULT_SOAK_PATH) ../$(BIN)/python -m fault_soak.play \
