--- a/packages/sassafraswinch-standins/sassafraswinch_standins/answers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/answers.py
@@ -1,4 +1,4 @@
-"""Requests and answers that show whether an answer is whole and the caller's own."""
+"""Test requests and checksummed responses that reveal truncated or mixed data."""
 
 import enum
 import zlib
@@ -8,11 +8,11 @@
 import orjson
 
 MAX_FILLER_BYTES = 1_000_000
-"""Largest filler of an answer, in bytes."""
+"""Maximum size of the filler of a response, in bytes."""
 
 
 class AnswerFault(enum.Enum):
-    """What is wrong with an answer."""
+    """Kinds of faulty response."""
 
     UNREADABLE = "unreadable"
     OTHER_REQUEST = "other-request"
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestFields:
-    """What a caller asks a backend server stand-in."""
+    """Fields of a request to a backend server stand-in."""
 
     request_id: str
-    """Unique among the tries of all callers; children append ``/index``."""
+    """Unique among the requests of all callers; child calls append ``/index``."""
 
     answer_bytes: int
-    """Size of the filler of the answer, in bytes."""
+    """Size of the filler of the response, in bytes."""
 
 
 def parse_request(*, query: bytes, body: bytes) -> RequestFields | None:
-    """Read a request of a stand-in; None when it isn't one."""
+    """Parse a request to a stand-in; return None if it is malformed."""
     try:
         fields = dict(parse_qsl(query.decode())) if query else orjson.loads(body)
         return RequestFields(
@@ -46,10 +46,10 @@
 def serialize_request(
     request: RequestFields, *, method: str, path: str
 ) -> tuple[str, bytes]:
-    """Write a request: in the query of a GET, else in the body.
+    """Serialize a request: into the query of a GET, otherwise into the body.
 
     Returns:
-        The target and the body.
+        The request target and the body.
     """
     fields = {"id": request.request_id, "answer_bytes": request.answer_bytes}
     if method == "GET":
@@ -58,14 +58,14 @@
 
 
 def make_answer(request: RequestFields, *, server: str) -> bytes:
-    """Write an answer: one line with id, length and checksum, then the filler.
+    """Build a response: a line with id, length and checksum, then the filler.
 
-    The filler repeats the request's id, so that a mixture of two answers has a wrong
-    checksum even when both have one length.
+    The filler repeats the id of the request, so that a mixture of two responses fails
+    the checksum even when both have the same length.
     """
-    unit = request.request_id.encode() + b"."
-    times = request.answer_bytes // len(unit) + 1
-    filler = (unit * times)[: request.answer_bytes]
+    pattern = request.request_id.encode() + b"."
+    repetitions = request.answer_bytes // len(pattern) + 1
+    filler = (pattern * repetitions)[: request.answer_bytes]
     head = {
         "id": request.request_id,
         "server": server,
@@ -76,14 +76,14 @@
 
 
 def check_answer(body: bytes, *, request_id: str) -> AnswerFault | None:
-    """Return what is wrong with an answer to a request; None when nothing is."""
+    """Return the fault of the response to a request, or None if it is valid."""
     line, newline, filler = body.partition(b"\n")
     try:
         head = orjson.loads(line)
-        answered_id, length, checksum = head["id"], head["length"], head["crc32"]
+        response_id, length, checksum = head["id"], head["length"], head["crc32"]
     except (KeyError, TypeError, ValueError):
         return AnswerFault.UNREADABLE
-    if answered_id != request_id:
+    if response_id != request_id:
         return AnswerFault.OTHER_REQUEST
     if not newline or len(filler) != length:
         return AnswerFault.TRUNCATED
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/asker.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/asker.py
@@ -1,4 +1,4 @@
-"""Single requests to a node's entry, with all that their answers say."""
+"""Client for single requests to a node, with access to its full response."""
 
 import http.client
 import itertools
@@ -24,87 +24,87 @@
 from sassafraswinch_standins.serving import parse_address
 
 PATIENCE_S = 40.0
-"""Longest wait for an answer, in seconds; beyond every deadline of a test."""
+"""Timeout of a request, in seconds; longer than every deadline of a test."""
 
 TICKET_REQUIRED_STATUS = 428
 
 MAX_ASKERS = 64
-"""Requests that wait for their answers at once."""
+"""Maximum number of concurrent requests."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """An answer of a node, or the fault that stands for none."""
+    """Response of a node, or the connection error that prevented one."""
 
     request_id: str
     status: int = 0
     headers: Mapping[str, str]
     body: bytes = b""
     broken: str | None = None
-    """What broke the connection before a whole answer; None if nothing did."""
+    """Error that ended the connection before a complete response, or None."""
 
     @property
     def verdict(self) -> str | None:
-        """What the node says about the run."""
+        """Verdict of the node on whether the request was executed."""
         return self.headers.get(VERDICT_HEADER)
 
     @property
     def reason(self) -> str | None:
-        """Why there is no answer of a backend server."""
+        """Reason why the response is not from a backend server."""
         return self.headers.get(REASON_HEADER)
 
     @property
     def ticket(self) -> str | None:
-        """A ticket for a further request."""
+        """Ticket issued for a subsequent request."""
         return self.headers.get(TICKET_HEADER)
 
     @property
     def fault(self) -> AnswerFault | None:
-        """What is wrong with the body of an answer; None when nothing is."""
+        """Fault of the response body, or None if it is valid."""
         return check_answer(self.body, request_id=self.request_id)
 
     @property
     def server(self) -> str | None:
-        """Name of the backend server that made the answer."""
+        """Name of the backend server that responded."""
         return None if self.fault else orjson.loads(self.body.splitlines()[0])["server"]
 
     @property
     def told(self) -> tuple[int, str | None, str | None]:
-        """Status, verdict and reason, for messages of assertions."""
+        """Status, verdict and reason, for assertions."""
         return self.status, self.verdict, self.reason or self.broken
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ask:
-    """One request of a caller; the same one again is a repeat."""
+    """One request of a caller; sending the same object again is a retry."""
 
     request_id: str
     method: str
     path: str
-    """With the service in front."""
+    """Path that begins with the name of the service."""
     answer_bytes: int = 100
     headers: Mapping[str, str] | None = None
     ticket: str | None = None
     body: bytes | None = None
-    """In place of the stand-ins' own."""
+    """Body that replaces the default body of the stand-ins."""
 
 
 class TicketNotGivenError(SassafraswinchError):
-    """A node gave no ticket where one was due.
+    """A node issued no ticket for a request that requires one.
 
     Attributes:
-        entry: address of the node.
-        reply: what it answered.
+        entry: ingress address of the node.
+        reply: response of the node.
     """
 
     def __init__(self, *, entry: str, reply: Reply):
-        super().__init__(f"{entry} gave no ticket: {reply.told}")
+        super().__init__(f"{entry} issued no ticket; it responded {reply.told}")
         self.entry = entry
         self.reply = reply
 
 
 class Asker:
-    """Sends requests one by one, each on a connection of its own, and none twice."""
+    """Sends each request on a connection of its own, without retries."""
 
     _numbers = itertools.count(1)
 
@@ -113,14 +113,14 @@
         self._pool = ThreadPoolExecutor(max_workers=MAX_ASKERS)
 
     def new(self, method: str, path: str, **fields: Any) -> Ask:
-        """Return a request of its own id, which also fills ``{id}`` in the path."""
-        who = self.identity["x-caller-id"]
-        request_id = f"{who}-{next(self._numbers)}"
-        filled = path.replace("{id}", request_id)
-        return Ask(request_id=request_id, method=method, path=filled, **fields)
+        """Create a request with a new id, which also replaces ``{id}`` in the path."""
+        caller_id = self.identity["x-caller-id"]
+        request_id = f"{caller_id}-{next(self._numbers)}"
+        full_path = path.replace("{id}", request_id)
+        return Ask(request_id=request_id, method=method, path=full_path, **fields)
 
     def ask(self, entry: str, ask: Ask) -> Reply:
-        """Send a request and wait for its answer."""
+        """Send a request and wait for its response."""
         host, port = parse_address(entry)
         fields = RequestFields(request_id=ask.request_id, answer_bytes=ask.answer_bytes)
         target, body = serialize_request(fields, method=ask.method, path=ask.path)
@@ -132,12 +132,12 @@
             connection.request(
                 ask.method, target, body if ask.body is None else ask.body, headers
             )
-            answer = connection.getresponse()
+            response = connection.getresponse()
             return Reply(
                 request_id=ask.request_id,
-                status=answer.status,
-                headers={name.lower(): value for name, value in answer.getheaders()},
-                body=answer.read(),
+                status=response.status,
+                headers={name.lower(): value for name, value in response.getheaders()},
+                body=response.read(),
             )
         except (OSError, http.client.HTTPException) as error:
             return Reply(request_id=ask.request_id, headers={}, broken=repr(error))
@@ -145,10 +145,10 @@
             connection.close()
 
     def with_ticket(self, entry: str, ask: Ask) -> Ask:
-        """Send a request without a ticket; return it with the one it was given.
+        """Send a request without a ticket and return it with the ticket it was issued.
 
         Raises:
-            TicketNotGivenError: the answer brings none.
+            TicketNotGivenError: the response contains no ticket.
         """
         reply = self.ask(entry, replace(ask, ticket=None))
         if reply.status != TICKET_REQUIRED_STATUS or reply.ticket is None:
@@ -158,9 +158,9 @@
     def together(
         self, work: Callable[..., Any], items: Iterable[Any]
     ) -> list["Future[Any]"]:
-        """Begin ``work`` with each item at once, on threads of this asker."""
+        """Run ``work`` on all items concurrently, in the thread pool of this client."""
         return [self._pool.submit(work, item) for item in items]
 
     def close(self) -> None:
-        """Wait for the last answers."""
+        """Wait for outstanding responses and shut the thread pool down."""
         self._pool.shutdown()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/attempts.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/attempts.py
@@ -1,4 +1,4 @@
-"""What one attempt of a caller stand-in brought."""
+"""Result of one attempt of a caller stand-in."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptResult:
-    """What one attempt brought."""
+    """Result of one attempt."""
 
     outcome: Outcome
     reason: str | None = None
@@ -23,7 +23,7 @@
 
 
 def read_answer(answer: HttpAnswer, *, request_id: str) -> AttemptResult:
-    """Judge an answer by its status, its verdict and its body."""
+    """Classify a response by its status, verdict and body."""
     headers = answer.headers
     verdict = headers.get(VERDICT_HEADER)
     shed = answer.status == 503 and headers.get("x-not-run") == "1"
@@ -48,7 +48,7 @@
 
 
 def retry_after_ms(headers: dict[str, str]) -> float | None:
-    """Return the hint of an answer, the finer header first."""
+    """Return the retry delay of a response; ``Retry-After-Ms`` takes precedence."""
     if "retry-after-ms" in headers:
         return float(headers["retry-after-ms"])
     if "retry-after" in headers:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
@@ -1,4 +1,4 @@
-"""Caller stand-in: open-loop load that repeats hard and checks every answer."""
+"""Caller stand-in: open-loop load generator that retries and checks each response."""
 
 import asyncio
 import itertools
@@ -29,47 +29,47 @@
 from sassafraswinch_standins.ticket_stash import KeptTicket, TicketStash
 
 MAX_TICKET_TRIPS = 3
-"""Answers 428 in a row after which a request is given up as NOT_RUN."""
+"""Number of 428 responses to one request after which the caller abandons it."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Pending:
-    """A request of the caller on its way through its attempts."""
+class PendingRequest:
+    """A request in progress, over all of its attempts."""
 
     key: str
     traffic: Traffic
     tally: Tally
     scheduled_at_ms: float
-    entry: str
+    ingress: str
     ticket: KeptTicket | None = None
     generation: int = 0
-    """Rises with each try that is another one to the system."""
-    repeats: int = 0
+    """Incremented when a retry uses a new request id."""
+    retry_count: int = 0
     ticket_trips: int = 0
     hinted: bool = False
 
     @property
     def request_id(self) -> str:
-        """Id of the present try."""
+        """Request id of the current attempt."""
         return f"{self.key}.{self.generation}"
 
 
 @dataclass(slots=True, kw_only=True)
-class TryIds:
-    """Ids of tries by what the caller was told last about each."""
+class RequestIds:
+    """Request ids by the last outcome that the caller observed for each."""
 
     good: list[str] = field(default_factory=list)
     not_run: dict[str, str] = field(default_factory=dict)
-    """With the reason that the node gave."""
+    """Maps each request id to the reason from the node."""
     may_have_run: dict[str, str] = field(default_factory=dict)
 
 
 class Caller:
-    """Makes the load of its settings once and reports on it."""
+    """Generates the load of its settings once and reports the results."""
 
     def __init__(self, *, settings: CallerSettings):
         self.settings = settings
-        self.ids = TryIds()
+        self.ids = RequestIds()
         self.tallies = {
             traffic.name: Tally(class_name=traffic.class_name, service=traffic.service)
             for traffic in settings.traffic
@@ -81,7 +81,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> dict[str, Any]:
-        """Make the load, wait for the last request, and return the report."""
+        """Generate the load, wait for the last request and return the report."""
         settings = self.settings
         self._started_at_ms = settings.start_at_ms or now_ms()
         numbers = itertools.count(1)
@@ -100,7 +100,7 @@
         return self.report()
 
     def report(self) -> dict[str, Any]:
-        """Return all figures as plain data."""
+        """Return all results as JSON-serializable data."""
         ended_at_ms = now_ms()
         intervals = int((ended_at_ms - self._started_at_ms) // SERIES_MS) + 1
         return {
@@ -123,19 +123,19 @@
         if len(self._tasks) >= self.settings.max_in_flight:
             tally.dropped += 1
             return
-        pending = Pending(
+        pending = PendingRequest(
             key=f"{self.settings.name}:{traffic.name}:{number}",
             traffic=traffic,
             tally=tally,
             scheduled_at_ms=self._started_at_ms + at_ms,
-            entry=self._rng.choice(self.settings.entries),
+            ingress=self._rng.choice(self.settings.entries),
         )
         task = asyncio.create_task(self._request(pending))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _request(self, pending: Pending) -> None:
-        """Attempt a request until it is over."""
+    async def _request(self, pending: PendingRequest) -> None:
+        """Attempt a request until it succeeds or is abandoned."""
         while True:
             result = await self._attempt(pending)
             pause_ms = self._next_pause_ms(pending, result)
@@ -145,20 +145,20 @@
             if pause_ms > 0:
                 await asyncio.sleep(pause_ms / 1000)
 
-    async def _attempt(self, pending: Pending) -> AttemptResult:
+    async def _attempt(self, pending: PendingRequest) -> AttemptResult:
         traffic = pending.traffic
         if traffic.non_repeatable and pending.ticket is None:
             pending.ticket = self._tickets.take(traffic, now_ms())
             if pending.ticket is not None:
-                pending.entry = pending.ticket.entry
+                pending.ingress = pending.ticket.entry
         left_ms = pending.scheduled_at_ms + traffic.patience_ms - now_ms()
         try:
             answer = await self._send(pending, max(1.0, left_ms))
         except ExchangeError as error:
-            unwritten = error.verdict is Verdict.NOT_RUN
+            not_sent = error.verdict is Verdict.NOT_RUN
             result = AttemptResult(
-                outcome=Outcome.UNREACHABLE if unwritten else Outcome.MAY_HAVE_RUN,
-                reason="connect" if unwritten else "broken-connection",
+                outcome=Outcome.UNREACHABLE if not_sent else Outcome.MAY_HAVE_RUN,
+                reason="connect" if not_sent else "broken-connection",
             )
         except TimeoutError:
             result = AttemptResult(
@@ -169,10 +169,10 @@
         pending.tally.attempt(
             result.outcome, result.reason, now_ms() - self._started_at_ms
         )
-        self._take_in(pending, result)
+        self._record_result(pending, result)
         return result
 
-    async def _send(self, pending: Pending, timeout_ms: float) -> HttpAnswer:
+    async def _send(self, pending: PendingRequest, timeout_ms: float) -> HttpAnswer:
         traffic, settings = pending.traffic, self.settings
         prefix = "" if settings.direct else f"/{traffic.service}"
         segment = pending.key.replace(":", "-")
@@ -189,7 +189,7 @@
         if pending.ticket is not None:
             headers.append((TICKET_HEADER, pending.ticket.text))
         return await self._client.request(
-            address=pending.entry,
+            address=pending.ingress,
             method=traffic.method,
             target=target,
             headers=headers,
@@ -197,8 +197,8 @@
             timeout_ms=timeout_ms,
         )
 
-    def _take_in(self, pending: Pending, result: AttemptResult) -> None:
-        """Keep what an attempt taught: tickets, and the fate of its try."""
+    def _record_result(self, pending: PendingRequest, result: AttemptResult) -> None:
+        """Store the ticket and the outcome of an attempt."""
         if result.outcome is Outcome.GOOD:
             pending.tally.hinted_good += pending.hinted
             self.ids.good.append(pending.request_id)
@@ -206,15 +206,17 @@
             self.ids.not_run[pending.request_id] = result.reason or "backend-shed"
         if result.ticket is not None:
             ticket = KeptTicket(
-                text=result.ticket, entry=pending.entry, kept_at_ms=now_ms()
+                text=result.ticket, entry=pending.ingress, kept_at_ms=now_ms()
             )
             if result.outcome is Outcome.TICKET_NEEDED:
                 pending.ticket = ticket
             else:
                 self._tickets.put(pending.traffic, ticket)
 
-    def _next_pause_ms(self, pending: Pending, result: AttemptResult) -> float | None:
-        """Decide on a repeat and prepare it; None ends the request."""
+    def _next_pause_ms(
+        self, pending: PendingRequest, result: AttemptResult
+    ) -> float | None:
+        """Prepare a retry and return the pause before it; None ends the request."""
         retries = self.settings.retries
         left_ms = pending.scheduled_at_ms + pending.traffic.patience_ms - now_ms()
         if result.outcome in (Outcome.GOOD, Outcome.WRONG) or left_ms <= 0:
@@ -225,14 +227,14 @@
         non_repeatable = pending.traffic.non_repeatable
         if result.outcome is Outcome.FAILED and non_repeatable:
             return None
-        if pending.repeats >= retries.limit:
+        if pending.retry_count >= retries.limit:
             return None
-        pending.repeats += 1
-        pending.entry = self._rng.choice(self.settings.entries)
+        pending.retry_count += 1
+        pending.ingress = self._rng.choice(self.settings.entries)
         if result.outcome is Outcome.NOT_RUN or not non_repeatable:
-            # Only a proof makes a new try of an action that must not repeat. After
-            # any other outcome the same ticket and id go again: an earlier attempt
-            # of this try may have run, also when this one reached nobody.
+            # A non-repeatable action gets a new ticket and id only after NOT_RUN.
+            # After any other outcome the retry reuses both: an earlier attempt with
+            # this id may have run, even if the last one reached no node.
             pending.generation += 1
             pending.ticket = None
         pending.hinted = (
@@ -242,7 +244,7 @@
         pause_ms = result.retry_after_ms if pending.hinted else retries.pause_ms
         return pause_ms if pause_ms < left_ms else None
 
-    def _end(self, pending: Pending, result: AttemptResult) -> None:
+    def _end(self, pending: PendingRequest, result: AttemptResult) -> None:
         ended_at_ms = now_ms()
         if result.outcome is Outcome.MAY_HAVE_RUN:
             self.ids.may_have_run[pending.request_id] = result.reason or "unknown"
@@ -255,7 +257,7 @@
 
 
 async def run(settings: CallerSettings) -> None:
-    """Run a caller stand-in and write its report."""
+    """Run a caller stand-in and write or print its report."""
     report = orjson.dumps(await Caller(settings=settings).run())
     if settings.report is None:
         print(report.decode(), flush=True)
@@ -264,7 +266,7 @@
 
 
 def main(*, settings: Path) -> None:
-    """Run the caller stand-in.
+    """Run the caller stand-in from the command line.
 
     Args:
         settings: YAML file with the fields of ``CallerSettings``.
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/caller_settings.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/caller_settings.py
@@ -6,50 +6,50 @@
 
 
 class RetryMode(enum.Enum):
-    """When a caller repeats a request that wasn't answered."""
+    """Delay policy for retries of a request that got no answer."""
 
     IMMEDIATE = "immediate"
-    """At once, or after ``pause_ms``."""
+    """Retry after ``pause_ms``, which is 0 by default."""
     HONOUR = "honour"
-    """After the time in ``Retry-After-Ms`` or ``Retry-After``."""
+    """Retry after the delay in ``Retry-After-Ms`` or ``Retry-After``, if given."""
 
 
 class Retries(StrictModel):
-    """How hard a caller repeats."""
+    """Retry settings of a caller."""
 
     limit: int = 5
-    """Repeats of one request."""
+    """Maximum number of retries of one request."""
     mode: RetryMode = RetryMode.IMMEDIATE
     pause_ms: float = 0.0
-    """Pause before a repeat that follows no hint."""
+    """Pause before a retry that no ``Retry-After`` header delays."""
 
 
 class Traffic(StrictModel):
-    """One kind of request."""
+    """One type of request in the load."""
 
     name: str
     class_name: str
-    """Class that the document gives this traffic; only for the report."""
+    """Class that the document assigns to this traffic; used only in the report."""
     weight: float = 1.0
     service: str
     method: str = "GET"
     path: str
-    """May hold ``{id}``, which becomes the id of the request."""
+    """May contain ``{id}``, which is replaced by an id of the request."""
     caller_id: str
     organisation_id: str | None = None
     non_repeatable: bool = False
     answer_bytes: int = 500
     patience_ms: float = 4_000.0
-    """Time after which the caller gives a request up, repeats included."""
+    """Timeout of a request over all of its retries."""
     objective_ms: float = 1_500.0
-    """An answer that comes later isn't counted as within the objective."""
+    """Latency objective: a response that takes longer misses it."""
 
 
 class Phase(StrictModel):
-    """A rate that holds until the next phase."""
+    """A request rate that applies until the next phase."""
 
     at_ms: float = 0.0
-    """Start, counted from the start of the load."""
+    """Start, relative to the start of the load."""
     rate_per_s: float
 
 
@@ -57,23 +57,26 @@
     """Settings file of the caller stand-in."""
 
     name: str = "caller"
-    """Unique among the callers of a run: it begins the ids of requests."""
+    """Prefix of the request ids; must be unique among the callers of a run."""
     entries: list[str]
-    """``ip:port`` of entry listeners, or of a backend server."""
+    """``ip:port`` of ingress listeners, or of backend servers."""
     direct: bool = False
-    """Whether entries are backend servers: paths then have no service in front."""
+    """Whether ``entries`` are backend servers; paths then omit the service name."""
     seed: int = 1
     phases: list[Phase]
     duration_ms: float
     start_at_ms: float | None = None
-    """Start on the machine's monotonic clock; None starts at once."""
+    """Start time on the monotonic clock of the host; None starts immediately."""
     traffic: list[Traffic]
     retries: Retries = Retries()
     caller_header: str = "x-caller-id"
     organisation_header: str = "x-organisation-id"
     ticket_max_age_ms: float = 10_000.0
-    """Age above which a kept ticket isn't used."""
+    """Age above which a stored ticket isn't used."""
     max_in_flight: int = 5_000
-    """Requests above this are dropped and counted: the caller itself is too slow."""
+    """Concurrency limit; requests above it are dropped and counted.
+
+    Dropped requests mean that the caller itself is too slow.
+    """
     report: str | None = None
-    """File for the report; None prints it."""
+    """Output file of the report; None prints it."""
--- a/packages/sassafraswinch-standins/tests/test_answers.py
+++ b/packages/sassafraswinch-standins/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of answers that show whether they are whole and the caller's own."""
+"""Tests of the serialization of test requests and of response checks."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -21,7 +21,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(request=requests, method=st.sampled_from(["GET", "POST"]))
-def test_request_survives_the_way(request, method):
+def test_request_round_trip(request, method):
     target, body = serialize_request(request, method=method, path="/x")
     query = target.partition("?")[2].encode()
     assert parse_request(query=query, body=body) == request
@@ -29,7 +29,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(request=requests, cut=st.integers(1, 5000))
-def test_every_truncation_is_seen(request, cut):
+def test_every_truncation_is_detected(request, cut):
     answer = make_answer(request, server="a")
     assert check_answer(answer, request_id=request.request_id) is None
     assert check_answer(answer[:-cut], request_id=request.request_id) is not None
@@ -38,15 +38,15 @@
 @pytest.mark.parametrize(
     ("change", "fault"),
     [
-        (lambda whole, other: other, AnswerFault.OTHER_REQUEST),
-        (lambda whole, other: whole[:-7] + other[-7:], AnswerFault.CORRUPT),
-        (lambda whole, other: whole + b"x", AnswerFault.TRUNCATED),
-        (lambda whole, other: b"oops", AnswerFault.UNREADABLE),
+        (lambda complete, other: other, AnswerFault.OTHER_REQUEST),
+        (lambda complete, other: complete[:-7] + other[-7:], AnswerFault.CORRUPT),
+        (lambda complete, other: complete + b"x", AnswerFault.TRUNCATED),
+        (lambda complete, other: b"oops", AnswerFault.UNREADABLE),
     ],
 )
-def test_foreign_and_mixed_answers_are_seen(change, fault):
-    whole, other = (
+def test_foreign_and_mixed_answers_are_detected(change, fault):
+    complete, other = (
         make_answer(RequestFields(request_id=i, answer_bytes=100), server="a")
         for i in ("one", "two")
     )
-    assert check_answer(change(whole, other), request_id="one") is fault
+    assert check_answer(change(complete, other), request_id="one") is fault
--- a/packages/sassafraswinch-standins/tests/test_caller.py
+++ b/packages/sassafraswinch-standins/tests/test_caller.py
@@ -13,7 +13,7 @@
 from sassafraswinch_standins.serving import serving
 
 
-def make(address, *, non_repeatable=False, **more):
+def make_caller(address, *, non_repeatable=False, **more):
     traffic = {
         "name": "t",
         "class_name": "paying",
@@ -32,8 +32,8 @@
     return Caller(settings=CallerSettings.model_validate(fields | more))
 
 
-class Entry:
-    """ASGI application that plays a node by a script of answers."""
+class ScriptedNode:
+    """ASGI application that returns scripted responses in place of a node."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -55,38 +55,38 @@
 
 
 NOT_RUN = {"sassafraswinch-verdict": "not-run", "retry-after-ms": "5"}
-UNSURE = {"sassafraswinch-verdict": "may-have-run"}
+MAY_HAVE_RUN = {"sassafraswinch-verdict": "may-have-run"}
 
 
-async def play(*answers, **more):
-    entry = Entry(*[(status, dict(fields)) for status, fields in answers])
-    async with serving(entry) as address:
-        caller = make(address, phases=[{"rate_per_s": 1e-9}], **more)
+async def run_script(*answers, **more):
+    node = ScriptedNode(*[(status, dict(fields)) for status, fields in answers])
+    async with serving(node) as address:
+        caller = make_caller(address, phases=[{"rate_per_s": 1e-9}], **more)
         caller._started_at_ms = now_ms()
         caller._offer(caller.settings.traffic[0], 1, 0.0)
         (pending,) = caller._tasks
         await pending
-    return entry, caller.tallies["t"]
+    return node, caller.tallies["t"]
 
 
-async def test_open_loop_counts_everything_once():
-    entry = Entry((200, {}))
-    async with serving(entry) as address:
-        report = await make(address, duration_ms=300).run()
+async def test_open_loop_counts_each_request_once():
+    node = ScriptedNode((200, {}))
+    async with serving(node) as address:
+        report = await make_caller(address, duration_ms=300).run()
     figures = report["traffic"]["t"]
-    assert figures["first_attempts"] == len(entry.seen) == figures["outcomes"]["good"]
-    assert sum(figures["offered"]) == sum(figures["good"]) == len(entry.seen)
-    assert len(report["ids"]["good"]) == len(entry.seen)
+    assert figures["first_attempts"] == len(node.seen) == figures["outcomes"]["good"]
+    assert sum(figures["offered"]) == sum(figures["good"]) == len(node.seen)
+    assert len(report["ids"]["good"]) == len(node.seen)
 
 
 async def test_foreign_answer_is_counted_wrong():
-    _, tally = await play((200, {"foreign": "1"}))
+    _, tally = await run_script((200, {"foreign": "1"}))
     assert tally.report(1)["outcomes"]["wrong"] == 1
 
 
 @pytest.mark.parametrize(("mode", "hinted"), [("immediate", 0), ("honour", 2)])
-async def test_refused_request_is_repeated_up_to_the_limit(mode, hinted):
-    _, tally = await play(
+async def test_refused_request_is_retried_up_to_the_limit(mode, hinted):
+    _, tally = await run_script(
         (503, NOT_RUN), (503, NOT_RUN), (200, {}), retries={"limit": 2, "mode": mode}
     )
     figures = tally.report(1)
@@ -95,20 +95,20 @@
     assert figures["hinted_repeats"] == hinted
 
 
-async def test_unsure_action_keeps_ticket_and_id():
-    """An approval gets its ticket by a 428, then a node says MAY_HAVE_RUN.
+async def test_action_that_may_have_run_keeps_ticket_and_id():
+    """A retry after MAY_HAVE_RUN reuses the ticket and the request id.
 
-    The caller repeats it. Under a new ticket it could run twice, so the same one goes
-    again; only after NOT_RUN does the caller take a new ticket and a new id.
+    The first ticket comes with a 428 response. A retry with a new ticket could execute
+    the action twice, so the caller uses a new ticket and id only after NOT_RUN.
     """
-    entry, tally = await play(
+    node, tally = await run_script(
         (428, {"sassafraswinch-ticket": "A"}),
-        (502, UNSURE),
+        (502, MAY_HAVE_RUN),
         (503, NOT_RUN | {"sassafraswinch-ticket": "B"}),
         (200, {}),
         non_repeatable=True,
     )
-    assert entry.seen == [("0", ""), ("0", "A"), ("0", "A"), ("1", "B")]
+    assert node.seen == [("0", ""), ("0", "A"), ("0", "A"), ("1", "B")]
     assert tally.report(1)["ticket_trips"] == 1
 
 
