--- a/packages/sassafraswinch-standins/sassafraswinch_standins/asker.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/asker.py
@@ -23,12 +23,12 @@
 )
 from sassafraswinch_standins.serving import parse_address
 
-PATIENCE_S = 40.0
+RESPONSE_TIMEOUT_S = 40.0
 """Timeout of a request, in seconds; longer than every deadline of a test."""
 
 TICKET_REQUIRED_STATUS = 428
 
-MAX_ASKERS = 64
+MAX_CONCURRENT_REQUESTS = 64
 """Maximum number of concurrent requests."""
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ask:
+class SingleRequest:
     """One request of a caller; sending the same object again is a retry."""
 
     request_id: str
@@ -89,7 +89,7 @@
     """Body that replaces the default body of the stand-ins."""
 
 
-class TicketNotGivenError(SassafraswinchError):
+class TicketNotIssuedError(SassafraswinchError):
     """A node issued no ticket for a request that requires one.
 
     Attributes:
@@ -110,50 +110,59 @@
 
     def __init__(self, *, caller: str = "buyer", organisation: str = "distributor"):
         self.identity = {"x-caller-id": caller, "x-organisation-id": organisation}
-        self._pool = ThreadPoolExecutor(max_workers=MAX_ASKERS)
+        self._pool = ThreadPoolExecutor(max_workers=MAX_CONCURRENT_REQUESTS)
 
-    def new(self, method: str, path: str, **fields: Any) -> Ask:
+    def new(self, method: str, path: str, **fields: Any) -> SingleRequest:
         """Create a request with a new id, which also replaces ``{id}`` in the path."""
         caller_id = self.identity["x-caller-id"]
         request_id = f"{caller_id}-{next(self._numbers)}"
         full_path = path.replace("{id}", request_id)
-        return Ask(request_id=request_id, method=method, path=full_path, **fields)
+        return SingleRequest(
+            request_id=request_id, method=method, path=full_path, **fields
+        )
 
-    def ask(self, entry: str, ask: Ask) -> Reply:
+    def ask(self, entry: str, request: SingleRequest) -> Reply:
         """Send a request and wait for its response."""
         host, port = parse_address(entry)
-        fields = RequestFields(request_id=ask.request_id, answer_bytes=ask.answer_bytes)
-        target, body = serialize_request(fields, method=ask.method, path=ask.path)
-        headers = self.identity | dict(ask.headers or {})
-        if ask.ticket is not None:
-            headers[TICKET_HEADER] = ask.ticket
-        connection = http.client.HTTPConnection(host, port, timeout=PATIENCE_S)
+        fields = RequestFields(
+            request_id=request.request_id, answer_bytes=request.answer_bytes
+        )
+        target, body = serialize_request(
+            fields, method=request.method, path=request.path
+        )
+        headers = self.identity | dict(request.headers or {})
+        if request.ticket is not None:
+            headers[TICKET_HEADER] = request.ticket
+        connection = http.client.HTTPConnection(host, port, timeout=RESPONSE_TIMEOUT_S)
         try:
             connection.request(
-                ask.method, target, body if ask.body is None else ask.body, headers
+                request.method,
+                target,
+                body if request.body is None else request.body,
+                headers,
             )
             response = connection.getresponse()
             return Reply(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 status=response.status,
                 headers={name.lower(): value for name, value in response.getheaders()},
                 body=response.read(),
             )
         except (OSError, http.client.HTTPException) as error:
-            return Reply(request_id=ask.request_id, headers={}, broken=repr(error))
+            return Reply(request_id=request.request_id, headers={}, broken=repr(error))
         finally:
             connection.close()
 
-    def with_ticket(self, entry: str, ask: Ask) -> Ask:
+    def with_ticket(self, entry: str, request: SingleRequest) -> SingleRequest:
         """Send a request without a ticket and return it with the ticket it was issued.
 
         Raises:
-            TicketNotGivenError: the response contains no ticket.
+            TicketNotIssuedError: the response contains no ticket.
         """
-        reply = self.ask(entry, replace(ask, ticket=None))
+        reply = self.ask(entry, replace(request, ticket=None))
         if reply.status != TICKET_REQUIRED_STATUS or reply.ticket is None:
-            raise TicketNotGivenError(entry=entry, reply=reply)
-        return replace(ask, ticket=reply.ticket)
+            raise TicketNotIssuedError(entry=entry, reply=reply)
+        return replace(request, ticket=reply.ticket)
 
     def together(
         self, work: Callable[..., Any], items: Iterable[Any]
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on this machine, for tests, demo and bench."""
+"""Fleet of real processes on the local host, for tests, demos and benchmarks."""
 
 import statistics
 import time
@@ -18,33 +18,33 @@
 from sassafraswinch_standins.processes import ManagedProcess
 
 START_TIMEOUT_S = 60.0
-"""Longest wait for all processes to serve, in seconds; most of it is imports."""
+"""Startup timeout of all processes, in seconds; imports take most of the time."""
 
 PROBE_INTERVAL_S = 0.1
-"""Interval of the probes that wait for a node to reach every service, in seconds."""
+"""Interval of the readiness probes that each node gets at startup, in seconds."""
 
 CALLER_GRACE_S = 30.0
-"""Time that callers get beyond their load to end their last requests, in seconds."""
+"""Time that callers have after their load to finish open requests, in seconds."""
 
 NODE_MODULE = "sassafraswinch_node.daemon"
 STANDINS = "sassafraswinch_standins"
 
 
 class Fleet:
-    """Starts, breaks and ends the processes of one run.
+    """Starts, disturbs and stops the processes of one run.
 
-    Use it as a context manager: whatever happens inside, everything that it started
-    is ended, each process by its id.
+    Use it as a context manager: on exit, also after an exception, it kills each process
+    that it started by its process id.
 
     Args:
         graph: services, operations and traffic.
-        directory: an empty directory for settings and logs.
-        gate: policy of the nodes: ``adaptive``, ``static`` or ``open``.
-        relay_links: whether links between availability zones go through a relay.
-        seed: seed of ports and service times.
-        backend: more settings of every backend server.
-        node: more settings of every node.
-        slots_hint: whether the nodes are told the slots.
+        directory: empty directory for settings files and logs.
+        gate: admission policy of the nodes: ``adaptive``, ``static`` or ``open``.
+        relay_links: whether links between availability zones pass through a relay.
+        seed: random seed of ports and service times.
+        backend: additional settings of every backend server.
+        node: additional settings of every node.
+        slots_hint: whether the settings of the nodes include the number of slots.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self.hosts = self.layout.hosts
 
     def __enter__(self) -> "Fleet":
-        """Start everything and wait until each node reaches each service."""
+        """Start all processes and wait until each node reaches each service."""
         self.directory.mkdir(parents=True, exist_ok=True)
         try:
             self._start()
@@ -84,16 +84,16 @@
         return self
 
     def __exit__(self, *_exc) -> None:
-        """End everything."""
+        """Kill all processes."""
         self.close()
 
     def close(self) -> None:
-        """End all processes at once."""
+        """Kill all processes immediately."""
         for process in self.processes.values():
             process.kill()
 
     def entries(self, availability_zone: str) -> list[str]:
-        """Return the entry addresses of an availability zone."""
+        """Return the ingress addresses of an availability zone."""
         return [host.entry for host in self.layout.inside(availability_zone)]
 
     def node(self, host: str) -> ManagedProcess:
@@ -109,21 +109,21 @@
         return self.processes[f"platform-{availability_zone}"]
 
     def status(self, host: str) -> dict[str, Any]:
-        """Return what a node tells operators of itself."""
+        """Return the operator status of a node."""
         return call_json(self.hosts[host].operators, "/status")
 
     def sees_all(self, host: str) -> bool:
-        """Whether a node serves and may send calls to every host."""
+        """Whether a node is serving and linked to every host, none of them leaving."""
         status = self.status(host)
         linked = [view["linked"] and not view["leaving"] for view in status["hosts"]]
         return status["state"] == "serving" and linked == [True] * len(self.hosts)
 
     def control_backend(self, host: str, **order: Any) -> Any:
-        """Send an order to a backend server, see ``BackendControl``."""
+        """Send a control command to a backend server, see ``BackendControl``."""
         return call_json(self.hosts[host].backend, "/control", order)
 
     def control_service(self, service: str, **order: Any) -> None:
-        """Send an order to all backend servers of a service."""
+        """Send a control command to all backend servers of a service."""
         for host in self.hosts.values():
             if host.service == service:
                 self.control_backend(host.name, **order)
@@ -131,17 +131,17 @@
     def control_platform(
         self, availability_zone: str | None = None, **order: Any
     ) -> None:
-        """Send an order to one platform or all, see ``platform.Control``."""
+        """Send a control command to one or all platforms, see ``platform.Control``."""
         for zone, address in self.platforms.items():
             if availability_zone in (None, zone):
                 call_json(address, "/control", order)
 
     def control_relay(self, routes: list[str], **order: Any) -> list[str]:
-        """Send an order about routes ``zone>host``, see ``RelayControl``."""
+        """Send a control command for routes ``zone>host``, see ``RelayControl``."""
         return call_json(self.relay_address, "/control", {"routes": routes, **order})
 
     def held_by_relay(self, route: str) -> int:
-        """Return how many writes and closes of a route wait for their delay."""
+        """Return the number of delayed writes and closes of a route."""
         return call_json(self.relay_address, "/held")[route]
 
     def partition(self, availability_zone: str) -> None:
@@ -149,19 +149,19 @@
         self.control_relay(self.layout.across(availability_zone), fault="cut")
 
     def heal(self, availability_zone: str) -> None:
-        """Join an availability zone with the others again."""
+        """Restore the links between an availability zone and the others."""
         self.control_relay(self.layout.across(availability_zone), fault="none")
 
     def publish_hosts(
         self, *, states: Mapping[str, str] | None = None, after_ms: float = 0
     ) -> None:
-        """Publish the host list, with states other than ``live`` as given."""
+        """Publish the host list; hosts that ``states`` omits are ``live``."""
         for zone in self.platforms:
             hosts = self.layout.host_list(zone, states=states or {})
             self.control_platform(zone, hosts=hosts, after_ms=after_ms)
 
     def runs(self) -> list[dict[str, Any]]:
-        """Return all runs of all backend servers that answer; see ``Run``."""
+        """Return all runs of all backend servers that are alive; see ``Run``."""
         return [
             run | {"host": host.name, "service": host.service}
             for host in self.hosts.values()
@@ -171,9 +171,9 @@
         ]
 
     def start_caller(self, settings: CallerSettings) -> ManagedProcess:
-        """Start a caller; its report is fetched with ``collect``."""
+        """Start a caller; ``collect`` returns its report."""
         report = self.directory / f"{settings.name}.json"
-        process = self._add(
+        process = self._add_process(
             settings.name,
             f"{STANDINS}.caller",
             settings.model_dump(mode="json") | {"report": str(report)},
@@ -182,18 +182,18 @@
         return process
 
     def collect(self, caller: ManagedProcess, timeout_s: float) -> dict[str, Any]:
-        """Wait for the end of a caller and return its report."""
+        """Wait until a caller exits and return its report."""
         if caller.wait(timeout_s + CALLER_GRACE_S) != 0:
-            raise caller.failed("ended with an error")
+            raise caller.failed("exited with a non-zero exit code")
         return orjson.loads((self.directory / f"{caller.name}.json").read_bytes())
 
     def node_cpu_s(self) -> float:
-        """Return the CPU time of all nodes that run, in seconds."""
+        """Return the total CPU time of all nodes that are alive, in seconds."""
         nodes = [self.node(name) for name in self.hosts]
         return sum(node.cpu_s() for node in nodes if node.alive)
 
     def node_status_median(self, field: str) -> float:
-        """Return the median of a field of ``/status`` over all nodes that run."""
+        """Return the median of a ``/status`` field over all nodes that are alive."""
         return statistics.median(
             call_json(host.operators, "/status")[field]
             for host in self.hosts.values()
@@ -204,26 +204,31 @@
         """Wait until each node reaches each service.
 
         Raises:
-            ProcessFailedError: one doesn't within ``START_TIMEOUT_S``.
+            ProcessFailedError: a node exits, or doesn't reach a service within
+                ``START_TIMEOUT_S``.
         """
-        ends_at_s = time.monotonic() + START_TIMEOUT_S
+        deadline_s = time.monotonic() + START_TIMEOUT_S
         pending = [self.hosts[name] for name in hosts or self.hosts]
         with ThreadPoolExecutor(max_workers=len(pending)) as pool:
-            list(pool.map(lambda host: self._wait_host(host, ends_at_s), pending))
+            list(
+                pool.map(lambda host: self._wait_host_ready(host, deadline_s), pending)
+            )
 
-    def _wait_host(self, host: Host, ends_at_s: float) -> None:
+    def _wait_host_ready(self, host: Host, deadline_s: float) -> None:
         missing = [service.name for service in self.graph.services]
         node = self.node(host.name)
         while missing := [
             name for name in missing if not answers_probe(host.entry, name)
         ]:
             if not node.alive:
-                raise node.failed("ended before it served")
-            if time.monotonic() > ends_at_s:
-                raise node.failed(f"doesn't reach {', '.join(missing)}")
+                raise node.failed("exited before it reached every service")
+            if time.monotonic() > deadline_s:
+                raise node.failed(
+                    f"services not reached before the timeout: {', '.join(missing)}"
+                )
             time.sleep(PROBE_INTERVAL_S)
 
-    def _add(
+    def _add_process(
         self, name: str, module: str, settings: Mapping[str, Any]
     ) -> ManagedProcess:
         process = ManagedProcess(
@@ -235,13 +240,13 @@
     def _start(self) -> None:
         for zone in AVAILABILITY_ZONES:
             self.platforms[zone] = self.layout.free_address()
-            self._add(
+            self._add_process(
                 f"platform-{zone}",
                 f"{STANDINS}.platform",
                 {
                     "listen": self.platforms[zone],
                     "document": self.graph.document(),
-                    "hosts": self._first_host_list(zone),
+                    "hosts": self._initial_host_list(zone),
                 },
             )
         if self._relay_links:
@@ -255,23 +260,24 @@
         for host in self.hosts.values():
             self._add_node(host).start()
         if self._relay_links:
-            self._join_availability_zones()
+            self._connect_availability_zones()
         self.wait_ready()
 
-    def _first_host_list(self, zone: str) -> list[dict[str, str]]:
+    def _initial_host_list(self, zone: str) -> list[dict[str, str]]:
         hosts = self.layout.host_list(zone, states={})
         if not self._relay_links:
             return hosts
         return [host for host in hosts if host["availability_zone"] == zone]
 
-    def _join_availability_zones(self) -> None:
-        """Publish all hosts once each node has read a list of its own zone.
+    def _connect_availability_zones(self) -> None:
+        """Publish all hosts once each node has read the host list of its own zone.
 
-        A node that has no list yet takes addresses from peers, and those of another
-        zone lead through other routes of the relay than the node's own.
+        A node without a host list adopts the addresses that its peers report. The
+        addresses that a peer of another zone reports belong to relay routes of that
+        zone, not to those of the node's own zone.
         """
         wait_until(
-            "all host lists read",
+            "all nodes have read a host list",
             lambda: all(map(self._has_host_list, self.hosts.values())),
         )
         self.publish_hosts()
@@ -290,11 +296,11 @@
             for name, address in self.layout.routes.items()
         ]
         settings = {"listen": self.relay_address, "routes": routes}
-        self._add("relay", f"{STANDINS}.relay", settings)
+        self._add_process("relay", f"{STANDINS}.relay", settings)
 
     def _add_backend(self, host: Host, number: int) -> None:
         settings = backend_settings(host, seed=self._seed * 1000 + number)
-        self._add(
+        self._add_process(
             f"backend-{host.name}", f"{STANDINS}.backend", settings | self._backend
         )
 
@@ -304,4 +310,6 @@
         )
         if self._slots_hint:
             settings["slots_hint"] = host.plan.slots
-        return self._add(f"node-{host.name}", NODE_MODULE, settings | self._node)
+        return self._add_process(
+            f"node-{host.name}", NODE_MODULE, settings | self._node
+        )
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/http_client.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/http_client.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 client of the stand-ins: one attempt per request, nothing resent.
+"""HTTP/1.1 client of the stand-ins, which never resends a request.
 
-It owns its connections instead of using aiosonic, for two reasons measured on
-aiosonic 1.3.3. It resends GET, PUT and DELETE by itself when a reused connection
-drops, which would falsify every count of runs. And a request that is cancelled on
-a reused connection leaves that connection in the pool with its answer still to
-come, so the next request gets the answer of the cancelled one.
+It manages its own connections because aiosonic 1.3.3 has two faults. When a reused
+connection drops, aiosonic resends GET, PUT and DELETE by itself, which falsifies every
+count of runs. When a request on a reused connection is cancelled, the connection
+returns to the pool before its response has arrived, so the next request receives the
+response to the cancelled one.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 from sassafraswinch_standins.serving import parse_address
 
 CONNECT_TIMEOUT_S = 2.0
-"""Longest wait for a new connection, in seconds."""
+"""Timeout for opening a connection, in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpAnswer:
-    """A whole answer; names of header fields are in lower case."""
+    """Complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -32,12 +32,13 @@
 
 
 class ExchangeError(SassafraswinchError):
-    """A request got no whole answer.
+    """A request got no complete response.
 
     Attributes:
-        address: ``ip:port`` that was asked.
-        reason: what was seen.
-        verdict: NOT_RUN when nothing of the request was written.
+        address: ``ip:port`` of the server.
+        reason: error that ended the exchange.
+        verdict: NOT_RUN if no part of the request was written, otherwise
+            MAY_HAVE_RUN.
     """
 
     def __init__(self, *, address: str, reason: str, verdict: Verdict):
@@ -48,7 +49,7 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection, which carries one exchange at a time."""
+    """HTTP connection that carries one exchange at a time."""
 
     def __init__(self):
         self.reusable = False
@@ -59,16 +60,16 @@
         self._chunks: list[bytes] = []
 
     def connection_made(self, transport):
-        """Keep the transport of the new connection."""
+        """Store the transport of the new connection."""
         self._transport = transport
         self.reusable = True
 
     def connection_lost(self, exc):
-        """Fail the exchange that is under way, if any."""
+        """Fail the exchange in progress, if any."""
         self._fail(exc or ConnectionResetError("connection closed by the server"))
 
     def data_received(self, data):
-        """Feed the parser, which calls the ``on_`` methods."""
+        """Pass data to the parser, which calls the ``on_`` methods."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -76,20 +77,20 @@
             self.abort()
 
     def on_message_begin(self):
-        """Start an answer."""
+        """Reset the state for a new response."""
         self._headers = {}
         self._chunks = []
 
     def on_header(self, name: bytes, value: bytes):
-        """Keep a header field."""
+        """Store a header field."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, chunk: bytes):
-        """Keep a part of the body."""
+        """Store a part of the body."""
         self._chunks.append(chunk)
 
     def on_message_complete(self):
-        """Hand over the answer; one that nobody waits for ends the connection."""
+        """Complete the exchange; close the connection if none is in progress."""
         self.reusable = self.reusable and self._parser.should_keep_alive()
         answer, self._answer = self._answer, None
         if answer is None or answer.done():
@@ -104,13 +105,13 @@
         )
 
     def exchange(self, request: bytes) -> asyncio.Future[HttpAnswer]:
-        """Write a request; its answer completes the future."""
+        """Write a request and return the future of its response."""
         self._answer = asyncio.get_running_loop().create_future()
         self._transport.write(request)
         return self._answer
 
     def abort(self) -> None:
-        """Close at once; the server sees the request as cancelled."""
+        """Close immediately; for the server this cancels the request."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -130,7 +131,7 @@
     headers: Iterable[tuple[str, str]],
     body: bytes,
 ) -> bytes:
-    """Return the bytes of a request with its body."""
+    """Serialize a request with its body."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
     head = (
         f"{method} {target} HTTP/1.1\r\nhost: {address}\r\n"
@@ -140,7 +141,7 @@
 
 
 class HttpClient:
-    """Sends requests, on kept connections where one is idle."""
+    """Sends requests and reuses idle connections."""
 
     def __init__(self):
         self._idle: dict[str, list[HttpConnection]] = defaultdict(list)
@@ -155,21 +156,22 @@
         body: bytes = b"",
         timeout_ms: float | None = None,
     ) -> HttpAnswer:
-        """Send one request and return its whole answer.
+        """Send one request and return its complete response.
 
-        Cancelling this call closes the connection, never gives it to another request.
+        If this call is cancelled, the connection is closed and never reused.
 
         Args:
             address: ``ip:port``.
             method: HTTP method.
             target: path and query.
-            headers: fields besides host and content-length.
-            body: whole body.
-            timeout_ms: longest wait for the whole answer; None waits for good.
+            headers: header fields other than host and content-length.
+            body: complete body.
+            timeout_ms: timeout of the complete response; None disables it.
 
         Raises:
-            ExchangeError: no whole answer came.
-            TimeoutError: none came in time; the request may have run.
+            ExchangeError: no complete response arrived.
+            TimeoutError: no complete response arrived in time; the request may have
+                run.
         """
         connection = await self._connection(address)
         request = serialize_request(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/naive_hop.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/naive_hop.py
@@ -1,7 +1,7 @@
-"""One hop of the naive chain, the baseline of the latency bench.
+"""Plain HTTP proxy, the baseline of the latency benchmark.
 
-It is what a proxy costs when it is put together from starlette, uvicorn and aiosonic
-with no thought of overload: it decides nothing and passes each request on.
+A chain of these shows the cost of a proxy made of starlette, uvicorn and aiosonic
+without overload control: it forwards every request.
 """
 
 import asyncio
@@ -18,33 +18,33 @@
 from sassafraswinch_standins.serving import StrictModel, load_settings, serve
 
 POOL_SIZE = 200
-"""Connections that the hop may hold to its target."""
+"""Maximum number of connections from the proxy to its target."""
 
 
 class HopSettings(StrictModel):
-    """Settings file of a hop."""
+    """Settings file of a proxy."""
 
     listen: str = "127.0.0.1:0"
     target: str
 
 
 def make_app(client: aiosonic.HTTPClient, target: str) -> Starlette:
-    """Return an application that passes each request on to a target."""
+    """Return an application that forwards each request to a target."""
 
     async def forward(request: Request) -> Response:
-        answer = await client.request(
+        response = await client.request(
             f"http://{target}{request.url.path}",
             method=request.method,
             headers={"x-caller-id": request.headers.get("x-caller-id", "")},
             data=await request.body(),
         )
-        return Response(await answer.content(), status_code=answer.status_code)
+        return Response(await response.content(), status_code=response.status_code)
 
     return Starlette(routes=[Route("/{path:path}", forward, methods=["POST"])])
 
 
 async def run(settings: HopSettings) -> None:
-    """Serve a hop until SIGTERM."""
+    """Run a proxy until SIGTERM."""
     pools = {":default": PoolConfig(size=POOL_SIZE, max_conn_requests=None)}
     connector = aiosonic.TCPConnector(pool_configs=pools)
     client = aiosonic.HTTPClient(connector=connector)
@@ -52,7 +52,7 @@
 
 
 def main(*, settings: Path) -> None:
-    """Run a hop of the naive chain.
+    """Run a plain HTTP proxy.
 
     Args:
         settings: YAML file with the fields of ``HopSettings``.
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/onward.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/onward.py
@@ -1,4 +1,4 @@
-"""Child calls of a backend server stand-in, through its node's egress."""
+"""Child calls of a backend server stand-in, through the egress of its node."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class OnwardCalls:
-    """Makes the child calls of operations; ``traceparent`` is copied onto each."""
+    """Makes the child calls of operations and passes ``traceparent`` on to each."""
 
     def __init__(self, *, settings: BackendSettings):
         self._egress = settings.egress
@@ -29,28 +29,30 @@
         """Make all child calls of an operation.
 
         Returns:
-            Whether each of them got its whole answer.
+            Whether each child call got a complete response.
         """
         calls = list(enumerate(plan.calls))
         if plan.order is Order.PARALLEL:
             return all(
                 await asyncio.gather(
                     *(
-                        self._child(c, f"{run.request_id}/{i}", run, traceparent)
+                        self._make_child_call(
+                            c, f"{run.request_id}/{i}", run, traceparent
+                        )
                         for i, c in calls
                     )
                 )
             )
         for index, call in calls:
             child_id = f"{run.request_id}/{index}"
-            if not await self._child(call, child_id, run, traceparent):
+            if not await self._make_child_call(call, child_id, run, traceparent):
                 return False
         return True
 
-    async def _child(
+    async def _make_child_call(
         self, call: ChildCall, child_id: str, run: Run, traceparent: str
     ) -> bool:
-        """Make a child call, and repeat it as the service does by itself."""
+        """Make a child call and retry it as often as its settings say."""
         for _ in range(call.repeats + 1):
             run.child_attempts += 1
             if await self._attempt(call, child_id, traceparent):
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/polling.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/polling.py
@@ -1,4 +1,4 @@
-"""Waits for a state that other processes reach in their own time."""
+"""Polling for a condition that other processes reach asynchronously."""
 
 import time
 from collections.abc import Callable
@@ -6,50 +6,58 @@
 
 from sassafraswinch.errors import SassafraswinchError
 
-CEILING_S = 30.0
-"""Longest wait, in seconds: well beyond every promise, so that a busy machine
-doesn't fail a test whose state is reached."""
+WAIT_TIMEOUT_S = 30.0
+"""Timeout of a wait, in seconds.
 
-INTERVAL_S = 0.05
-"""Interval of the looks, in seconds."""
+It is well above every guaranteed time, so that a busy host doesn't fail a test whose
+condition is reached late.
+"""
+
+POLL_INTERVAL_S = 0.05
+"""Polling interval, in seconds."""
 
 State = TypeVar("State")
 
 
-class NotReachedError(SassafraswinchError):
-    """A state wasn't reached within the ceiling.
+class WaitTimeoutError(SassafraswinchError):
+    """A condition wasn't reached within ``WAIT_TIMEOUT_S``.
 
     Attributes:
-        state: what was waited for.
-        last: what the last look saw.
+        description: description of the condition.
+        last: result or error of the last check.
     """
 
-    def __init__(self, *, state: str, last: object):
-        super().__init__(f"{state}: not within {CEILING_S} s; last seen: {last!r}")
-        self.state = state
+    def __init__(self, *, description: str, last: object):
+        super().__init__(
+            f"{description}: not met within {WAIT_TIMEOUT_S} s; last result {last!r}"
+        )
+        self.description = description
         self.last = last
 
 
-def wait_until(state: str, look: Callable[[], State]) -> State:
-    """Look until what is seen counts as true, print how long it took, return it.
+def wait_until(description: str, check: Callable[[], State]) -> State:
+    """Call ``check`` until its result is true, print the time taken, return the result.
 
     Args:
-        state: what is waited for, in words.
-        look: returns what it sees; errors of connections count as false.
+        description: description of the condition.
+        check: returns the result of one check. Connection errors (OSError and
+            ValueError) count as false.
 
     Raises:
-        NotReachedError: not within ``CEILING_S``.
+        WaitTimeoutError: the result is not true within ``WAIT_TIMEOUT_S``.
     """
-    began_s = time.monotonic()
-    seen: object = None
-    while time.monotonic() - began_s < CEILING_S:
+    started_s = time.monotonic()
+    result: object = None
+    while time.monotonic() - started_s < WAIT_TIMEOUT_S:
         try:
-            seen = look()
+            result = check()
         except (OSError, ValueError) as error:
-            seen = error
+            result = error
         else:
-            if seen:
-                print(f"{state}: after {time.monotonic() - began_s:.2f} s")
-                return seen
-        time.sleep(INTERVAL_S)
-    raise NotReachedError(state=state, last=seen)
+            if result:
+                print(
+                    f"{description}: reached after {time.monotonic() - started_s:.2f} s"
+                )
+                return result
+        time.sleep(POLL_INTERVAL_S)
+    raise WaitTimeoutError(description=description, last=result)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/processes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a run: each has a settings file and log files in one directory."""
+"""Child processes of a test run, with settings and log files in one directory."""
 
 import contextlib
 import os
@@ -24,41 +24,42 @@
 )
 
 FIRST_PORT, LAST_PORT = 12_000, 32_000
-"""Ports for listeners whose number must be known beforehand.
+"""Port range of listeners whose port must be known before they start.
 
-They lie below the ports that Linux gives to outgoing connections, so that none of
-those takes a number between the look and the bind.
+The range lies below the ephemeral ports of Linux, so that no outgoing connection takes
+a port between the check that it is free and the bind.
 """
 
 
-def _own_loopback_ip() -> str:
+def _random_loopback_ip() -> str:
     rng = random.SystemRandom()
     return f"127.{rng.randint(1, 254)}.{rng.randint(1, 254)}.1"
 
 
-LOCAL_IP = _own_loopback_ip()
-"""IP number of all listeners that this process lays out.
+LOCAL_IP = _random_loopback_ip()
+"""IP address of all listeners that this process configures.
 
-Failure guarded against: fleets of two test runs draw the same port seconds before it
-is bound; shows as "address already in use". Each run has its own number.
+Each test run has its own address. On a shared one, two test runs at the same time can
+choose the same port seconds before either binds it, which fails with "address already
+in use".
 """
 
 POLL_S = 0.02
-"""Interval of looks at a process that starts, in seconds."""
+"""Interval of the startup checks of a process, in seconds."""
 
 LOG_TAIL_LINES = 15
-"""Lines of a log that an error shows."""
+"""Number of log lines in an error message."""
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class ProcessFailedError(SassafraswinchError):
-    """A process of a run ended or didn't become ready.
+    """A process of a run exited, or didn't reach a state in time.
 
     Attributes:
-        name: the process.
-        reason: what was waited for.
-        log_tail: last lines that it wrote.
+        name: name of the process.
+        reason: what went wrong.
+        log_tail: last lines of its output and error logs.
     """
 
     def __init__(self, *, name: str, reason: str, log_tail: str):
@@ -68,35 +69,35 @@
         self.log_tail = log_tail
 
 
-_given_ports: set[int] = set()
+_assigned_ports: set[int] = set()
 
 
 def free_address(rng: random.Random) -> str:
-    """Return ``ip:port`` of a port that is free now and wasn't given before.
+    """Return ``ip:port`` of a port that is free and wasn't returned before.
 
-    Failure guarded against: two listeners of a fleet draw the same port, since none
-    is bound until its process runs; shows as "address already in use" in about one
-    start of 60 ports out of twelve.
+    Without the record of returned ports, two listeners of a fleet can get the same
+    port, since none is bound until its process runs. That failed about one in twelve
+    starts of a fleet with 60 ports, with "address already in use".
     """
     while True:
         port = rng.randint(FIRST_PORT, LAST_PORT)
-        if port in _given_ports:
+        if port in _assigned_ports:
             continue
         with contextlib.suppress(OSError), socket.socket() as probe:
             probe.bind((LOCAL_IP, port))
-            _given_ports.add(port)
+            _assigned_ports.add(port)
             return f"{LOCAL_IP}:{port}"
 
 
 def child_environment() -> dict[str, str]:
-    """Return the environment in which a child imports this checkout's packages."""
+    """Return an environment in which a child imports the packages of this checkout."""
     root = Path(__file__).resolve().parents[2]
     paths = [str(root / name) for name in PACKAGES if (root / name).is_dir()]
     return os.environ | {"PYTHONPATH": os.pathsep.join(paths)}
 
 
 class ManagedProcess:
-    """One child process, ended by its id and by nothing broader."""
+    """Child process that is signalled only by its process id."""
 
     def __init__(
         self, *, name: str, module: str, settings: Mapping[str, Any], directory: Path
@@ -111,16 +112,16 @@
 
     @property
     def pid(self) -> int:
-        """Process id of the present run."""
+        """Process id of the latest start."""
         return self._popen.pid
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs (or is paused)."""
+        """Whether the process is running or suspended."""
         return self._popen is not None and self._popen.poll() is None
 
     def start(self) -> None:
-        """Start the process, again if it has ended."""
+        """Start the process, or restart it after it has exited."""
         command = [sys.executable, "-m", self.module]
         with self.out_path.open("w") as out, self.error_path.open("a") as error:
             self._popen = subprocess.Popen(
@@ -132,55 +133,55 @@
             )
 
     def kill(self) -> None:
-        """End the process with SIGKILL."""
+        """Kill the process with SIGKILL."""
         if self.alive:
             self._popen.kill()
             self._popen.wait()
 
     def terminate(self) -> None:
-        """Ask the process to stop, with SIGTERM."""
+        """Request a shutdown of the process with SIGTERM."""
         if self.alive:
             self._popen.terminate()
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for the end of the process; returns its exit code."""
+        """Wait until the process exits and return its exit code."""
         try:
             return self._popen.wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            raise self.failed(f"no end within {timeout_s} s") from error
+            raise self.failed(f"process did not exit within {timeout_s} s") from error
 
     def pause(self) -> None:
-        """Freeze the process with SIGSTOP."""
+        """Suspend the process with SIGSTOP."""
         self._popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on, with SIGCONT."""
+        """Resume a suspended process with SIGCONT."""
         self._popen.send_signal(signal.SIGCONT)
 
     def listening(self, timeout_s: float) -> str:
-        """Wait for the line that says where the process listens."""
-        ends_at_s = time.monotonic() + timeout_s
-        while time.monotonic() < ends_at_s:
+        """Wait for the log line with the listening address and return the address."""
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s:
             for line in self.out_path.read_text().splitlines():
                 if line.startswith("listening "):
                     return line.split()[1]
             if not self.alive:
-                raise self.failed("ended before it listened")
+                raise self.failed("process exited before it listened")
             time.sleep(POLL_S)
-        raise self.failed(f"not listening within {timeout_s} s")
+        raise self.failed(f"process did not listen within {timeout_s} s")
 
     def cpu_s(self) -> float:
-        """Return the CPU time that the process has used, in seconds."""
+        """Return the CPU time of the process, in seconds."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def resident_bytes(self) -> int:
-        """Return the memory that the process holds."""
+        """Return the resident memory of the process, in bytes."""
         pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
     def failed(self, reason: str) -> ProcessFailedError:
-        """Return an error about this process with the end of its logs."""
+        """Return an error for this process with the last lines of its logs."""
         lines = [
             line
             for path in (self.out_path, self.error_path)
--- a/packages/sassafraswinch-standins/tests/test_fleet.py
+++ b/packages/sassafraswinch-standins/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet with real nodes."""
+"""Tests of a fleet of real node processes."""
 
 import pytest
 
@@ -40,7 +40,7 @@
     )
 
 
-def test_everything_ends_when_the_run_fails(tmp_path):
+def test_all_processes_are_killed_when_the_run_fails(tmp_path):
     with (
         pytest.raises(RuntimeError, match="a test fails"),
         Fleet(graph=brno(servers=1), directory=tmp_path) as fleet,
--- a/packages/sassafraswinch-standins/tests/test_http_client.py
+++ b/packages/sassafraswinch-standins/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the client that never resends and never mixes answers up."""
+"""Tests of the HTTP client: no resent requests and no mixed-up responses."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     await respond(send, 200, scope["path"].encode() + body)
 
 
-async def test_connections_are_reused_and_answers_whole():
+async def test_connections_are_reused_and_responses_complete():
     client = HttpClient()
     async with serving(echo) as address:
         for size in (0, 10, 1_000_000):
@@ -29,11 +29,11 @@
         client.close()
 
 
-async def test_cancelled_request_leaves_no_answer_behind():
-    """A caller gives up a request while its answer is on the way.
+async def test_cancelled_request_leaves_no_response_in_the_pool():
+    """A request times out while its response is in transit.
 
-    The next request goes out on a kept connection. If that were the first one's, its
-    late answer would reach the wrong caller; so cancelling closes the connection.
+    If the connection were reused, the next request would receive the late response to
+    the first one. A timeout or cancellation therefore closes the connection.
     """
     client = HttpClient()
     async with serving(echo) as address:
@@ -49,10 +49,10 @@
 
 
 async def test_dropped_connection_is_not_resent():
-    """A server reads a GET on a kept connection and closes without an answer.
+    """A server reads a GET on a reused connection and closes without a response.
 
-    A client that resends would run the request twice; this one reports
-    MAY_HAVE_RUN, and the server has seen the request once.
+    A client that resends would execute the request twice. This client reports
+    MAY_HAVE_RUN, and the server receives the request once.
     """
     seen = []
 
--- a/packages/sassafraswinch-standins/tests/test_processes.py
+++ b/packages/sassafraswinch-standins/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of starting, freezing and ending processes."""
+"""Tests of starting, suspending and stopping child processes."""
 
 import random
 import signal
@@ -10,7 +10,7 @@
 from sassafraswinch_standins.processes import ManagedProcess, ProcessFailedError
 
 
-def make(tmp_path, **settings):
+def make_process(tmp_path, **settings):
     return ManagedProcess(
         name="platform",
         module="sassafraswinch_standins.platform",
@@ -19,8 +19,8 @@
     )
 
 
-def test_process_serves_freezes_and_restarts(tmp_path):
-    process = make(tmp_path, document={"version": 1})
+def test_process_serves_pauses_and_restarts(tmp_path):
+    process = make_process(tmp_path, document={"version": 1})
     process.start()
     try:
         address = process.listening(30)
@@ -37,18 +37,19 @@
         process.kill()
 
 
-def test_failure_shows_the_log(tmp_path):
-    process = make(tmp_path, no_such_field=1)
+def test_startup_error_contains_the_log(tmp_path):
+    process = make_process(tmp_path, no_such_field=1)
     process.start()
     with pytest.raises(ProcessFailedError, match="no_such_field"):
         process.listening(30)
 
 
-def test_no_port_is_given_twice(monkeypatch):
-    """A fleet failed to start about once in twelve: "address already in use".
+def test_no_port_is_returned_twice(monkeypatch):
+    """Two listeners of a fleet must not get the same port.
 
-    Ports are drawn before any listener is bound, so a port that was drawn twice
-    looked free both times, and the second process ended.
+    Ports are chosen before any listener is bound, so a port that was chosen twice
+    looked free both times. The second process then exited with "address already in
+    use", in about one of twelve fleet starts.
     """
     monkeypatch.setattr(processes, "FIRST_PORT", 12_000)
     monkeypatch.setattr(processes, "LAST_PORT", 12_255)
