--- a/packages/sassafraswinch-standins/sassafraswinch_standins/polling.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/polling.py
@@ -19,7 +19,7 @@
 State = TypeVar("State")
 
 
-class WaitTimeoutError(SassafraswinchError):
+class NotReachedError(SassafraswinchError):
     """A condition wasn't reached within ``WAIT_TIMEOUT_S``.
 
     Attributes:
@@ -44,7 +44,7 @@
             ValueError) count as false.
 
     Raises:
-        WaitTimeoutError: the result is not true within ``WAIT_TIMEOUT_S``.
+        NotReachedError: the result is not true within ``WAIT_TIMEOUT_S``.
     """
     started_s = time.monotonic()
     result: object = None
@@ -60,4 +60,4 @@
                 )
                 return result
         time.sleep(POLL_INTERVAL_S)
-    raise WaitTimeoutError(description=description, last=result)
+    raise NotReachedError(description=description, last=result)
