--- a/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
@@ -29,7 +29,7 @@
 from sassafraswinch_standins.ticket_stash import KeptTicket, TicketStash
 
 MAX_TICKET_TRIPS = 3
-"""Number of 428 responses to one request after which the caller abandons it."""
+"""Maximum number of resends after a 428 response; one more 428 ends the request."""
 
 
 @dataclass(slots=True, kw_only=True)
