--- a/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
@@ -26,7 +26,7 @@
 from sassafraswinch_standins.http_client import ExchangeError, HttpAnswer, HttpClient
 from sassafraswinch_standins.serving import load_settings
 from sassafraswinch_standins.tally import SERIES_MS, Outcome, Tally
-from sassafraswinch_standins.ticket_stash import KeptTicket, TicketStash
+from sassafraswinch_standins.ticket_cache import CachedTicket, TicketCache
 
 MAX_TICKET_TRIPS = 3
 """Maximum number of resends after a 428 response; one more 428 ends the request."""
@@ -41,7 +41,7 @@
     tally: Tally
     scheduled_at_ms: float
     ingress: str
-    ticket: KeptTicket | None = None
+    ticket: CachedTicket | None = None
     generation: int = 0
     """Incremented when a retry uses a new request id."""
     retry_count: int = 0
@@ -76,7 +76,7 @@
         }
         self._rng = random.Random(settings.seed)
         self._client = HttpClient()
-        self._tickets = TicketStash(max_age_ms=settings.ticket_max_age_ms)
+        self._tickets = TicketCache(max_age_ms=settings.ticket_max_age_ms)
         self._started_at_ms = 0.0
         self._tasks: set[asyncio.Task] = set()
 
@@ -148,7 +148,7 @@
     async def _attempt(self, pending: PendingRequest) -> AttemptResult:
         traffic = pending.traffic
         if traffic.non_repeatable and pending.ticket is None:
-            pending.ticket = self._tickets.take(traffic, now_ms())
+            pending.ticket = self._tickets.pop(traffic, now_ms())
             if pending.ticket is not None:
                 pending.ingress = pending.ticket.entry
         left_ms = pending.scheduled_at_ms + traffic.patience_ms - now_ms()
@@ -205,8 +205,8 @@
         elif result.outcome is Outcome.NOT_RUN:
             self.ids.not_run[pending.request_id] = result.reason or "backend-shed"
         if result.ticket is not None:
-            ticket = KeptTicket(
-                text=result.ticket, entry=pending.ingress, kept_at_ms=now_ms()
+            ticket = CachedTicket(
+                text=result.ticket, entry=pending.ingress, stored_at_ms=now_ms()
             )
             if result.outcome is Outcome.TICKET_NEEDED:
                 pending.ticket = ticket
