--- a/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/caller.py
@@ -25,7 +25,7 @@
 from sassafraswinch_standins.clock import now_ms
 from sassafraswinch_standins.http_client import ExchangeError, HttpAnswer, HttpClient
 from sassafraswinch_standins.serving import load_settings
-from sassafraswinch_standins.tally import SERIES_MS, Outcome, Tally
+from sassafraswinch_standins.tally import SERIES_INTERVAL_MS, Outcome, Tally
 from sassafraswinch_standins.ticket_cache import CachedTicket, TicketCache
 
 MAX_TICKET_TRIPS = 3
@@ -102,7 +102,7 @@
     def report(self) -> dict[str, Any]:
         """Return all results as JSON-serializable data."""
         ended_at_ms = now_ms()
-        intervals = int((ended_at_ms - self._started_at_ms) // SERIES_MS) + 1
+        intervals = int((ended_at_ms - self._started_at_ms) // SERIES_INTERVAL_MS) + 1
         return {
             "name": self.settings.name,
             "started_at_ms": self._started_at_ms,
@@ -119,7 +119,7 @@
 
     def _offer(self, traffic: Traffic, number: int, at_ms: float) -> None:
         tally = self.tallies[traffic.name]
-        tally.offer(at_ms)
+        tally.record_request(at_ms)
         if len(self._tasks) >= self.settings.max_in_flight:
             tally.dropped += 1
             return
@@ -166,7 +166,7 @@
             )
         else:
             result = read_answer(answer, request_id=pending.request_id)
-        pending.tally.attempt(
+        pending.tally.record_attempt(
             result.outcome, result.reason, now_ms() - self._started_at_ms
         )
         self._record_result(pending, result)
@@ -248,7 +248,7 @@
         ended_at_ms = now_ms()
         if result.outcome is Outcome.MAY_HAVE_RUN:
             self.ids.may_have_run[pending.request_id] = result.reason or "unknown"
-        pending.tally.end(
+        pending.tally.record_outcome(
             result.outcome,
             at_ms=ended_at_ms - self._started_at_ms,
             latency_ms=ended_at_ms - pending.scheduled_at_ms,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
@@ -94,7 +94,7 @@
 
     def entries(self, availability_zone: str) -> list[str]:
         """Return the ingress addresses of an availability zone."""
-        return [host.entry for host in self.layout.inside(availability_zone)]
+        return [host.entry for host in self.layout.hosts_in(availability_zone)]
 
     def node(self, host: str) -> ManagedProcess:
         """Return the node process of a host."""
@@ -146,11 +146,11 @@
 
     def partition(self, availability_zone: str) -> None:
         """Cut the links between an availability zone and the others."""
-        self.control_relay(self.layout.across(availability_zone), fault="cut")
+        self.control_relay(self.layout.routes_across(availability_zone), fault="cut")
 
     def heal(self, availability_zone: str) -> None:
         """Restore the links between an availability zone and the others."""
-        self.control_relay(self.layout.across(availability_zone), fault="none")
+        self.control_relay(self.layout.routes_across(availability_zone), fault="none")
 
     def publish_hosts(
         self, *, states: Mapping[str, str] | None = None, after_ms: float = 0
