--- a/packages/sassafraswinch-node/tests/test_process_document.py
+++ b/packages/sassafraswinch-node/tests/test_process_document.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.chain import ORDER_STATE, STOCK, chain
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.polling import wait_until
 from sassafraswinch_standins.recovery import recover
+from sassafraswinch_standins.requester import Requester
 
 DISCONNECTED_ZONE = "brno-b"
 """The availability zone that loses its connection to the platform."""
@@ -46,10 +46,10 @@
 
 
 @pytest.fixture
-def asker():
-    asker = Asker()
-    yield asker
-    asker.close()
+def requester():
+    requester = Requester()
+    yield requester
+    requester.close()
 
 
 def versions(fleet):
@@ -63,26 +63,28 @@
     )
 
 
-def request_from_all(fleet, asker, path):
+def request_from_all(fleet, requester, path):
     return {
-        host.name: asker.ask(host.entry, asker.new("GET", path)).told
+        host.name: requester.send(host.entry, requester.new("GET", path)).summary
         for host in fleet.hosts.values()
     }
 
 
-def test_change_of_labels_is_in_force_on_every_node(fleet, documents, asker):
+def test_change_of_labels_is_in_force_on_every_node(fleet, documents, requester):
     """Operators make a lookup non-repeatable without changing a service."""
-    before = set(request_from_all(fleet, asker, ORDER_STATE).values())
+    before = set(request_from_all(fleet, requester, ORDER_STATE).values())
     assert before == {(200, "answered", None)}
     version = documents.publish(
         non_repeatable=["action in (approval, release, lookup)"]
     )
     wait_in_force(fleet, version)
-    outcomes_after_change = set(request_from_all(fleet, asker, ORDER_STATE).values())
+    outcomes_after_change = set(
+        request_from_all(fleet, requester, ORDER_STATE).values()
+    )
     assert outcomes_after_change == {(428, "not-run", "ticket-required")}
 
     wait_in_force(fleet, documents.publish())
-    assert set(request_from_all(fleet, asker, ORDER_STATE).values()) == before
+    assert set(request_from_all(fleet, requester, ORDER_STATE).values()) == before
 
 
 def test_zone_without_the_platform_receives_changes_from_peers(fleet, documents):
@@ -94,7 +96,7 @@
     wait_in_force(fleet, documents.publish())
 
 
-def test_invalid_document_is_refused_and_the_old_one_stays(fleet, documents, asker):
+def test_invalid_document_is_refused_and_the_old_one_stays(fleet, documents, requester):
     """Operators publish a document that fails validation."""
     fleet.control_platform(
         document={"version": documents.version + 1, "classes": [{"name": "", "x": 1}]}
@@ -106,12 +108,12 @@
 
     wait_until("refused on all nodes", refused)
     assert set(versions(fleet).values()) == {documents.version - 1}
-    outcomes = set(request_from_all(fleet, asker, ORDER_STATE).values())
+    outcomes = set(request_from_all(fleet, requester, ORDER_STATE).values())
     assert outcomes == {(200, "answered", None)}
     wait_in_force(fleet, documents.publish())
 
 
-def test_restarted_node_never_serves_a_stale_document(fleet, documents, asker):
+def test_restarted_node_never_serves_a_stale_document(fleet, documents, requester):
     """A node restarts while the platform serves an old version of the document.
 
     The node keeps no state over restarts. With the old version, a lookup that is
@@ -130,9 +132,9 @@
     outcomes, versions_in_force = set(), set()
 
     def serves():
-        reply = asker.ask(entry, asker.new("GET", STOCK))
+        reply = requester.send(entry, requester.new("GET", STOCK))
         if reply.status:
-            outcomes.add(reply.told)
+            outcomes.add(reply.summary)
         with suppress(OSError):
             versions_in_force.add(fleet.status("schvaleni-1")["document_version"])
         return reply.status == 428
@@ -148,7 +150,7 @@
     wait_in_force(fleet, documents.publish())
 
 
-def test_fleet_serves_through_an_outage_of_the_platform(fleet, asker):
+def test_fleet_serves_through_an_outage_of_the_platform(fleet, requester):
     """The platform is down; a node restarts during the outage and serves again.
 
     It can get the document and the addresses of the other hosts only from its peers.
@@ -157,15 +159,15 @@
     node = fleet.node("schvaleni-1")
     node.kill()
     node.start()
-    wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-    outcomes = request_from_all(fleet, asker, ORDER_STATE) | request_from_all(
-        fleet, asker, STOCK
+    wait_until("all linked", lambda: all(map(fleet.is_fully_linked, fleet.hosts)))
+    outcomes = request_from_all(fleet, requester, ORDER_STATE) | request_from_all(
+        fleet, requester, STOCK
     )
     assert set(outcomes.values()) == {(200, "answered", None)}
 
 
 def test_fleet_started_without_the_platform_refuses_until_it_is_available(
-    tmp_path, asker
+    tmp_path, requester
 ):
     """All nodes start while the platform is down, so no node has a document.
 
@@ -174,13 +176,13 @@
     """
     graph = chain()
     with StartedWithoutPlatform(graph=graph, directory=tmp_path / "cold") as fleet:
-        outcomes = request_from_all(fleet, asker, STOCK)
+        outcomes = request_from_all(fleet, requester, STOCK)
         assert set(outcomes.values()) == {(503, "not-run", "no-document")}
         states = {fleet.status(host)["state"] for host in fleet.hosts}
         assert states == {"syncing"}
         fleet.control_platform(mode="up")
-        wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-        outcomes = request_from_all(fleet, asker, ORDER_STATE)
+        wait_until("all linked", lambda: all(map(fleet.is_fully_linked, fleet.hosts)))
+        outcomes = request_from_all(fleet, requester, ORDER_STATE)
         assert set(outcomes.values()) == {(200, "answered", None)}
 
 
--- a/packages/sassafraswinch-node/tests/test_process_kill.py
+++ b/packages/sassafraswinch-node/tests/test_process_kill.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.chain import APPROVE, ORDER_STATE, chain
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.polling import wait_until
 from sassafraswinch_standins.recovery import recover
+from sassafraswinch_standins.requester import Requester
 
 RETRY_ALLOWANCE = 3
 """Retry allowance in the chain's document."""
@@ -25,12 +25,12 @@
 
 
 @pytest.fixture
-def asker(fleet):
+def requester(fleet):
     """Client of a fleet that has recovered from the previous test."""
     recover(fleet)
-    asker = Asker()
-    yield asker
-    asker.close()
+    requester = Requester()
+    yield requester
+    requester.close()
 
 
 def ingress_of(fleet, host):
@@ -59,7 +59,7 @@
         assert not [i for i, count in runs.items() if count > 1], runs
 
 
-def test_approvals_on_a_killed_executing_node_may_have_run(fleet, asker):
+def test_approvals_on_a_killed_executing_node_may_have_run(fleet, requester):
     """SIGKILL of the executing node while eight approvals run on its backend server.
 
     The owner can't know whether they ran. It returns may-have-run, and only once the
@@ -68,10 +68,12 @@
     """
     owner_address = ingress_of(fleet, "vydej-1")
     approvals = [
-        asker.with_ticket(owner_address, asker.new("POST", APPROVE))
+        requester.with_ticket(owner_address, requester.new("POST", APPROVE))
         for _ in range(APPROVALS)
     ]
-    replies = asker.together(lambda a: asker.ask(owner_address, a), approvals)
+    replies = requester.submit_all(
+        lambda a: requester.send(owner_address, a), approvals
+    )
     wait_all_started(fleet, approvals, "approve-order")
     fleet.node("schvaleni-1").kill()
     fleet.node("schvaleni-1").start()
@@ -79,14 +81,14 @@
     outcomes = Counter(reply.result().verdict for reply in replies)
     assert outcomes == {"may-have-run": APPROVALS}
     for host in ("vydej-1", "vydej-2", "schvaleni-1"):
-        retries = asker.together(
-            lambda a, h=host: asker.ask(ingress_of(fleet, h), a), approvals
+        retries = requester.submit_all(
+            lambda a, h=host: requester.send(ingress_of(fleet, h), a), approvals
         )
         assert {reply.result().verdict for reply in retries} == {"may-have-run"}
     assert_at_most_once(fleet, approvals)
 
 
-def test_killed_executing_node_costs_a_lookup_one_retry(fleet, asker):
+def test_killed_executing_node_costs_a_lookup_one_retry(fleet, requester):
     """SIGKILL of the executing node while eight lookups run on its backend server.
 
     They are repeatable: each is retried on the host of the other availability zone,
@@ -95,29 +97,32 @@
     once, approvals as well.
     """
     owner_address = ingress_of(fleet, "vydej-1")
-    lookups = [asker.new("GET", ORDER_STATE) for _ in range(LOOKUPS)]
-    replies = asker.together(lambda a: asker.ask(owner_address, a), lookups)
+    lookups = [requester.new("GET", ORDER_STATE) for _ in range(LOOKUPS)]
+    replies = requester.submit_all(lambda a: requester.send(owner_address, a), lookups)
     wait_all_started(fleet, lookups, "order-state")
     fleet.node("schvaleni-1").kill()
 
-    assert {reply.result().told for reply in replies} == {(200, "answered", None)}
+    assert {reply.result().summary for reply in replies} == {(200, "answered", None)}
     assert {reply.result().fault for reply in replies} == {None}
     runs = runs_by_id(fleet, lookups, "order-state")
     assert set(runs.values()) == {2}
     child_runs = runs_by_id(fleet, lookups, "stock")
     assert max(child_runs.values()) <= 1 + RETRY_ALLOWANCE
 
-    later_requests = [asker.new("GET", ORDER_STATE) for _ in range(4)]
+    later_requests = [requester.new("GET", ORDER_STATE) for _ in range(4)]
     later_requests += [
-        asker.with_ticket(owner_address, asker.new("POST", APPROVE)) for _ in range(4)
+        requester.with_ticket(owner_address, requester.new("POST", APPROVE))
+        for _ in range(4)
     ]
-    replies = asker.together(lambda a: asker.ask(owner_address, a), later_requests)
-    outcomes = Counter(reply.result().told for reply in replies)
+    replies = requester.submit_all(
+        lambda a: requester.send(owner_address, a), later_requests
+    )
+    outcomes = Counter(reply.result().summary for reply in replies)
     assert outcomes == {(200, "answered", None): 8}
     assert_at_most_once(fleet, later_requests)
 
 
-def test_tickets_of_a_killed_owner_never_run_again(fleet, asker):
+def test_tickets_of_a_killed_owner_never_run_again(fleet, requester):
     """SIGKILL of the owner while approvals that it dispatched run on other nodes.
 
     The callers' connections break. They retry with the same tickets through other nodes
@@ -126,50 +131,55 @@
     """
     owner = "vydej-1"
     approvals = [
-        asker.with_ticket(ingress_of(fleet, owner), asker.new("POST", APPROVE))
+        requester.with_ticket(ingress_of(fleet, owner), requester.new("POST", APPROVE))
         for _ in range(APPROVALS)
     ]
-    unused = asker.with_ticket(ingress_of(fleet, owner), asker.new("POST", APPROVE))
-    replies = asker.together(
-        lambda a: asker.ask(ingress_of(fleet, owner), a), approvals
+    unused = requester.with_ticket(
+        ingress_of(fleet, owner), requester.new("POST", APPROVE)
+    )
+    replies = requester.submit_all(
+        lambda a: requester.send(ingress_of(fleet, owner), a), approvals
     )
     wait_all_started(fleet, approvals, "approve-order")
     fleet.node(owner).kill()
-    assert all(reply.result().broken for reply in replies)
+    assert all(reply.result().connection_error for reply in replies)
 
-    retries = asker.together(
-        lambda a: asker.ask(ingress_of(fleet, "vydej-2"), a), approvals
+    retries = requester.submit_all(
+        lambda a: requester.send(ingress_of(fleet, "vydej-2"), a), approvals
     )
-    assert {reply.result().told for reply in retries} == {
+    assert {reply.result().summary for reply in retries} == {
         (502, "may-have-run", "ticket-owner-unreachable")
     }
     fleet.node(owner).start()
     fleet.wait_ready([owner])
-    wait_until("owner linked again", lambda: fleet.sees_all("vydej-2"))
+    wait_until("owner linked again", lambda: fleet.is_fully_linked("vydej-2"))
     for host in (owner, "vydej-2"):
-        retries = asker.together(
-            lambda a, h=host: asker.ask(ingress_of(fleet, h), a), [*approvals, unused]
+        retries = requester.submit_all(
+            lambda a, h=host: requester.send(ingress_of(fleet, h), a),
+            [*approvals, unused],
         )
-        assert {reply.result().told for reply in retries} == {
+        assert {reply.result().summary for reply in retries} == {
             (502, "may-have-run", "ticket-owner-restarted")
         }
     assert_at_most_once(fleet, [*approvals, unused])
     assert not runs_by_id(fleet, [unused], "approve-order")
 
 
-def test_child_call_of_a_killed_owner_is_never_retried(fleet, asker):
+def test_child_call_of_a_killed_owner_is_never_retried(fleet, requester):
     """SIGKILL of the node whose backend server has just made a child call, a release.
 
     That node owned the release. Its backend server gets no response and the approval
     fails; the caller's retry must not run the release a second time.
     """
     owner_address = ingress_of(fleet, "vydej-2")
-    approval = asker.with_ticket(owner_address, asker.new("POST", APPROVE))
-    (reply,) = asker.together(lambda a: asker.ask(owner_address, a), [approval])
+    approval = requester.with_ticket(owner_address, requester.new("POST", APPROVE))
+    (reply,) = requester.submit_all(
+        lambda a: requester.send(owner_address, a), [approval]
+    )
     wait_all_started(fleet, [approval], "release-order")
     fleet.node("schvaleni-2").kill()
     fleet.node("schvaleni-2").start()
 
     assert reply.result().verdict == "may-have-run"
-    assert asker.ask(owner_address, approval).verdict == "may-have-run"
+    assert requester.send(owner_address, approval).verdict == "may-have-run"
     assert_at_most_once(fleet, [approval])
--- a/packages/sassafraswinch-node/tests/test_process_silence.py
+++ b/packages/sassafraswinch-node/tests/test_process_silence.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.chain import APPROVE, ORDER_STATE, RELEASE, chain
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.polling import wait_until
+from sassafraswinch_standins.requester import Requester
 
 FAR_ROUTES = {"brno-b>vydej-1": "schvaleni-2", "ostrava-c>vydej-1": "schvaleni-3"}
 """Routes to the only backend server of vydej, each with a host that calls over it."""
@@ -22,12 +22,12 @@
 
 
 @pytest.fixture
-def long_deadline_asker(fleet):
+def long_deadline_requester(fleet):
     """Client with a deadline longer than the faults, in a fully linked fleet."""
-    wait_until("all linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
-    long_deadline_asker = Asker(caller="dispatcher", organisation="carrier")
-    yield long_deadline_asker
-    long_deadline_asker.close()
+    wait_until("all linked", lambda: all(map(fleet.is_fully_linked, fleet.hosts)))
+    long_deadline_requester = Requester(caller="dispatcher", organisation="carrier")
+    yield long_deadline_requester
+    long_deadline_requester.close()
 
 
 def ingress_of(fleet, host):
@@ -53,7 +53,7 @@
     runs = runs_by_id(fleet, operation)
     allowed = {"answered": {1}, "not-run": {0}, "may-have-run": {0, 1}}
     wrong = [
-        (reply.told, runs[reply.request_id])
+        (reply.summary, runs[reply.request_id])
         for reply in replies
         if runs[reply.request_id] not in allowed[reply.verdict]
     ]
@@ -61,7 +61,7 @@
 
 
 def test_silent_links_lose_no_response_and_cause_no_second_run(
-    fleet, long_deadline_asker
+    fleet, long_deadline_requester
 ):
     """Two links go silent, each in one direction, while new connections work.
 
@@ -73,8 +73,8 @@
     directions = dict(zip(FAR_ROUTES, ("to-client", "to-target"), strict=True))
     releases = {
         route: [
-            long_deadline_asker.with_ticket(
-                ingress_of(fleet, host), long_deadline_asker.new("POST", RELEASE)
+            long_deadline_requester.with_ticket(
+                ingress_of(fleet, host), long_deadline_requester.new("POST", RELEASE)
             )
             for _ in range(6)
         ]
@@ -83,8 +83,8 @@
 
     def send(route, chosen):
         ingress = ingress_of(fleet, FAR_ROUTES[route])
-        return long_deadline_asker.together(
-            lambda r: long_deadline_asker.ask(ingress, r), chosen
+        return long_deadline_requester.submit_all(
+            lambda r: long_deadline_requester.send(ingress, r), chosen
         )
 
     replies = {route: send(route, releases[route][:3]) for route in FAR_ROUTES}
@@ -97,7 +97,9 @@
         replies[route] += send(route, releases[route][3:])
     ended = {r: [reply.result() for reply in replies[r]] for r in FAR_ROUTES}
 
-    outcomes = {route: [reply.told for reply in ended[route]] for route in FAR_ROUTES}
+    outcomes = {
+        route: [reply.summary for reply in ended[route]] for route in FAR_ROUTES
+    }
     answered, fenced = (200, "answered", None), (503, "not-run", "fenced")
     assert outcomes["brno-b>vydej-1"] == [answered] * 6
     assert outcomes["ostrava-c>vydej-1"] == [answered] * 3 + [fenced] * 3
@@ -107,7 +109,7 @@
 
 
 def test_call_with_verdict_not_run_never_runs_from_a_late_frame(
-    fleet, long_deadline_asker
+    fleet, long_deadline_requester
 ):
     """A link goes silent with calls in transit, and delivers them much later.
 
@@ -118,34 +120,35 @@
     route, host = "brno-b>vydej-1", "schvaleni-2"
     ingress = ingress_of(fleet, host)
     releases = [
-        long_deadline_asker.with_ticket(
-            ingress, long_deadline_asker.new("POST", RELEASE)
+        long_deadline_requester.with_ticket(
+            ingress, long_deadline_requester.new("POST", RELEASE)
         )
         for _ in range(5)
     ]
     fleet.control_relay([route], fault="held")
-    replies = long_deadline_asker.together(
-        lambda r: long_deadline_asker.ask(ingress, r), releases
+    replies = long_deadline_requester.submit_all(
+        lambda r: long_deadline_requester.send(ingress, r), releases
     )
     ended = [reply.result() for reply in replies]
 
-    assert {reply.told for reply in ended} == {(503, "not-run", "fenced")}
+    assert {reply.summary for reply in ended} == {(503, "not-run", "fenced")}
     assert fleet.held_by_relay(route) > 0
     fleet.control_relay([route], fault="none")
     wait_until("frames delivered", lambda: fleet.held_by_relay(route) == 0)
     renewed_requests = [
-        long_deadline_asker.new("POST", RELEASE, ticket=reply.ticket) for reply in ended
+        long_deadline_requester.new("POST", RELEASE, ticket=reply.ticket)
+        for reply in ended
     ]
-    renewed = long_deadline_asker.together(
-        lambda r: long_deadline_asker.ask(ingress, r), renewed_requests
+    renewed = long_deadline_requester.submit_all(
+        lambda r: long_deadline_requester.send(ingress, r), renewed_requests
     )
     renewed = [reply.result() for reply in renewed]
-    assert {reply.told for reply in renewed} == {(200, "answered", None)}
+    assert {reply.summary for reply in renewed} == {(200, "answered", None)}
     assert_verdicts_match_runs(fleet, ended + renewed, "release-order")
 
 
 def test_paused_executing_node_runs_no_call_with_verdict_not_run(
-    fleet, long_deadline_asker
+    fleet, long_deadline_requester
 ):
     """SIGSTOP of an executing node with calls in its buffers, SIGCONT much later.
 
@@ -153,46 +156,47 @@
     for approvals with a short deadline. When the node resumes, it reads the old frames
     first; the outcomes already returned must remain correct.
     """
-    short_deadline_asker = Asker()
+    short_deadline_requester = Requester()
     ingress, paused = ingress_of(fleet, "vydej-1"), fleet.node("schvaleni-1")
     short_deadline_approvals = [
-        short_deadline_asker.with_ticket(
-            ingress, short_deadline_asker.new("POST", APPROVE)
+        short_deadline_requester.with_ticket(
+            ingress, short_deadline_requester.new("POST", APPROVE)
         )
         for _ in "123"
     ]
     approvals = [
-        long_deadline_asker.with_ticket(
-            ingress, long_deadline_asker.new("POST", APPROVE)
+        long_deadline_requester.with_ticket(
+            ingress, long_deadline_requester.new("POST", APPROVE)
         )
         for _ in "123"
     ]
-    lookups = [long_deadline_asker.new("GET", ORDER_STATE) for _ in "12"]
+    lookups = [long_deadline_requester.new("GET", ORDER_STATE) for _ in "12"]
     paused.pause()
     try:
-        short_deadline_replies = short_deadline_asker.together(
-            lambda a: short_deadline_asker.ask(ingress, a), short_deadline_approvals
+        short_deadline_replies = short_deadline_requester.submit_all(
+            lambda a: short_deadline_requester.send(ingress, a),
+            short_deadline_approvals,
         )
-        long_deadline_replies = long_deadline_asker.together(
-            lambda a: long_deadline_asker.ask(ingress, a), approvals
+        long_deadline_replies = long_deadline_requester.submit_all(
+            lambda a: long_deadline_requester.send(ingress, a), approvals
         )
-        lookup_replies = long_deadline_asker.together(
-            lambda a: long_deadline_asker.ask(ingress, a), lookups
+        lookup_replies = long_deadline_requester.submit_all(
+            lambda a: long_deadline_requester.send(ingress, a), lookups
         )
         short_deadline_replies = [reply.result() for reply in short_deadline_replies]
         lookup_replies = [reply.result() for reply in lookup_replies]
     finally:
         paused.resume()
     long_deadline_replies = [reply.result() for reply in long_deadline_replies]
-    short_deadline_asker.close()
+    short_deadline_requester.close()
 
-    assert {reply.told for reply in lookup_replies} == {(200, "answered", None)}
-    assert {reply.told for reply in short_deadline_replies} == {
+    assert {reply.summary for reply in lookup_replies} == {(200, "answered", None)}
+    assert {reply.summary for reply in short_deadline_replies} == {
         (504, "may-have-run", "deadline")
     }
-    wait_until("resumed node serves", lambda: fleet.sees_all("schvaleni-1"))
+    wait_until("resumed node serves", lambda: fleet.is_fully_linked("schvaleni-1"))
     wait_until("nothing runs", lambda: all(run["ended_at_ms"] for run in fleet.runs()))
-    print(Counter(reply.told for reply in long_deadline_replies))
+    print(Counter(reply.summary for reply in long_deadline_replies))
     assert_verdicts_match_runs(
         fleet, short_deadline_replies + long_deadline_replies, "approve-order"
     )
--- a/packages/sassafraswinch-node/tests/test_process_stop.py
+++ b/packages/sassafraswinch-node/tests/test_process_stop.py
@@ -5,7 +5,6 @@
 
 import pytest
 
-from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.caller_settings import (
     CallerSettings,
     Phase,
@@ -16,6 +15,7 @@
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.polling import wait_until
 from sassafraswinch_standins.recovery import recover
+from sassafraswinch_standins.requester import Requester
 
 APPROVAL_MS = 2_500.0
 """Longer than the leave notice, so that a stop has to wait; the child call to release
@@ -50,13 +50,13 @@
 
 
 @pytest.fixture
-def long_deadline_asker(fleet):
+def long_deadline_requester(fleet):
     """Client with a deadline longer than a stop."""
     for host in fleet.hosts:
         fleet.control_backend(host, forget_runs=True)
-    long_deadline_asker = Asker(caller="dispatcher", organisation="carrier")
-    yield long_deadline_asker
-    long_deadline_asker.close()
+    long_deadline_requester = Requester(caller="dispatcher", organisation="carrier")
+    yield long_deadline_requester
+    long_deadline_requester.close()
 
 
 def ingress_of(fleet, host):
@@ -111,20 +111,21 @@
     assert not late
 
 
-def in_flight_on(fleet, long_deadline_asker, host, other):
+def in_flight_on(fleet, long_deadline_requester, host, other):
     """Start approvals that a host executes, owns, or forwards to their owner."""
-    executed = long_deadline_asker.with_ticket(
-        ingress_of(fleet, other), long_deadline_asker.new("POST", APPROVE)
+    executed = long_deadline_requester.with_ticket(
+        ingress_of(fleet, other), long_deadline_requester.new("POST", APPROVE)
     )
-    owned = long_deadline_asker.with_ticket(
-        ingress_of(fleet, host), long_deadline_asker.new("POST", APPROVE)
+    owned = long_deadline_requester.with_ticket(
+        ingress_of(fleet, host), long_deadline_requester.new("POST", APPROVE)
     )
-    forwarded = long_deadline_asker.with_ticket(
-        ingress_of(fleet, "schvaleni-2"), long_deadline_asker.new("POST", APPROVE)
+    forwarded = long_deadline_requester.with_ticket(
+        ingress_of(fleet, "schvaleni-2"), long_deadline_requester.new("POST", APPROVE)
     )
     sent = [(other, executed), (host, owned), (host, forwarded)]
-    replies = long_deadline_asker.together(
-        lambda pair: long_deadline_asker.ask(ingress_of(fleet, pair[0]), pair[1]), sent
+    replies = long_deadline_requester.submit_all(
+        lambda pair: long_deadline_requester.send(ingress_of(fleet, pair[0]), pair[1]),
+        sent,
     )
     ids = {approval.request_id for _, approval in sent}
 
@@ -135,21 +136,23 @@
     return replies
 
 
-def assert_refuses_new_requests(fleet, long_deadline_asker, host, unused):
+def assert_refuses_new_requests(fleet, long_deadline_requester, host, unused):
     """Check that a leaving node refuses requests and issues no ticket.
 
     Failure: a caller uses a ticket of a node that has stopped since. The only possible
     verdict is may-have-run, although nothing ran.
     """
     for request in (replace(unused, ticket=None), unused):
-        reply = long_deadline_asker.ask(ingress_of(fleet, host), request)
-        assert reply.told == (503, "not-run", "leaving")
+        reply = long_deadline_requester.send(ingress_of(fleet, host), request)
+        assert reply.summary == (503, "not-run", "leaving")
         assert reply.ticket is None
         assert reply.headers["connection"] == "close"
         assert int(reply.headers["retry-after-ms"]) > 0
 
 
-def test_planned_stop_completes_calls_in_flight(recovered_fleet, long_deadline_asker):
+def test_planned_stop_completes_calls_in_flight(
+    recovered_fleet, long_deadline_requester
+):
     """SIGTERM of a node under load, without a leaving mark in the host list.
 
     In flight are approvals that it executes, owns, and forwards; their child calls to
@@ -159,16 +162,16 @@
     """
     fleet = recovered_fleet
     load = start_lookups(fleet, "stop")
-    replies = in_flight_on(fleet, long_deadline_asker, "schvaleni-1", "vydej-1")
-    unused = long_deadline_asker.with_ticket(
-        ingress_of(fleet, "schvaleni-1"), long_deadline_asker.new("POST", APPROVE)
+    replies = in_flight_on(fleet, long_deadline_requester, "schvaleni-1", "vydej-1")
+    unused = long_deadline_requester.with_ticket(
+        ingress_of(fleet, "schvaleni-1"), long_deadline_requester.new("POST", APPROVE)
     )
     stopped_at_ms = now_ms()
     fleet.node("schvaleni-1").terminate()
     wait_until("leaving", lambda: fleet.status("schvaleni-1")["state"] == "leaving")
-    assert_refuses_new_requests(fleet, long_deadline_asker, "schvaleni-1", unused)
+    assert_refuses_new_requests(fleet, long_deadline_requester, "schvaleni-1", unused)
 
-    assert {reply.result().told for reply in replies} == {(200, "answered", None)}
+    assert {reply.result().summary for reply in replies} == {(200, "answered", None)}
     assert {reply.result().fault for reply in replies} == {None}
     assert fleet.node("schvaleni-1").wait(timeout_s=30) == 0
     assert_all_good(fleet, load)
@@ -176,18 +179,20 @@
     assert_no_new_work(fleet, "schvaleni-1", stopped_at_ms)
 
 
-def test_host_listed_as_leaving_gets_no_new_work(recovered_fleet, long_deadline_asker):
+def test_host_listed_as_leaving_gets_no_new_work(
+    recovered_fleet, long_deadline_requester
+):
     """The platform's host list, not a signal, marks a host as leaving under load.
 
     Its node starts a planned stop: all calls complete, and it exits with code 0.
     """
     fleet = recovered_fleet
     load = start_lookups(fleet, "list")
-    replies = in_flight_on(fleet, long_deadline_asker, "schvaleni-1", "vydej-1")
+    replies = in_flight_on(fleet, long_deadline_requester, "schvaleni-1", "vydej-1")
     listed_at_ms = now_ms()
     fleet.publish_hosts(states={"schvaleni-1": "leaving"})
 
-    assert {reply.result().told for reply in replies} == {(200, "answered", None)}
+    assert {reply.result().summary for reply in replies} == {(200, "answered", None)}
     assert fleet.node("schvaleni-1").wait(timeout_s=30) == 0
     fleet.publish_hosts()
     assert_all_good(fleet, load)
@@ -196,7 +201,7 @@
 
 
 def test_second_sigterm_exits_at_once_and_logs_aborted_calls(
-    fleet, long_deadline_asker
+    fleet, long_deadline_requester
 ):
     """A backend server hangs, so that a planned stop does not complete.
 
@@ -205,12 +210,12 @@
     """
     fleet.control_backend("schvaleni-2", fault="hang")
     ingress = ingress_of(fleet, "schvaleni-2")
-    approval = long_deadline_asker.with_ticket(
-        ingress, long_deadline_asker.new("POST", APPROVE)
+    approval = long_deadline_requester.with_ticket(
+        ingress, long_deadline_requester.new("POST", APPROVE)
     )
-    requests = [approval, long_deadline_asker.new("GET", ORDER_STATE)]
-    replies = long_deadline_asker.together(
-        lambda request: long_deadline_asker.ask(ingress, request), requests
+    requests = [approval, long_deadline_requester.new("GET", ORDER_STATE)]
+    replies = long_deadline_requester.submit_all(
+        lambda request: long_deadline_requester.send(ingress, request), requests
     )
     wait_until("hanging", lambda: len(fleet.runs()) == len(requests))
     node = fleet.node("schvaleni-2")
@@ -219,7 +224,7 @@
     node.terminate()
 
     assert node.wait(timeout_s=30) == 1
-    assert [reply.result().told for reply in replies] == [
+    assert [reply.result().summary for reply in replies] == [
         (502, "may-have-run", "cancelled")
     ] * len(requests)
     log = node.error_path.read_text()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/backend.py
@@ -24,7 +24,7 @@
     ReportMode,
 )
 from sassafraswinch_standins.clock import now_ms
-from sassafraswinch_standins.onward import OnwardCalls
+from sassafraswinch_standins.onward import ChildCallClient
 from sassafraswinch_standins.runs import Run, RunLog, RunState
 from sassafraswinch_standins.serving import load_settings, serve
 from sassafraswinch_standins.slots import (
@@ -54,7 +54,7 @@
         self._reports = LaggingReports(
             lag_ms=settings.report_lag_ms, observe=self._current_report
         )
-        self._onward = OnwardCalls(settings=settings)
+        self._onward = ChildCallClient(settings=settings)
         self._plans = [(plan.pattern(), plan) for plan in settings.operations]
         self._management_handlers = {
             "/health": self._health,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/fleet.py
@@ -112,7 +112,7 @@
         """Return the operator status of a node."""
         return call_json(self.hosts[host].operators, "/status")
 
-    def sees_all(self, host: str) -> bool:
+    def is_fully_linked(self, host: str) -> bool:
         """Whether a node is serving and linked to every host, none of them leaving."""
         status = self.status(host)
         linked = [view["linked"] and not view["leaving"] for view in status["hosts"]]
@@ -184,7 +184,7 @@
     def collect(self, caller: ManagedProcess, timeout_s: float) -> dict[str, Any]:
         """Wait until a caller exits and return its report."""
         if caller.wait(timeout_s + CALLER_GRACE_S) != 0:
-            raise caller.failed("exited with a non-zero exit code")
+            raise caller.failure("exited with a non-zero exit code")
         return orjson.loads((self.directory / f"{caller.name}.json").read_bytes())
 
     def node_cpu_s(self) -> float:
@@ -221,9 +221,9 @@
             name for name in missing if not answers_probe(host.entry, name)
         ]:
             if not node.alive:
-                raise node.failed("exited before it reached every service")
+                raise node.failure("exited before it reached every service")
             if time.monotonic() > deadline_s:
-                raise node.failed(
+                raise node.failure(
                     f"services not reached before the timeout: {', '.join(missing)}"
                 )
             time.sleep(PROBE_INTERVAL_S)
@@ -256,7 +256,7 @@
         for process in self.processes.values():
             process.start()
         for process in self.processes.values():
-            process.listening(START_TIMEOUT_S)
+            process.wait_listening(START_TIMEOUT_S)
         for host in self.hosts.values():
             self._add_node(host).start()
         if self._relay_links:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/latency.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/latency.py
@@ -175,9 +175,9 @@
             hops: list[ManagedProcess] = []
             try:
                 hops.append(_start_hop("hop-b", back_address, directory))
-                inner_address = hops[0].listening(START_TIMEOUT_S)
+                inner_address = hops[0].wait_listening(START_TIMEOUT_S)
                 hops.append(_start_hop("hop-a", inner_address, directory))
-                outer_address = hops[1].listening(START_TIMEOUT_S)
+                outer_address = hops[1].wait_listening(START_TIMEOUT_S)
                 arms = [
                     Arm(name=DIRECT, entry=back_address, direct=True),
                     Arm(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/onward.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/onward.py
@@ -17,7 +17,7 @@
 from sassafraswinch_standins.runs import Run
 
 
-class OnwardCalls:
+class ChildCallClient:
     """Makes the child calls of operations and passes ``traceparent`` on to each."""
 
     def __init__(self, *, settings: BackendSettings):
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/processes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/processes.py
@@ -148,7 +148,7 @@
         try:
             return self._popen.wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            raise self.failed(f"process did not exit within {timeout_s} s") from error
+            raise self.failure(f"process did not exit within {timeout_s} s") from error
 
     def pause(self) -> None:
         """Suspend the process with SIGSTOP."""
@@ -158,7 +158,7 @@
         """Resume a suspended process with SIGCONT."""
         self._popen.send_signal(signal.SIGCONT)
 
-    def listening(self, timeout_s: float) -> str:
+    def wait_listening(self, timeout_s: float) -> str:
         """Wait for the log line with the listening address and return the address."""
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s:
@@ -166,9 +166,9 @@
                 if line.startswith("listening "):
                     return line.split()[1]
             if not self.alive:
-                raise self.failed("process exited before it listened")
+                raise self.failure("process exited before it listened")
             time.sleep(POLL_S)
-        raise self.failed(f"process did not listen within {timeout_s} s")
+        raise self.failure(f"process did not listen within {timeout_s} s")
 
     def cpu_s(self) -> float:
         """Return the CPU time of the process, in seconds."""
@@ -180,7 +180,7 @@
         pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
-    def failed(self, reason: str) -> ProcessFailedError:
+    def failure(self, reason: str) -> ProcessFailedError:
         """Return an error for this process with the last lines of its logs."""
         lines = [
             line
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/recovery.py
@@ -1,8 +1,8 @@
 """Recovery of a test fleet to its healthy state between two faults."""
 
-from sassafraswinch_standins.asker import Asker
 from sassafraswinch_standins.fleet import Fleet
 from sassafraswinch_standins.polling import wait_until
+from sassafraswinch_standins.requester import Requester
 
 
 def recover(fleet: Fleet) -> None:
@@ -15,7 +15,7 @@
         if not fleet.node(host).alive:
             fleet.node(host).start()
     fleet.wait_ready()
-    wait_until("all hosts linked", lambda: all(map(fleet.sees_all, fleet.hosts)))
+    wait_until("all hosts linked", lambda: all(map(fleet.is_fully_linked, fleet.hosts)))
     wait_until(
         "every node uses backend servers of its own zone", lambda: uses_own_zones(fleet)
     )
@@ -26,15 +26,15 @@
 
     After a host fails, a node avoids it for a while and calls hosts of other zones.
     """
-    asker = Asker()
+    requester = Requester()
     pairs = [
         (node, server)
         for node in fleet.hosts.values()
         for server in fleet.layout.hosts_in(node.availability_zone)
     ]
     probes = [
-        asker.ask(node.entry, asker.new("GET", f"/{server.service}/probe"))
+        requester.send(node.entry, requester.new("GET", f"/{server.service}/probe"))
         for node, server in pairs
     ]
-    asker.close()
+    requester.close()
     return [probe.server for probe in probes] == [server.name for _, server in pairs]
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/asker.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/requester.py
@@ -40,7 +40,7 @@
     status: int = 0
     headers: Mapping[str, str]
     body: bytes = b""
-    broken: str | None = None
+    connection_error: str | None = None
     """Error that ended the connection before a complete response, or None."""
 
     @property
@@ -69,9 +69,9 @@
         return None if self.fault else orjson.loads(self.body.splitlines()[0])["server"]
 
     @property
-    def told(self) -> tuple[int, str | None, str | None]:
+    def summary(self) -> tuple[int, str | None, str | None]:
         """Status, verdict and reason, for assertions."""
-        return self.status, self.verdict, self.reason or self.broken
+        return self.status, self.verdict, self.reason or self.connection_error
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,12 +98,12 @@
     """
 
     def __init__(self, *, entry: str, reply: Reply):
-        super().__init__(f"{entry} issued no ticket; it responded {reply.told}")
+        super().__init__(f"{entry} issued no ticket; it responded {reply.summary}")
         self.entry = entry
         self.reply = reply
 
 
-class Asker:
+class Requester:
     """Sends each request on a connection of its own, without retries."""
 
     _numbers = itertools.count(1)
@@ -121,7 +121,7 @@
             request_id=request_id, method=method, path=full_path, **fields
         )
 
-    def ask(self, entry: str, request: SingleRequest) -> Reply:
+    def send(self, entry: str, request: SingleRequest) -> Reply:
         """Send a request and wait for its response."""
         host, port = parse_address(entry)
         fields = RequestFields(
@@ -149,7 +149,9 @@
                 body=response.read(),
             )
         except (OSError, http.client.HTTPException) as error:
-            return Reply(request_id=request.request_id, headers={}, broken=repr(error))
+            return Reply(
+                request_id=request.request_id, headers={}, connection_error=repr(error)
+            )
         finally:
             connection.close()
 
@@ -159,12 +161,12 @@
         Raises:
             TicketNotIssuedError: the response contains no ticket.
         """
-        reply = self.ask(entry, replace(request, ticket=None))
+        reply = self.send(entry, replace(request, ticket=None))
         if reply.status != TICKET_REQUIRED_STATUS or reply.ticket is None:
             raise TicketNotIssuedError(entry=entry, reply=reply)
         return replace(request, ticket=reply.ticket)
 
-    def together(
+    def submit_all(
         self, work: Callable[..., Any], items: Iterable[Any]
     ) -> list["Future[Any]"]:
         """Run ``work`` on all items concurrently, in the thread pool of this client."""
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_processes.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/slopes_processes.py
@@ -58,7 +58,7 @@
                     directory=directory,
                 )
                 hop.start()
-                relay = hop.listening(START_TIMEOUT_S)
+                relay = hop.wait_listening(START_TIMEOUT_S)
                 yield from _process_figures(fleet, hop, relay, graph)
             finally:
                 if hop is not None:
--- a/packages/sassafraswinch-standins/tests/test_processes.py
+++ b/packages/sassafraswinch-standins/tests/test_processes.py
@@ -23,13 +23,13 @@
     process = make_process(tmp_path, document={"version": 1})
     process.start()
     try:
-        address = process.listening(30)
+        address = process.wait_listening(30)
         assert call_json(address, "/stats")["reads"] == 0
         process.pause()
         process.kill()
         assert not process.alive
         process.start()
-        assert call_json(process.listening(30), "/stats")["reads"] == 0
+        assert call_json(process.wait_listening(30), "/stats")["reads"] == 0
         assert process.cpu_s() > 0
         process.terminate()
         assert process.wait(30) == -signal.SIGTERM
@@ -41,7 +41,7 @@
     process = make_process(tmp_path, no_such_field=1)
     process.start()
     with pytest.raises(ProcessFailedError, match="no_such_field"):
-        process.listening(30)
+        process.wait_listening(30)
 
 
 def test_no_port_is_returned_twice(monkeypatch):
