--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_around.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_around.py
@@ -1,4 +1,4 @@
-"""What the processes of a fleet in memory share."""
+"""Shared context of the processes of an in-memory fleet."""
 
 import random
 from collections.abc import Callable
@@ -14,24 +14,24 @@
     from sassafraswinch_standins.memory_process import MemoryProcess
 
 SPARSE_SHARE = 0.6
-"""Share of the other hosts that a node of a sparse fleet dials unasked."""
+"""Share of the other hosts to which a node of a sparse fleet keeps links."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Surroundings:
-    """What all processes of a fleet share."""
+    """Components that all processes of a fleet share."""
 
     schedule: Schedule
     checks: Checks
     network: MemoryNetwork
     platform: MemoryPlatform
     sparse: bool
-    """Whether nodes dial some hosts only, as in a large fleet; others on request."""
+    """Whether nodes keep links to some hosts only and dial the others on demand."""
     stopped: Callable[["MemoryProcess"], None]
-    """Told of a process whose planned stop is complete."""
+    """Called with each process whose planned stop is complete."""
 
     def dials(self, host: str, other: str) -> bool:
-        """Return whether a node keeps a link to another unasked."""
+        """Return whether a node keeps a permanent link to another."""
         if not self.sparse:
             return True
         return random.Random(f"{host} {other}").random() < SPARSE_SHARE
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
@@ -1,4 +1,4 @@
-"""A backend server in memory: counts its runs, calls onward, sheds, stalls, dies."""
+"""In-memory backend server that records its runs, makes child calls and fails."""
 
 import itertools
 from collections.abc import Callable
@@ -13,46 +13,49 @@
 from sassafraswinch_standins.memory_schedule import Action, Schedule
 
 MARK_HEADER = "x-mark"
-"""Names an attempt, or all attempts that may run once in all."""
+"""Identifies an attempt, or all attempts of a request that may run at most once."""
 PURPOSE_HEADER = "x-purpose"
-"""What a call is for within its whole request; retries share it."""
+"""Identifies the purpose of a call within its call tree; its retries share it."""
 
 LOOPBACK_MS = 0.1
 SERVICE_MS = 12.0
 MAX_REPEATS = 2
-"""Repeats of a failed child call by a backend server."""
+"""Retries of a failed child call by a backend server."""
 
 CHILDREN = {
     "order-history": (("lookup", "archiv", "GET"), ("lookup2", "archiv", "GET")),
     "order-receipt": (("release", "vydej", "POST"),),
     "approve-order": (("lookup", "archiv", "GET"), ("release", "vydej", "POST")),
 }
-"""Name, service and method of the calls that an operation makes, in order. A receipt
-may be run again, so its release is never let through."""
+"""Name, service and method of the child calls of an operation, in order. A receipt is
+repeatable, so its non-repeatable release is never admitted."""
 
 
 class Front(Protocol):
     """The node process that made a call."""
 
     def post(self, action: Action) -> None:
-        """Run an action in the process once it isn't paused."""
+        """Run an action in the process as soon as it is not paused."""
 
     def backend_done(self, key: CallKey, result: BackendResult) -> None:
-        """Take the end of a dispatch."""
+        """Process the result of a dispatched call."""
 
 
 class Egress(Protocol):
-    """The node process that runs beside a backend server now."""
+    """The node process that currently runs beside a backend server."""
 
     def submit_child(
-        self, request: Request, asked: Asked, told: Callable[[Outcome | None], None]
+        self,
+        request: Request,
+        pending: Asked,
+        on_outcome: Callable[[Outcome | None], None],
     ) -> None:
-        """Take a call of the backend server."""
+        """Submit a child call of the backend server."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Exchange:
-    """One connection of a node to its backend server, for one call."""
+    """Connection of a node to its backend server for one call."""
 
     key: CallKey
     call: Call
@@ -63,11 +66,11 @@
 
     @property
     def identity(self) -> str:
-        """What the answer must echo."""
+        """Identity of the request, which the answer must echo."""
         return self.call.body.decode()
 
     def end(self, result: BackendResult) -> None:
-        """Report the end to the node, once."""
+        """Report the result to the node, at most once."""
         if self.is_open:
             self.is_open = False
             self.front.post(lambda: self.front.backend_done(self.key, result))
@@ -75,7 +78,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Run:
-    """A call that a backend server has begun to serve."""
+    """Execution of a call by a backend server."""
 
     exchange: Exchange
     number: int
@@ -84,46 +87,46 @@
     failed: bool = False
     repeats: int = 0
     generation: int = 0
-    """Rises with each proof that a child call wasn't run: a repeat is a new one."""
+    """Increases with each child call proved not run: its retry is a new request."""
     ended: bool = False
 
 
 @dataclass(slots=True, kw_only=True)
 class BackendFaults:
-    """How a backend server misbehaves; shares are between 0 and 1."""
+    """Faults injected into a backend server; shares are between 0 and 1."""
 
     slow_factor: float = 1.0
     shed_share: float = 0.0
     die_share: float = 0.0
     unreachable: bool = False
     impatient_share: float = 0.0
-    """Children repeated although their first answer is still on its way."""
+    """Share of child calls that are retried before their first outcome."""
     deaf_share: float = 0.5
-    """Runs that go on although their connection was closed."""
+    """Share of steps at which a run continues although its connection was closed."""
 
 
 @dataclass(slots=True, kw_only=True)
 class MemoryBackend:
-    """The backend server of one host; it outlives the node process."""
+    """Backend server of one host; it survives restarts of the node process."""
 
     schedule: Schedule
     checks: Checks
     host: str
     egress: Callable[[], Egress | None]
-    """Finds the process at the egress port, None if nothing listens there."""
+    """Returns the process at the egress port, None if nothing listens there."""
     faults: BackendFaults = field(default_factory=BackendFaults)
     runs: int = 0
     running: set[Run] = field(default_factory=set)
     _numbers: itertools.count = field(default_factory=lambda: itertools.count(1))
 
     def take(self, exchange: Exchange) -> None:
-        """Receive a call after its way over the loopback interface."""
+        """Accept a call, which arrives after the delay of the loopback interface."""
         self.schedule.after(LOOPBACK_MS, lambda: self._begin(exchange))
         left_ms = exchange.due_at_ms - self.schedule.now_ms
         self.schedule.after(left_ms, lambda: exchange.end(_broken()))
 
     def die(self) -> None:
-        """Drop all runs, as the end of the host does."""
+        """Break off all runs, as a crash of the host does."""
         for run in tuple(self.running):
             self._end(run, _broken())
 
@@ -152,36 +155,38 @@
         self.runs += 1
         self.checks.ran(run.mark, exchange.identity, self.host)
         if rng.random() < faults.die_share:
-            self._later(lambda: self._end(run, _broken()))
+            self._after_service_time(lambda: self._end(run, _broken()))
         else:
-            self._later(lambda: self._next(run))
+            self._after_service_time(lambda: self._advance(run))
 
-    def _later(self, action: Action) -> None:
+    def _after_service_time(self, action: Action) -> None:
         factor = self.schedule.rng.uniform(0.3, 1.0) * self.faults.slow_factor
         self.schedule.after(SERVICE_MS * factor, action)
 
-    def _next(self, run: Run) -> None:
+    def _advance(self, run: Run) -> None:
         if run.ended:
             return
-        deaf = self.schedule.rng.random() < self.faults.deaf_share
-        if not run.exchange.is_open and not deaf:
+        ignores_close = self.schedule.rng.random() < self.faults.deaf_share
+        if not run.exchange.is_open and not ignores_close:
             self._end(run, _broken())
         elif run.children:
             run.repeats = 0
             self._call_child(run)
         else:
-            self._later(lambda: self._end(run, _answer(run)))
+            self._after_service_time(lambda: self._end(run, _answer(run)))
 
     def _call_child(self, run: Run) -> None:
-        self._ask(run, lambda outcome: self._child_told(run, outcome))
+        self._send_child(run, lambda outcome: self._child_done(run, outcome))
         if self.schedule.rng.random() < self.faults.impatient_share:
-            self._later(lambda: self._ask_again(run))
+            self._after_service_time(lambda: self._send_child_again(run))
 
-    def _ask_again(self, run: Run) -> None:
+    def _send_child_again(self, run: Run) -> None:
         if run.children and not run.ended:
-            self._ask(run, lambda outcome: None)
+            self._send_child(run, lambda outcome: None)
 
-    def _ask(self, run: Run, told: Callable[[Outcome | None], None]) -> None:
+    def _send_child(
+        self, run: Run, on_outcome: Callable[[Outcome | None], None]
+    ) -> None:
         name, service, method = run.children[0]
         exchange = run.exchange
         identity = f"{exchange.identity}/{name}"
@@ -201,7 +206,7 @@
             body=identity.encode(),
             traceparent=exchange.traceparent,
         )
-        asked = Asked(
+        pending = Asked(
             mark=mark,
             identity=identity,
             host=self.host,
@@ -209,11 +214,11 @@
         )
         egress = self.egress()
         if egress is None:
-            self.schedule.after(LOOPBACK_MS, lambda: told(None))
+            self.schedule.after(LOOPBACK_MS, lambda: on_outcome(None))
         else:
-            egress.submit_child(request, asked, told)
+            egress.submit_child(request, pending, on_outcome)
 
-    def _child_told(self, run: Run, outcome: Outcome | None) -> None:
+    def _child_done(self, run: Run, outcome: Outcome | None) -> None:
         if run.ended:
             return
         answered = outcome is not None and outcome.verdict is Verdict.ANSWERED
@@ -221,15 +226,15 @@
             run.generation += 1
         if not answered and run.repeats < MAX_REPEATS:
             run.repeats += 1
-            self._later(lambda: self._repeat(run))
+            self._after_service_time(lambda: self._retry_child(run))
             return
         run.failed |= not answered
         run.children.pop(0)
-        self._next(run)
+        self._advance(run)
 
-    def _repeat(self, run: Run) -> None:
+    def _retry_child(self, run: Run) -> None:
         if not run.ended:
-            self._ask(run, lambda outcome: self._child_told(run, outcome))
+            self._send_child(run, lambda outcome: self._child_done(run, outcome))
 
     def _end(self, run: Run, result: BackendResult) -> None:
         if not run.ended:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_callers.py
@@ -1,4 +1,4 @@
-"""Callers in memory: they keep tickets, repeat hard, and change nodes."""
+"""In-memory callers that keep tickets, retry aggressively and switch nodes."""
 
 import itertools
 from collections import defaultdict
@@ -18,12 +18,12 @@
 from sassafraswinch_standins.memory_schedule import Schedule
 
 CLIENT_MS = 3.0
-"""One way between a caller and a node."""
+"""One-way latency between a caller and a node."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Traffic:
-    """One kind of request."""
+    """Kind of request: an operation and the organisation that requests it."""
 
     operation: str
     service: str
@@ -33,12 +33,12 @@
 
     @property
     def once(self) -> bool:
-        """Whether it needs a ticket."""
+        """Whether it needs a ticket, as it may run at most once."""
         return self.method == "POST"
 
     @property
     def deadline_ms(self) -> float:
-        """Deadline of its class."""
+        """Deadline of its priority class."""
         tier = f"tier={ORGANISATIONS.get(self.organisation)}"
         return next(
             deadline_ms
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Demand:
-    """What one caller wants done, over all its attempts."""
+    """Request of one caller, over all its attempts."""
 
     identity: str
     traffic: Traffic
@@ -62,17 +62,17 @@
 
     @property
     def mark(self) -> str:
-        """Names what may run once at most: this ticket's request."""
+        """Identifies the request of the current ticket, which runs at most once."""
         return f"{self.identity}.{self.generation}"
 
 
 def is_not_run(outcome: Outcome, *, first: bool) -> bool:
-    """Return whether a caller may go on with a new ticket.
+    """Return whether a caller may safely retry with a new ticket.
 
     Args:
-        outcome: what it was told.
-        first: whether it has sent this ticket just once. Then it knows that nothing
-            ran if that attempt was passed on to nobody.
+        outcome: the outcome that it received.
+        first: whether it has sent this ticket only once. In that case nothing ran if
+            the attempt was not forwarded to the ticket's owner.
     """
     if outcome.verdict is Verdict.NOT_RUN:
         return True
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """One sending of a demand to one node."""
+    """One attempt of a caller's request, sent to one node."""
 
     demand: Demand
     generation: int
@@ -99,8 +99,8 @@
 
     Args:
         schedule: the clock.
-        checks: told of what is asked and answered.
-        nodes: the running processes that callers may reach.
+        checks: records each request and its outcome.
+        nodes: returns the running processes that callers may reach.
     """
 
     def __init__(
@@ -127,14 +127,15 @@
         host: str | None = None,
         patience_ms: float | None = None,
     ) -> Demand:
-        """Begin a request.
+        """Start a request.
 
         Args:
             operation: its name in the document.
-            organisation: who asks.
-            repeats: how often it is repeated until answered.
-            host: the node asked first; any by default.
-            patience_ms: time after which the caller hangs up on an attempt.
+            organisation: the organisation that sends the request.
+            repeats: maximum number of retries while it is not answered.
+            host: host of the node that gets the first attempt; random by default.
+            patience_ms: time after which the caller closes the connection of an
+                attempt.
         """
         number = next(self._numbers)
         name, service, method, path, _ = next(
@@ -155,7 +156,7 @@
         return demand
 
     def repeat(self, demand: Demand) -> None:
-        """Send a request again through any node, also while it runs or after."""
+        """Send a request again through a random node, even if it runs or has ended."""
         self._attempt(demand, None, None)
 
     def _attempt(
@@ -171,8 +172,8 @@
             demand.ticket = tickets.pop()
         demand.attempts += 1
         demand.ticket_uses += demand.ticket is not None
-        keyed = traffic.once and demand.ticket is not None
-        mark = demand.mark if keyed else f"{demand.mark}.{demand.attempts}"
+        has_ticket = traffic.once and demand.ticket is not None
+        mark = demand.mark if has_ticket else f"{demand.mark}.{demand.attempts}"
         request = Request(
             handle=0,
             service=traffic.service,
@@ -196,39 +197,41 @@
     def _arrive(self, attempt: Attempt) -> None:
         node = attempt.node
         if not node.alive:
-            self._told(attempt, None)
+            self._finish(attempt, None)
             return
         traffic = attempt.demand.traffic
         if traffic.once:
             self.checks.once.add(attempt.demand.identity)
-        asked = Asked(
+        pending = Asked(
             mark=attempt.mark,
             identity=attempt.demand.identity,
             host=node.host,
             due_at_ms=self.schedule.now_ms + traffic.deadline_ms,
         )
         handle = node.submit(
-            attempt.request, asked, lambda outcome: self._told(attempt, outcome)
+            attempt.request, pending, lambda outcome: self._finish(attempt, outcome)
         )
         if attempt.patience_ms is not None:
             self.schedule.after(attempt.patience_ms, lambda: node.abandon(handle))
 
-    def _told(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def _finish(self, attempt: Attempt, outcome: Outcome | None) -> None:
         demand = attempt.demand
         self.broken += outcome is None
-        awaited = not demand.done and attempt.generation == demand.generation
+        is_current = not demand.done and attempt.generation == demand.generation
         if outcome is not None:
-            demand.done |= awaited and outcome.verdict is Verdict.ANSWERED
-            self._take_ticket(attempt, outcome, awaited)
-        if awaited and not demand.done and demand.repeats_left:
+            demand.done |= is_current and outcome.verdict is Verdict.ANSWERED
+            self._keep_ticket(attempt, outcome, is_current)
+        if is_current and not demand.done and demand.repeats_left:
             demand.repeats_left -= 1
             pause_ms = self.schedule.rng.uniform(1, 200)
-            self.schedule.after(pause_ms, lambda: self._go_on(demand))
+            self.schedule.after(pause_ms, lambda: self._retry(demand))
 
-    def _take_ticket(self, attempt: Attempt, outcome: Outcome, awaited: bool) -> None:
-        """Go on with the fresh ticket where that is safe, else keep it for others."""
+    def _keep_ticket(
+        self, attempt: Attempt, outcome: Outcome, is_current: bool
+    ) -> None:
+        """Use the new ticket for this request if that is safe, else for later ones."""
         demand = attempt.demand
-        latest = awaited and attempt.request.ticket == demand.ticket
+        latest = is_current and attempt.request.ticket == demand.ticket
         if latest and is_not_run(outcome, first=demand.ticket_uses == 1):
             demand.generation += 1
             demand.ticket_uses = 0
@@ -236,6 +239,6 @@
         elif outcome.ticket is not None:
             self._tickets[demand.traffic].append(outcome.ticket)
 
-    def _go_on(self, demand: Demand) -> None:
+    def _retry(self, demand: Demand) -> None:
         if not demand.done:
             self._attempt(demand, None, None)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_channels.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_channels.py
@@ -1,4 +1,4 @@
-"""A connection between two nodes in memory: ordered, slow, silent or closed."""
+"""In-memory connection between two nodes, with latency and injected faults."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from sassafraswinch_standins.memory_schedule import Schedule
 
 JITTER_MS = 0.4
-"""Longest extra delay of a frame."""
+"""Maximum random delay of a frame in addition to the latency."""
 
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The last frame of a channel: the other end has closed the connection."""
+    """Last frame of a channel: the other end has closed the connection."""
 
 
 CLOSED = Closed()
@@ -22,11 +22,11 @@
 
 
 class Channel:
-    """One direction of a connection; frames arrive in order, or not at all.
+    """One direction of a connection; frames arrive in order or are lost.
 
-    ``hold`` models a connection that something between its ends has lost track of:
-    what is written stays on the way, and may still arrive long after both ends
-    went on with a new connection. ``cut`` models that it never arrives.
+    ``hold`` models a connection that stalls in the network between its ends: frames
+    stay in transit and may still arrive long after both ends have switched to a new
+    connection. ``cut`` models that they never arrive.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._deliver = deliver
         self._arrives_at_ms = 0.0
         self._held: deque[Frame] = deque()
-        self._on_the_way: deque[Frame] = deque()
+        self._in_transit: deque[Frame] = deque()
         self.holding = False
         self.is_cut = False
         self.disturbed = False
-        """Whether anything was ever held or lost."""
+        """Whether frames were ever held back or dropped."""
 
     def write(self, frame: Frame) -> None:
-        """Send a frame on its way."""
+        """Schedule the delivery of a frame, hold it back or drop it."""
         if self.is_cut:
             return
         if self.holding:
@@ -57,17 +57,17 @@
         delay_ms = self._latency_ms + self._schedule.rng.uniform(0, JITTER_MS)
         now_ms = self._schedule.now_ms
         self._arrives_at_ms = max(self._arrives_at_ms, now_ms + delay_ms)
-        self._on_the_way.append(frame)
+        self._in_transit.append(frame)
         self._schedule.after(self._arrives_at_ms - now_ms, self._arrive)
 
     def hold(self) -> None:
-        """Let nothing through from now on, not even what is on its way."""
+        """Hold back all frames from now on, including those in transit."""
         self.holding = self.disturbed = True
-        self._held.extend(self._on_the_way)
-        self._on_the_way.clear()
+        self._held.extend(self._in_transit)
+        self._in_transit.clear()
 
     def release(self) -> None:
-        """Send on what was held, in order."""
+        """Resume delivery, in order, beginning with the frames held back."""
         if not self.holding:
             return
         self.holding = False
@@ -76,36 +76,36 @@
             self.write(frame)
 
     def cut(self) -> None:
-        """Drop what is on its way and all that is written from now on."""
+        """Drop the frames in transit and all that are written from now on."""
         self.is_cut = self.disturbed = True
         self._held.clear()
-        self._on_the_way.clear()
+        self._in_transit.clear()
 
     def _arrive(self) -> None:
-        if self._on_the_way:
-            self._deliver(self._on_the_way.popleft())
+        if self._in_transit:
+            self._deliver(self._in_transit.popleft())
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class End:
-    """One end of a connection, as its process sees it."""
+    """One end of a connection."""
 
     channel: Channel | None = None
-    """Carries what this end writes."""
+    """Carries the frames that this end writes."""
     is_open: bool = True
     hello: Hello | None = None
-    """The peer's greeting, once it is accepted."""
+    """The peer's ``Hello``, once it is accepted."""
     last_read_ms: float = 0.0
 
     def write(self, frame: Frame) -> bool:
-        """Write a frame; False: nothing was or will be written."""
+        """Write a frame; return False if this end is closed and nothing was written."""
         if not self.is_open:
             return False
         self.channel.write(frame)
         return True
 
     def close(self) -> None:
-        """Close this end after what was written; it reads nothing any more."""
+        """Close this end after the frames written so far and stop reading."""
         if self.is_open and self.channel is not None:
             self.channel.write(CLOSED)
         self.is_open = False
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_chaos.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_chaos.py
@@ -1,19 +1,20 @@
-"""Random faults and load on a fleet in memory, as one seed decides."""
+"""Seeded random faults and load on an in-memory fleet."""
 
 from sassafraswinch_standins.memory_document import OPERATIONS
 from sassafraswinch_standins.memory_fleet import CONVERGE_MS, ZONES, Fleet
 
-STEP_MS = (5.0, 400.0)
-"""Shortest and longest time between two actions."""
+STEP_RANGE_MS = (5.0, 400.0)
+"""Minimum and maximum time between two actions."""
 STORY_ACTIONS = 60
-"""Actions between two repairs of everything."""
-HEALED_MS = 20_000.0
-"""Time that passes after a repair: late frames arrive, late calls would run."""
+"""Actions before all faults of a round are repaired."""
+SETTLE_MS = 20_000.0
+"""Simulated time after a repair in which delayed frames arrive and could start
+calls."""
 SURGE_CALLS = 60
 
 
 class Chaos:
-    """Draws what happens next."""
+    """Random choice of the next requests and faults of a fleet."""
 
     def __init__(self, *, fleet: Fleet):
         self.fleet = fleet
@@ -34,16 +35,16 @@
         )
 
     def story(self) -> None:
-        """Run one stretch of load and faults, then repair all and check the end."""
+        """Run one round of load and faults, then repair all and check the fleet."""
         for _ in range(STORY_ACTIONS):
             self._load()
             if self.rng.random() < 0.5:
                 self.rng.choice(self._faults)()
-            self.fleet.run_for(self.rng.uniform(*STEP_MS))
+            self.fleet.run_for(self.rng.uniform(*STEP_RANGE_MS))
         self.fleet.repair(stale_ms=self.rng.choice((0.0, 5_000.0)))
         self.fleet.run_for(CONVERGE_MS)
         self.fleet.check_converged()
-        self.fleet.run_for(HEALED_MS - CONVERGE_MS)
+        self.fleet.run_for(SETTLE_MS - CONVERGE_MS)
         self.fleet.check_quiet()
 
     def _load(self) -> None:
@@ -51,7 +52,7 @@
             self.call()
 
     def call(self) -> None:
-        """Begin one request of any kind."""
+        """Start one random request."""
         callers = self.fleet.callers
         impatient = self.rng.random() < 0.1
         demand = callers.call(
@@ -64,11 +65,11 @@
             later_ms = self.rng.choice((1, 50, 500, 2_000, 6_000, 15_000))
             self.fleet.schedule.after(later_ms, lambda: callers.repeat(demand))
 
-    def _host(self) -> str:
+    def _random_host(self) -> str:
         return self.rng.choice(sorted(self.fleet.records))
 
     def _kill(self) -> None:
-        self.fleet.kill(self._host(), quiet=self.rng.random() < 0.4)
+        self.fleet.kill(self._random_host(), quiet=self.rng.random() < 0.4)
 
     def _restart(self) -> None:
         for host in self.fleet.records:
@@ -76,7 +77,7 @@
                 self.fleet.restart(host)
 
     def _pause(self) -> None:
-        host = self._host()
+        host = self._random_host()
         self.fleet.pause(host)
         later_ms = self.rng.choice((300, 2_500, 8_000))
         self.fleet.schedule.after(later_ms, lambda: self.fleet.wake(host))
@@ -87,10 +88,10 @@
 
     def _silence(self) -> None:
         first, second = self.rng.sample(sorted(self.fleet.records), 2)
-        how = self.rng.choice(
+        inject = self.rng.choice(
             (self.fleet.silence, self.fleet.silence_outward, self.fleet.swallow)
         )
-        how(first, second)
+        inject(first, second)
         later_ms = self.rng.choice((200, 2_000, 5_000, 9_000))
         self.fleet.schedule.after(later_ms, self.fleet.release)
 
@@ -126,7 +127,7 @@
         )()
 
     def _backend(self) -> None:
-        host = self._host()
+        host = self._random_host()
         faults = self.fleet.backends[host].faults
         kind = self.rng.choice(("slow", "shed", "die", "unreachable", "impatient"))
         self.fleet.note_backend(kind, host)
@@ -137,7 +138,7 @@
         faults.impatient_share = 0.5 if kind == "impatient" else 0.0
 
     def _leave(self) -> None:
-        self.fleet.leave(self._host())
+        self.fleet.leave(self._random_host())
 
     def _surge(self) -> None:
         self.fleet.note_surge()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_desk.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_desk.py
@@ -1,4 +1,4 @@
-"""A caller of a fleet in memory that chooses its nodes, for tests of one failure."""
+"""Caller of an in-memory fleet that chooses its nodes, for tests of single faults."""
 
 from sassafraswinch.requests import Outcome, Request
 from sassafraswinch.verdict import Reason
@@ -7,11 +7,11 @@
 from sassafraswinch_standins.memory_fleet import Fleet
 
 SETTLED_MS = 4_000
-"""Time after which all nodes of a new fleet are linked and serve."""
+"""Time within which all nodes of a new fleet are linked and serve."""
 
 
 class Desk:
-    """One caller that chooses its nodes and keeps every outcome."""
+    """Caller that sends each request to a chosen node and keeps every outcome."""
 
     def __init__(self, seed: int = 1):
         self.fleet = Fleet(seed=seed)
@@ -20,7 +20,7 @@
     def release(
         self, host: str, mark: str, ticket: str | None, deadline_ms: float = 2_000
     ) -> list[Outcome]:
-        """Ask a node for a release of goods; the list takes the outcome."""
+        """Request a release of goods; the outcome is appended to the returned list."""
         return self.ask(
             host, mark, "vydej", "POST", "/orders/17/release", ticket, deadline_ms
         )
@@ -28,8 +28,8 @@
     def ask(
         self, host, mark, service, method, target, ticket=None, deadline_ms=1_500
     ) -> list[Outcome]:
-        """Send a request to a node."""
-        told = []
+        """Send a request; the outcome is appended to the returned list."""
+        outcomes = []
         request = Request(
             handle=0,
             service=service,
@@ -44,17 +44,17 @@
             self.fleet.checks.once.add(mark)
         due_at_ms = self.fleet.schedule.now_ms + deadline_ms
         asked = Asked(mark=mark, identity=mark, host=host, due_at_ms=due_at_ms)
-        self.fleet.processes[host].submit(request, asked, told.append)
-        return told
+        self.fleet.processes[host].submit(request, asked, outcomes.append)
+        return outcomes
 
     def ticket(self, host: str) -> str:
-        """Return a fresh ticket of a node for a release."""
-        told = self.release(host, f"none-{self.fleet.schedule.now_ms}", None)
+        """Return a new ticket issued by a node for a release."""
+        outcomes = self.release(host, f"none-{self.fleet.schedule.now_ms}", None)
         self.fleet.run_for(1)
-        assert told[0].reason is Reason.TICKET_REQUIRED
-        return told[0].ticket
+        assert outcomes[0].reason is Reason.TICKET_REQUIRED
+        return outcomes[0].ticket
 
     def slow(self, factor: float) -> None:
-        """Let all backend servers take this much longer."""
+        """Multiply the service time of all backend servers by ``factor``."""
         for backend in self.fleet.backends.values():
             backend.faults.slow_factor = factor
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_document.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_document.py
@@ -1,4 +1,4 @@
-"""Documents for fleets in memory: a small graph of three services."""
+"""Configuration documents of in-memory fleets: a small graph of three services."""
 
 import functools
 import json
@@ -22,14 +22,14 @@
     ("approve-order", "schvaleni", "POST", "/orders/{order}/approval", "approval"),
     ("release-order", "vydej", "POST", "/orders/{order}/release", "release"),
 )
-"""Name, service, method, path, label ``action``."""
+"""Name, service, method, path and label ``action``."""
 
 ORGANISATIONS = {"acme": "paying", "brnovar": "paying", "zkusebna": "trial"}
 """Tier by organisation."""
 
 
 def make_document(version: int, *, variant: str = "", slots: int = 6) -> bytes:
-    """Return a valid document; another variant has another content."""
+    """Return a valid document; its content differs by variant."""
     body = {
         "version": version,
         "organisations": {
@@ -67,7 +67,7 @@
     """Parse a document once for all nodes of a fleet.
 
     Raises:
-        InvalidFieldsError: names each fault.
+        InvalidFieldsError: the document is invalid; the error lists each fault.
     """
     return parse_document(body, source="memory")
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of whole nodes in memory, with everything around it and its faults."""
+"""In-memory fleet of complete nodes, with its environment and fault injection."""
 
 import itertools
 from collections import Counter, deque
@@ -24,22 +24,23 @@
 }
 """Availability zones of the hosts of each service."""
 
-STOP_LOOK_MS = 100.0
-"""Pause between looks whether a planned stop is over."""
+STOP_POLL_MS = 100.0
+"""Interval at which the end of a planned stop is polled."""
 
 CONVERGE_MS = 9_000.0
-"""Time in which a change is in force everywhere."""
-LOOK_EVERY_MS = 100.0
-"""Time between two looks for requests that are overdue."""
-KEPT_EVENTS = 40
-"""Latest events kept for the report of a failure."""
+"""Time within which a change is in force everywhere."""
+OVERDUE_CHECK_INTERVAL_MS = 100.0
+"""Interval at which overdue requests are checked for."""
+MAX_KEPT_EVENTS = 40
+"""Number of latest events kept for the report of a failure."""
 
 
 class Fleet:
-    """Nodes, backend servers, platform, network and callers on one clock.
+    """Nodes, backend servers, platform, network and callers on one simulated clock.
 
-    Each public method that brings about a fault counts and notes it. ``run_for``
-    lets time pass and raises ``InvariantError`` as soon as something is wrong.
+    Each public method that injects a fault counts and records it. ``run_for``
+    advances the clock and raises ``InvariantError`` as soon as an invariant is
+    violated.
     """
 
     def __init__(self, *, seed: int, sparse: bool = False):
@@ -56,7 +57,7 @@
             network=self.network,
             platform=self.platform,
             sparse=sparse,
-            stopped=self._stopped,
+            stopped=self._process_stopped,
         )
         self.backends = {
             name: MemoryBackend(
@@ -74,22 +75,22 @@
             nodes=lambda: list(self.processes.values()),
         )
         self.faults: Counter[str] = Counter()
-        self.events: deque[str] = deque(maxlen=KEPT_EVENTS)
+        self.events: deque[str] = deque(maxlen=MAX_KEPT_EVENTS)
         self._variants = itertools.count(1)
         for name in self.records:
             self.start(name)
-        self.schedule.every(LOOK_EVERY_MS, self._look)
+        self.schedule.every(OVERDUE_CHECK_INTERVAL_MS, self._check_overdue)
 
     def running(self, host: str) -> MemoryProcess | None:
-        """Return the process of a host, None if there is none."""
+        """Return the process that runs on a host, None if there is none."""
         return self.processes.get(host)
 
     def run_for(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run what is due."""
         self.schedule.run_for(duration_ms)
 
     def start(self, host: str) -> None:
-        """Start a node process with an empty memory."""
+        """Start a node process without any earlier state."""
         process = MemoryProcess(
             record=self.records[host],
             around=self.around,
@@ -99,11 +100,11 @@
         process.start()
 
     def kill(self, host: str, *, quiet: bool = False) -> None:
-        """End a node process; ``quiet``: with its whole host, nobody is told."""
+        """Crash a node process; ``quiet``: its host too, so no connection is closed."""
         process = self.processes.pop(host, None)
         if process is None:
             return
-        self._note("kill host" if quiet else "kill process", host)
+        self._record_fault("kill host" if quiet else "kill process", host)
         self.network.process_gone(process, quiet=quiet)
         self.checks.host_gone(host)
         process.end()
@@ -111,53 +112,53 @@
             self.backends[host].die()
 
     def restart(self, host: str) -> None:
-        """Start a process where there is none."""
+        """Start a process on a host if none runs there."""
         if host not in self.processes:
-            self._note("restart", host)
+            self._record_fault("restart", host)
             self.start(host)
 
     def pause(self, host: str) -> None:
-        """Pause a process."""
+        """Suspend a process."""
         process = self.processes.get(host)
         if process is not None and not process.paused:
-            self._note("pause", host)
+            self._record_fault("pause", host)
             process.pause()
 
     def wake(self, host: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         process = self.processes.get(host)
         if process is not None and process.paused:
-            self._note("wake", host)
+            self._record_fault("wake", host)
             process.wake()
 
     def silence(self, first: str, second: str) -> None:
-        """Let the connections between two hosts go silent, to go on later."""
-        self._note("silence", f"{first} {second}")
+        """Stall the connections between two hosts until ``release``."""
+        self._record_fault("silence", f"{first} {second}")
         self.network.silence(first, second)
 
     def silence_outward(self, first: str, second: str) -> None:
-        """Let what one host wrote to another go silent, one way."""
-        self._note("silence one way", f"{first} {second}")
+        """Stall one direction of the links that ``first`` dialled to ``second``."""
+        self._record_fault("silence one way", f"{first} {second}")
         self.network.silence_outward(first, second)
 
     def swallow(self, first: str, second: str) -> None:
-        """Let the connections between two hosts go silent for good."""
-        self._note("swallow", f"{first} {second}")
+        """Drop all frames on the connections between two hosts from now on."""
+        self._record_fault("swallow", f"{first} {second}")
         self.network.swallow(first, second)
 
     def release(self) -> None:
-        """Let silent connections go on."""
-        self._note("release", "")
+        """Resume stalled connections."""
+        self._record_fault("release", "")
         self.network.release()
 
     def cut_zones(self, *zones: str) -> None:
-        """Separate availability zones from the others; may name the platform."""
-        self._note("cut zones", " ".join(zones))
+        """Partition availability zones, or the platform, from the others."""
+        self._record_fault("cut zones", " ".join(zones))
         self.network.cut_zones(frozenset(zones))
 
     def heal_zones(self) -> None:
-        """Join all availability zones."""
-        self._note("heal zones", "")
+        """End the network partition of availability zones."""
+        self._record_fault("heal zones", "")
         self.network.heal_zones()
 
     def leave(self, host: str) -> None:
@@ -165,7 +166,7 @@
         process = self.processes.get(host)
         if process is None or process.paused or process.left_at_ms is not None:
             return
-        self._note("leave", host)
+        self._record_fault("leave", host)
         self.platform.host_is(host, HostState.LEAVING)
         process.leave()
 
@@ -175,48 +176,48 @@
         self._publish(version, "publish")
 
     def publish_again(self) -> None:
-        """Publish another content under the newest version."""
+        """Publish different content under the newest version."""
         self._publish(self.platform.version, "publish conflict")
 
     def publish_back(self) -> None:
-        """Publish an older version, as operators do by mistake."""
+        """Publish an older version, as operators may do by mistake."""
         self._publish(max(1, self.platform.version - 1), "publish back")
 
     def platform_down(self) -> None:
-        """Let the platform answer nothing."""
-        self._note("platform down", "")
+        """Make every read of the platform fail."""
+        self._record_fault("platform down", "")
         self.platform.is_down = True
 
     def platform_stale(self) -> None:
-        """Let the platform hand out old documents."""
-        self._note("platform stale", "")
+        """Make the platform serve old documents."""
+        self._record_fault("platform stale", "")
         self.platform.stale_by = 2
 
     def platform_empty(self) -> None:
-        """Let the platform hand out a host list without hosts."""
-        self._note("host list empty", "")
+        """Make the platform serve an empty host list."""
+        self._record_fault("host list empty", "")
         self.platform.empty_list()
 
     def publish_invalid(self) -> None:
-        """Publish what isn't a document."""
+        """Publish an invalid document."""
         version = self.platform.version + 1
-        self._note("publish invalid", str(version))
+        self._record_fault("publish invalid", str(version))
         body = b'{"version": %d, "classes": []}' % version
         self.platform.publish(body, version, valid=False)
 
     def note_backend(self, kind: str, host: str) -> None:
-        """Note that a backend server begins to misbehave."""
-        self._note(f"backend {kind}", host)
+        """Record a fault of a backend server."""
+        self._record_fault(f"backend {kind}", host)
 
     def note_surge(self) -> None:
-        """Note a burst of calls."""
-        self._note("surge", "")
+        """Record a burst of calls."""
+        self._record_fault("surge", "")
 
     def repair(self, *, stale_ms: float = 0.0) -> None:
-        """End all faults; processes that ended start again.
+        """End all faults and restart processes that ended.
 
         Args:
-            stale_ms: time for which the platform still hands out old documents.
+            stale_ms: time for which the platform still serves old documents.
         """
         self.events.append(f"{self.schedule.now_ms:.0f} repair")
         self.platform.repair()
@@ -229,24 +230,24 @@
         for process in list(self.processes.values()):
             if process.paused:
                 process.wake()
-        self._end_stop_of_all()
+        self._finish_stop_of_all()
         for host in self.records:
             self.restart(host)
         self.checks.calm = True
 
-    def _end_stop_of_all(self) -> None:
-        """Let a planned stop of the whole fleet come to its end.
+    def _finish_stop_of_all(self) -> None:
+        """Wait for the end of a planned stop of the whole fleet.
 
-        Failure: every host is leaving when all is repaired. None is started anew, since
-        each still has its process, and a moment later there is no process at all.
+        Failure: if every host is leaving at the time of the repair, none is restarted,
+        since each still has its process, and shortly afterwards no process is left.
         """
         while self.processes and all(
             process.left_at_ms is not None for process in self.processes.values()
         ):
-            self.run_for(STOP_LOOK_MS)
+            self.run_for(STOP_POLL_MS)
 
     def check_converged(self) -> None:
-        """Check that all nodes hold one document, and the newest that they can see."""
+        """Check that all nodes hold the same document, the newest visible to them."""
         stamps = {
             host: process.node.configuration.keeper.stamp
             for host, process in self.processes.items()
@@ -256,7 +257,7 @@
         self.checks.converged(stamps, version)
 
     def check_quiet(self) -> None:
-        """Check that nothing is left in flight; callers have been quiet for long."""
+        """Check that nothing is left in flight long after the last request."""
         left = {
             host: left_behind(process.node, self.processes)
             for host, process in self.processes.items()
@@ -266,19 +267,19 @@
     def _publish(self, version: int, kind: str) -> None:
         variant = f"v{next(self._variants)}"
         body = make_document(version, variant=variant)
-        self._note(kind, str(version))
+        self._record_fault(kind, str(version))
         self.platform.publish(body, version)
 
-    def _note(self, kind: str, what: str) -> None:
+    def _record_fault(self, kind: str, what: str) -> None:
         self.faults[kind] += 1
         self.checks.calm = False
         self.events.append(f"{self.schedule.now_ms:.0f} {kind} {what}")
 
-    def _look(self) -> None:
+    def _check_overdue(self) -> None:
         paused = {host for host, p in self.processes.items() if p.paused}
         self.checks.late(paused)
 
-    def _stopped(self, process: MemoryProcess) -> None:
+    def _process_stopped(self, process: MemoryProcess) -> None:
         host = process.host
         self.checks.stopped(host, process.exchanges)
         del self.processes[host]
