--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
@@ -108,7 +108,7 @@
             overdue_ms = self.schedule.now_ms - asked.due_at_ms
             self.fail(
                 "outcome by the deadline",
-                f"{asked.mark} at {asked.host} was {overdue_ms:.0f} ms past its deadline: "
+                f"{asked.mark} at {asked.host} was {overdue_ms:.0f} ms overdue: "
                 f"{outcome.verdict} {outcome.reason}",
             )
         self.tell(asked, outcome)
@@ -124,7 +124,7 @@
             if self.runs[asked.mark]:
                 self.fail(
                     "NOT_RUN means not run",
-                    f"{asked.mark} had run, but {asked.host} reported {outcome.reason}",
+                    f"{asked.mark} had run, but {asked.host} said {outcome.reason}",
                 )
         if outcome.verdict is Verdict.ANSWERED:
             echoed = outcome.body.decode()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_links.py
@@ -1,8 +1,8 @@
-"""Links between nodes in memory, with the contract of the real ones.
+"""In-memory links between nodes, with the same guarantees as the real ones.
 
-Sessions are numbered by the dialling incarnation; ``link_up`` comes before the
-messages of a session and ``link_lost`` after them; a link that goes silent is replaced
-by a new one beside it. What was written to a lost link may still arrive at the peer.
+The dialling incarnation numbers the sessions. ``link_up`` comes before the messages of
+a session and ``link_lost`` after them. A silent link is replaced once a new one is up.
+Messages written to a lost link may still arrive at the peer.
 """
 
 import itertools
@@ -26,7 +26,7 @@
 
 HEARTBEAT_MS = 1_000.0
 SILENCE_MS = 3_000.0
-"""Silence after which the dialling node makes a new link beside the old one."""
+"""Silence after which the dialling node opens a new link to replace the old one."""
 ACCEPTED_SILENCE_MS = 10_000.0
 """Silence after which an accepted link is closed."""
 GREETING_TIMEOUT_MS = 2_000.0
@@ -34,16 +34,16 @@
 
 
 class MemoryLinks:
-    """The links of one process: those it dialled and those it accepted.
+    """Links of one process: those it dialled and those it accepted.
 
     Args:
         node: this incarnation.
-        schedule: the clock.
-        connect: opens a connection for a link to its host; None if it is refused.
-        post: runs an action in this process, once it isn't paused.
-        receiver: told of links and messages.
-        hello: makes the greeting for a session number.
-        heartbeat: makes the heartbeat of a sequence number.
+        schedule: the simulated clock.
+        connect: opens a connection for a link to its host; False if it is refused.
+        post: runs an action in this process as soon as it is not paused.
+        receiver: called on link changes and messages.
+        hello: returns the ``Hello`` for a session number.
+        heartbeat: returns the heartbeat for a sequence number.
     """
 
     def __init__(
@@ -66,30 +66,33 @@
         self.heartbeat = heartbeat
         self.peers: dict[str, Peer] = {}
         self.accepted: dict[tuple[NodeId, int], End] = {}
-        self._ungreeted: dict[End, float] = {}
+        self._awaiting_hello: dict[End, float] = {}
         self._sessions = itertools.count(1)
         self._sequences = itertools.count(1)
-        self._beat_at_ms = schedule.now_ms
+        self._last_beat_ms = schedule.now_ms
 
     def want(self, hosts: Iterable[str]) -> None:
-        """Dial hosts that are new here; hosts are never unwanted."""
+        """Dial hosts that have no link yet; links are never given up again."""
         for host in sorted(set(hosts) - self.peers.keys()):
             peer = self.peers[host] = Peer(host=host)
             self._dial(peer)
 
     def send(self, host: str, message: Message) -> int | None:
-        """Write on the dialled link; None proves that nothing was written."""
+        """Write on the dialled link and return its session.
+
+        None means that nothing was written.
+        """
         peer = self.peers.get(host)
         if peer is None or peer.link is None or peer.dialling:
             return None
         return peer.link.session if peer.link.end.write(message) else None
 
     def connect(self, host: str) -> None:
-        """Dial a host that isn't linked yet."""
+        """Dial a host unless it already has a link."""
         self.want((host,))
 
     def announce(self, message: Message) -> None:
-        """Write on every open link, whoever dialled it."""
+        """Write on every open link, whichever end dialled it."""
         for host in self.peers:
             self.send(host, message)
         for node in {node for node, _ in self.accepted}:
@@ -101,14 +104,14 @@
         return bool(sessions) and self.accepted[node, max(sessions)].write(message)
 
     def beat(self) -> None:
-        """Send heartbeats and look for silence; called each ``HEARTBEAT_MS``."""
+        """Send heartbeats and check for silent links, once per ``HEARTBEAT_MS``."""
         now_ms = self.schedule.now_ms
-        paused = now_ms - self._beat_at_ms > 2.5 * HEARTBEAT_MS
-        self._beat_at_ms = now_ms
+        paused = now_ms - self._last_beat_ms > 2.5 * HEARTBEAT_MS
+        self._last_beat_ms = now_ms
         heartbeat = self.heartbeat(next(self._sequences))
         for peer in self.peers.values():
             if peer.link is not None and not peer.dialling:
-                self._beat_dialled(peer, heartbeat, paused)
+                self._send_heartbeat(peer, heartbeat, paused)
         for key, end in list(self.accepted.items()):
             if paused:
                 end.last_read_ms = now_ms
@@ -116,31 +119,31 @@
                 self._lose_accepted(*key)
             else:
                 end.write(heartbeat)
-        for end, since_ms in list(self._ungreeted.items()):
+        for end, since_ms in list(self._awaiting_hello.items()):
             if now_ms - since_ms > GREETING_TIMEOUT_MS:
-                del self._ungreeted[end]
+                del self._awaiting_hello[end]
                 end.close()
 
     def close(self) -> None:
-        """Close all links, as the end of the process does."""
+        """Close all links, as the exit of the process does."""
         for peer in self.peers.values():
             for link in (peer.link, peer.greeting):
                 if link is not None:
                     link.end.close()
-        for end in (*self.accepted.values(), *self._ungreeted):
+        for end in (*self.accepted.values(), *self._awaiting_hello):
             end.close()
 
     def accept(self, end: End) -> None:
-        """Take a connection that another process opened; its greeting follows."""
-        self._ungreeted[end] = self.schedule.now_ms
+        """Accept a connection of another process, whose ``Hello`` follows."""
+        self._awaiting_hello[end] = self.schedule.now_ms
 
     def read_accepted(self, end: End, frame: Frame) -> None:
-        """Take a frame at the accepting end."""
+        """Process a frame that arrived at the accepting end."""
         if not end.is_open:
             return
         end.last_read_ms = self.schedule.now_ms
         if end.hello is None:
-            self._greeted_by(end, frame)
+            self._accepted_hello(end, frame)
             return
         node, session = end.hello.node, end.hello.session
         if frame is CLOSED:
@@ -151,7 +154,7 @@
         self.receiver.link_message(node, session, frame, dialled=False)
 
     def read_dialled(self, link: DialledLink, frame: Frame) -> None:
-        """Take a frame at the dialling end."""
+        """Process a frame that arrived at the dialling end."""
         if not link.end.is_open:
             return
         link.end.last_read_ms = self.schedule.now_ms
@@ -159,14 +162,14 @@
         if frame is CLOSED:
             self._closed_by_peer(peer, link)
         elif link.end.hello is None:
-            self._greeted(peer, link, frame)
+            self._dialled_hello(peer, link, frame)
         elif isinstance(frame, HeartbeatReply):
-            self._proved(link, frame.sequence)
+            self._heartbeat_answered(link, frame.sequence)
         else:
             node = link.end.hello.node
             self.receiver.link_message(node, link.session, frame, dialled=True)
 
-    def _beat_dialled(self, peer: Peer, heartbeat: Heartbeat, paused: bool) -> None:
+    def _send_heartbeat(self, peer: Peer, heartbeat: Heartbeat, paused: bool) -> None:
         now_ms = self.schedule.now_ms
         link = peer.link
         if paused:
@@ -205,7 +208,7 @@
             delay_ms * jitter, lambda: self.post(lambda: self._dial(peer))
         )
 
-    def _greeted(self, peer: Peer, link: DialledLink, frame: Frame) -> None:
+    def _dialled_hello(self, peer: Peer, link: DialledLink, frame: Frame) -> None:
         if peer.greeting is not link or not isinstance(frame, Hello):
             return
         link.end.hello = frame
@@ -217,7 +220,7 @@
             old.end.close()
             self._report_lost(old, replaced=True)
 
-    def _proved(self, link: DialledLink, sequence: int) -> None:
+    def _heartbeat_answered(self, link: DialledLink, sequence: int) -> None:
         answered = [number for number in link.unanswered if number <= sequence]
         sent_at_ms = [link.unanswered.pop(number) for number in answered]
         if sent_at_ms:
@@ -243,8 +246,8 @@
             link.end.hello.node, link.session, dialled=True, replaced=replaced
         )
 
-    def _greeted_by(self, end: End, frame: Frame) -> None:
-        del self._ungreeted[end]
+    def _accepted_hello(self, end: End, frame: Frame) -> None:
+        del self._awaiting_hello[end]
         if not isinstance(frame, Hello):
             end.close()
             return
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_network.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_network.py
@@ -1,4 +1,4 @@
-"""The network between processes in memory: who reaches whom, and which links fail."""
+"""In-memory network between processes, with injected connection faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,25 +10,25 @@
 from sassafraswinch_standins.memory_schedule import Action, Schedule
 
 NEAR_MS = 0.2
-"""One way within an availability zone."""
+"""One-way latency within an availability zone."""
 ACROSS_MS = 1.5
-"""One way between availability zones."""
+"""One-way latency between availability zones."""
 
 
 class Process(Protocol):
-    """A running node process, as the network sees it."""
+    """Interface of a running node process to the network."""
 
     host: str
     availability_zone: str
     links: MemoryLinks
 
     def post(self, action: Action) -> None:
-        """Run an action as soon as the process isn't paused; never if it is dead."""
+        """Run an action as soon as the process is not paused; never if it ended."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Connection:
-    """Both channels of a connection, with the two processes at its ends."""
+    """Both directions of a connection, with the two processes at its ends."""
 
     dialler: Process
     acceptor: Process
@@ -41,21 +41,21 @@
         return self.outward, self.homeward
 
     def joins(self, first: str, second: str) -> bool:
-        """Return whether it is between two hosts."""
+        """Return whether it connects these two hosts."""
         return {self.dialler.host, self.acceptor.host} == {first, second}
 
     def crosses(self, zones: frozenset[str]) -> bool:
-        """Return whether just one of its ends is in ``zones``."""
+        """Return whether exactly one of its ends is in ``zones``."""
         inside = self.dialler.availability_zone in zones
         return inside != (self.acceptor.availability_zone in zones)
 
 
 class MemoryNetwork:
-    """Opens connections between processes and brings about what fails in them.
+    """Network that opens connections between processes and injects faults in them.
 
     Args:
-        schedule: the clock.
-        running: the process that runs on a host, None if none does.
+        schedule: the simulated clock.
+        running: returns the process that runs on a host, None if none does.
     """
 
     def __init__(self, *, schedule: Schedule, running: Callable[[str], Process | None]):
@@ -65,12 +65,12 @@
         self._connections: list[Connection] = []
 
     def connect(self, dialler: Process, link: DialledLink) -> bool:
-        """Open a connection to the host of a link; False: it is refused."""
+        """Open a connection to the host of a link; return False if it is refused."""
         acceptor = self.running(link.host)
         if acceptor is None:
             return False
-        far = dialler.availability_zone != acceptor.availability_zone
-        latency_ms = ACROSS_MS if far else NEAR_MS
+        is_cross_zone = dialler.availability_zone != acceptor.availability_zone
+        latency_ms = ACROSS_MS if is_cross_zone else NEAR_MS
         accepted = End(last_read_ms=self.schedule.now_ms)
         outward = self._channel(
             latency_ms,
@@ -92,62 +92,62 @@
         return True
 
     def silence(self, first: str, second: str) -> None:
-        """Let the connections between two hosts go silent; new ones work."""
+        """Stall the open connections between two hosts; new ones work."""
         for connection in self._connections:
             if connection.joins(first, second):
                 _hold(connection)
 
     def silence_outward(self, first: str, second: str) -> None:
-        """Silence one direction only of what ``first`` dialled."""
+        """Stall one direction of the connections that ``first`` dialled."""
         for connection in self._connections:
             ends = connection.dialler.host, connection.acceptor.host
             if ends == (first, second):
                 connection.outward.hold()
 
     def swallow(self, first: str, second: str) -> None:
-        """Let the connections between two hosts lose all from now on."""
+        """Drop all frames on the open connections between two hosts from now on."""
         for connection in self._connections:
             if connection.joins(first, second):
                 for channel in connection.channels:
                     channel.cut()
 
     def release(self) -> None:
-        """Let silent connections go on, with all that they held."""
+        """Resume stalled connections and deliver the frames they held back."""
         for connection in self._connections:
             if not connection.crosses(self.zones_cut):
                 for channel in connection.channels:
                     channel.release()
 
     def cut_zones(self, zones: frozenset[str]) -> None:
-        """Separate availability zones from the others."""
+        """Partition availability zones from the others."""
         self.zones_cut = zones
         for connection in self._connections:
             if connection.crosses(zones):
                 _hold(connection)
 
     def heal_zones(self) -> None:
-        """Join all availability zones."""
+        """End the network partition of availability zones."""
         self.zones_cut = frozenset()
         self.release()
 
     def process_gone(self, process: Process, *, quiet: bool) -> None:
-        """Close the connections of a process that died.
+        """Close the connections of a process that ended.
 
         Args:
-            process: the dead process.
-            quiet: whether its host went too, so that peers aren't told.
+            process: the ended process.
+            quiet: whether its host crashed too, so that peers see no close.
         """
         if not quiet:
             process.links.close()
             return
-        own = [c for c in self._connections if process in (c.dialler, c.acceptor)]
-        for connection in own:
+        affected = [c for c in self._connections if process in (c.dialler, c.acceptor)]
+        for connection in affected:
             for channel in connection.channels:
                 channel.cut()
-        self._connections = [c for c in self._connections if c not in own]
+        self._connections = [c for c in self._connections if c not in affected]
 
     def undisturbed(self, dialler: Process, host: str) -> bool:
-        """Return whether no connection of these two processes ever failed."""
+        """Return whether no connection of ``dialler`` to ``host`` ever failed."""
         return not any(
             channel.disturbed
             for connection in self._connections
@@ -156,7 +156,7 @@
         )
 
     def reachable(self, first: str, second: str) -> bool:
-        """Return whether two availability zones reach one another."""
+        """Return whether two availability zones can reach each other."""
         return (first in self.zones_cut) == (second in self.zones_cut)
 
     def _channel(
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
@@ -1,4 +1,4 @@
-"""The node of a process in memory, and what shows its decisions to the checks."""
+"""Node of an in-memory process, whose decisions are passed to the checks."""
 
 from collections.abc import Collection
 from typing import TYPE_CHECKING
@@ -25,7 +25,7 @@
 
 
 class WatchedGate:
-    """A gate whose decisions are shown to the checks."""
+    """Gate wrapper that passes each decision to the checks."""
 
     def __init__(self, *, gate: Gate, host: str, checks: Checks):
         self._gate = gate
@@ -34,41 +34,41 @@
         self._orders: dict[object, int] = {}
 
     def offer(self, *, key, rank, **rest) -> GateDecision:
-        """Pass on and watch."""
+        """Delegate and check the decision."""
         self._orders[key] = rank.class_order
-        return self._watch(self._gate.offer(key=key, rank=rank, **rest))
+        return self._check(self._gate.offer(key=key, rank=rank, **rest))
 
     def finished(self, *, key, **rest) -> GateDecision:
-        """Pass on and watch."""
-        return self._watch(self._gate.finished(key=key, **rest))
+        """Delegate and check the decision."""
+        return self._check(self._gate.finished(key=key, **rest))
 
     def withdraw(self, key, now_ms: float) -> GateDecision:
-        """Pass on and watch."""
-        return self._watch(self._gate.withdraw(key, now_ms))
+        """Delegate and check the decision."""
+        return self._check(self._gate.withdraw(key, now_ms))
 
     def tick(self, now_ms: float) -> GateDecision:
-        """Pass on and watch."""
-        return self._watch(self._gate.tick(now_ms))
+        """Delegate and check the decision."""
+        return self._check(self._gate.tick(now_ms))
 
     def load(self, now_ms: float):
-        """Pass on."""
+        """Delegate."""
         return self._gate.load(now_ms)
 
     def leave(self) -> GateDecision:
-        """Pass on and watch."""
-        return self._watch(self._gate.leave())
+        """Delegate and check the decision."""
+        return self._check(self._gate.leave())
 
     def set_slots(self, slots: int | None) -> None:
-        """Pass on."""
+        """Delegate."""
         self._gate.set_slots(slots)
 
-    def _watch(self, decision: GateDecision) -> GateDecision:
+    def _check(self, decision: GateDecision) -> GateDecision:
         self._checks.decided(self._host, self._orders, decision)
         return decision
 
 
 class WatchedShedder(EntryShedder):
-    """An entry shedder whose decisions are shown to the checks."""
+    """Ingress shedder that passes each decision to the checks."""
 
     def __init__(self, *, host: str, checks: Checks):
         super().__init__()
@@ -76,7 +76,7 @@
         self._checks = checks
 
     def admits(self, operation: str, rank: Rank, now_ms: float) -> bool:
-        """Decide and show it."""
+        """Decide whether to admit a request and check the decision."""
         admitted = super().admits(operation, rank, now_ms)
         place = f"entry of {self._host}, {operation}"
         self._checks.admitted(place, rank.class_order, admitted)
@@ -84,14 +84,14 @@
 
 
 class WatchedLinks:
-    """The owner's way to other nodes; shows each call sent to the checks."""
+    """Link wrapper of the owner that passes each call sent to the checks."""
 
     def __init__(self, *, links: LinkPort, process: "MemoryProcess"):
         self._links = links
         self._process = process
 
     def send(self, host: str, message: Message) -> int | None:
-        """Pass on, and count a call that was written."""
+        """Delegate, and check a call that was written."""
         session = self._links.send(host, message)
         if session is not None and isinstance(message, Call):
             self._process.sent(host, message)
@@ -99,7 +99,7 @@
 
 
 def left_behind(node: Node, hosts: Collection[str]) -> list[object]:
-    """Return what is in flight, less calls whose fate only a lost host knows."""
+    """Return what is in flight, except calls whose fate only a lost host knows."""
     owned = node.owner.open.values()
     return [
         *(call.attempt for call in owned if call.attempt.peer.host in hosts),
@@ -109,7 +109,7 @@
 
 
 def make_node(process: "MemoryProcess") -> Node:
-    """Return the node of a process, its decisions shown to the checks."""
+    """Return the node of a process, with its decisions passed to the checks."""
     rng = process.rng
     return Node(
         node=process.node_id,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_peers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_peers.py
@@ -1,4 +1,4 @@
-"""A node's side of the links that it dials, and who is told of them."""
+"""Dialling side of a node's in-memory links, and the receiver of link events."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -7,32 +7,32 @@
 from sassafraswinch_standins.memory_channels import End
 
 REDIAL_MIN_MS = 100.0
-"""First wait after a failed dial; doubled each time."""
+"""First delay after a failed dial; doubled after each further failure."""
 
 
 class Receiver(Protocol):
-    """The process that links report to."""
+    """Receiver of the events of links: their process."""
 
     def link_up(self, hello: Hello, session: int, *, dialled: bool) -> None:
-        """A link to or from another node is greeted."""
+        """Process a new link, whose ``Hello`` has been received."""
 
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
-        """A message of another node."""
+        """Process a message from another node."""
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
     ) -> None:
-        """A link is gone."""
+        """Process the loss of a link."""
 
     def link_proved(self, node: NodeId, sent_at_ms: float) -> None:
-        """A heartbeat sent at this time was answered."""
+        """Process the answer to a heartbeat sent at ``sent_at_ms``."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class DialledLink:
-    """A link at the node that dialled it."""
+    """Link, as held by the node that dialled it."""
 
     host: str
     session: int
@@ -40,13 +40,13 @@
     unanswered: dict[int, float] = field(default_factory=dict)
 
     def silent_since_ms(self) -> float:
-        """Return since when the peer has owed a sign of life."""
+        """Return the time of the last read, or of an earlier unanswered heartbeat."""
         return min((self.end.last_read_ms, *self.unanswered.values()))
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Peer:
-    """A wanted host: its greeted link, and the dialling of the next one."""
+    """Host to keep a link to: its established link and the one being dialled."""
 
     host: str
     link: DialledLink | None = None
