--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_links.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_links.py
@@ -72,7 +72,7 @@
         self._last_beat_ms = schedule.now_ms
 
     def want(self, hosts: Iterable[str]) -> None:
-        """Dial hosts that have no link yet; links are never given up again."""
+        """Dial hosts that have no link yet; links are kept until the process ends."""
         for host in sorted(set(hosts) - self.peers.keys()):
             peer = self.peers[host] = Peer(host=host)
             self._dial(peer)
@@ -143,7 +143,7 @@
             return
         end.last_read_ms = self.schedule.now_ms
         if end.hello is None:
-            self._accepted_hello(end, frame)
+            self._handle_accepted_hello(end, frame)
             return
         node, session = end.hello.node, end.hello.session
         if frame is CLOSED:
@@ -162,9 +162,9 @@
         if frame is CLOSED:
             self._closed_by_peer(peer, link)
         elif link.end.hello is None:
-            self._dialled_hello(peer, link, frame)
+            self._handle_dialled_hello(peer, link, frame)
         elif isinstance(frame, HeartbeatReply):
-            self._heartbeat_answered(link, frame.sequence)
+            self._record_heartbeat_reply(link, frame.sequence)
         else:
             node = link.end.hello.node
             self.receiver.link_message(node, link.session, frame, dialled=True)
@@ -208,7 +208,9 @@
             delay_ms * jitter, lambda: self.post(lambda: self._dial(peer))
         )
 
-    def _dialled_hello(self, peer: Peer, link: DialledLink, frame: Frame) -> None:
+    def _handle_dialled_hello(
+        self, peer: Peer, link: DialledLink, frame: Frame
+    ) -> None:
         if peer.greeting is not link or not isinstance(frame, Hello):
             return
         link.end.hello = frame
@@ -220,7 +222,7 @@
             old.end.close()
             self._report_lost(old, replaced=True)
 
-    def _heartbeat_answered(self, link: DialledLink, sequence: int) -> None:
+    def _record_heartbeat_reply(self, link: DialledLink, sequence: int) -> None:
         answered = [number for number in link.unanswered if number <= sequence]
         sent_at_ms = [link.unanswered.pop(number) for number in answered]
         if sent_at_ms:
@@ -246,7 +248,7 @@
             link.end.hello.node, link.session, dialled=True, replaced=replaced
         )
 
-    def _accepted_hello(self, end: End, frame: Frame) -> None:
+    def _handle_accepted_hello(self, end: End, frame: Frame) -> None:
         del self._awaiting_hello[end]
         if not isinstance(frame, Hello):
             end.close()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
@@ -1,4 +1,4 @@
-"""One node process in memory: a whole ``Node`` behind fakes of its ports."""
+"""In-memory node process: a complete ``Node`` behind fakes of its ports."""
 
 import itertools
 import random
@@ -32,11 +32,11 @@
 
 TICK_MS = 25.0
 LONG_PAUSE_MS = 2_000.0
-"""A pause after which a node must not act on what it knew before."""
+"""Length of a pause after which a node must not act on its earlier view of peers."""
 
 
 class MemoryProcess:
-    """One run of a node process on a host."""
+    """Node process on a host, from its start to its end."""
 
     def __init__(
         self, *, record: HostRecord, around: Surroundings, backend: MemoryBackend
@@ -55,7 +55,7 @@
         self.left_at_ms: float | None = None
         self.reads = PlatformReads(process=self, platform=around.platform)
         self._paused_at_ms = 0.0
-        self._woke_at_ms = 0.0
+        self._resumed_at_ms = 0.0
         self._proved_ms: dict[str, float] = {}
         self.membership = Membership(self_host=self.host)
         self.membership.learn((record,), self.schedule.now_ms)
@@ -63,7 +63,7 @@
         self._mailbox: deque[Action] = deque()
         self._timers: deque[Action] = deque()
         self._handles = itertools.count(1)
-        self._told: dict[int, Callable[[Outcome], None]] = {}
+        self._on_outcome: dict[int, Callable[[Outcome], None]] = {}
         self._abandoned: set[int] = set()
         self._exchanges: dict[CallKey, Exchange] = {}
         self.links = MemoryLinks(
@@ -80,73 +80,73 @@
 
     @property
     def now_ms(self) -> float:
-        """The one clock."""
+        """Current time of the simulated clock."""
         return self.schedule.now_ms
 
     def start(self) -> None:
-        """Open the listeners and begin to tick, beat and read the platform."""
+        """Start the node, its ticks and heartbeats, and the reads of the platform."""
         self.observe()
         self.node.start(self.now_ms)
-        self._repeat(TICK_MS, self._tick)
-        self._repeat(HEARTBEAT_MS, self._beat)
+        self._run_periodically(TICK_MS, self._tick)
+        self._run_periodically(HEARTBEAT_MS, self._send_heartbeats)
         self.reads.plan()
 
     def post(self, action: Action) -> None:
-        """Run an action now, or on waking; never if the process is dead."""
+        """Run an action now, or on resuming; never if the process has ended."""
         self._run(action, self._mailbox)
 
     def post_timer(self, action: Action) -> None:
-        """Run an action that a timer asked for; on waking, sockets come first."""
+        """Run an action of a timer; on resuming, socket reads come first."""
         self._run(action, self._timers)
 
     def pause(self) -> None:
-        """Stop as a process does that gets no processor."""
+        """Suspend the process, as if it got no processor time."""
         self.paused = True
         self._paused_at_ms = self.now_ms
 
     def wake(self) -> None:
-        """Go on: first with what lies in the sockets, then with timers."""
+        """Resume the process: first the queued socket reads, then the timers."""
         self.paused = False
         if self.now_ms - self._paused_at_ms > LONG_PAUSE_MS:
-            self._woke_at_ms = self.now_ms
+            self._resumed_at_ms = self.now_ms
         self.checks.resumed(self.host)
         for queue in (self._mailbox, self._timers):
             while queue:
                 self.post(queue.popleft())
 
     def end(self) -> None:
-        """Stop for good; callers that wait see their connection break."""
+        """End the process; waiting callers see their connections break."""
         self.alive = False
-        told, self._told = self._told, {}
-        for callback in told.values():
+        on_outcome, self._on_outcome = self._on_outcome, {}
+        for callback in on_outcome.values():
             callback(None)
         for exchange in self._exchanges.values():
             exchange.is_open = False
 
     def submit(
-        self, request: Request, asked: Asked, told: Callable[[Outcome], None]
+        self, request: Request, pending: Asked, on_outcome: Callable[[Outcome], None]
     ) -> int:
-        """Take a request of a caller; returns its handle."""
-        return self._submit(self.node.submit, request, asked, told)
+        """Submit a request of a caller and return its handle."""
+        return self._submit(self.node.submit, request, pending, on_outcome)
 
     def abandon(self, handle: int) -> None:
-        """Note that a caller has gone."""
-        if self._told.pop(handle, None) is not None:
+        """Report to the node that a caller has disconnected."""
+        if self._on_outcome.pop(handle, None) is not None:
             self.checks.withdrawn((self.host, handle))
             self._abandoned.add(handle)
-            self.post(lambda: self._hand_in(self.node.abandon, handle))
+            self.post(lambda: self._call_node(self.node.abandon, handle))
 
     def submit_child(
-        self, request: Request, asked: Asked, told: Callable[[Outcome], None]
+        self, request: Request, pending: Asked, on_outcome: Callable[[Outcome], None]
     ) -> None:
-        """Take a call of the local backend server."""
-        self._submit(self.node.submit_child, request, asked, told)
+        """Submit a child call of the local backend server."""
+        self._submit(self.node.submit_child, request, pending, on_outcome)
 
     def sent(self, host: str, call: Call) -> None:
-        """Show a call that was written to the checks."""
+        """Pass a call that was written to the checks."""
         self.checks.sent(call, dict(call.headers)[PURPOSE_HEADER])
         network = self.around.network
-        if host != self.host and self._proved_ms.get(host, 0.0) < self._woke_at_ms:
+        if host != self.host and self._proved_ms.get(host, 0.0) < self._resumed_at_ms:
             self.checks.sent_on_old_view(self.host, host)
         target = network.running(host)
         leaving = target is not None and target.left_at_ms is not None
@@ -154,16 +154,16 @@
             self.checks.sent_to_leaving(self.host, host, target.left_at_ms)
 
     def respond(self, handle: int, outcome: Outcome) -> None:
-        """Give a request its outcome (the caller port)."""
+        """Deliver the outcome of a request (caller port)."""
         if handle in self._abandoned:
             return
         self.checks.responded((self.host, handle), outcome)
-        told = self._told.pop(handle, None)
-        if told is not None:
-            self.schedule.after(0.1, lambda: told(outcome))
+        on_outcome = self._on_outcome.pop(handle, None)
+        if on_outcome is not None:
+            self.schedule.after(0.1, lambda: on_outcome(outcome))
 
     def dispatch(self, key: CallKey, call: Call, traceparent: str) -> None:
-        """Start a call (the backend port)."""
+        """Dispatch a call to the backend server (backend port)."""
         if self.left_at_ms is not None:
             self.checks.started_while_leaving(self.host, self.left_at_ms, call)
         exchange = self._exchanges[key] = Exchange(
@@ -176,19 +176,19 @@
         self.backend.take(exchange)
 
     def cancel(self, key: CallKey) -> None:
-        """Close the connection of a call (the backend port)."""
+        """Close the connection of a call (backend port)."""
         exchange = self._exchanges[key]
         result = BackendResult(verdict=Verdict.MAY_HAVE_RUN, reason=Reason.CANCELLED)
         self.schedule.after(0, lambda: exchange.end(result))
 
     def backend_done(self, key: CallKey, result: BackendResult) -> None:
-        """Take the end of a dispatch."""
+        """Process the result of a dispatched call."""
         self.observe()
         del self._exchanges[key]
         self.node.backend_done(key, result, self.now_ms)
 
     def link_up(self, hello: Hello, session: int, *, dialled: bool) -> None:
-        """Pass on a new link and the version in its greeting."""
+        """Pass a new link and the document version in its ``Hello`` to the node."""
         self.observe()
         self.node.link_up(hello.node, session, dialled=dialled, now_ms=self.now_ms)
         self.node.configuration.greeted(hello, self.now_ms)
@@ -196,28 +196,28 @@
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
     ) -> None:
-        """Pass on a message."""
+        """Pass a message to the node."""
         self.observe()
         self.node.message(node, session, message, self.now_ms)
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
     ) -> None:
-        """Pass on the end of a link."""
+        """Pass the loss of a link to the node."""
         self.observe()
         self.node.link_lost(
             node, session, dialled=dialled, replaced=replaced, now_ms=self.now_ms
         )
 
     def link_proved(self, node: NodeId, sent_at_ms: float) -> None:
-        """Pass on that a heartbeat was answered."""
+        """Record the answer to a heartbeat and pass it to the node."""
         self.observe()
-        before_ms = self._proved_ms.get(node.host, 0.0)
-        self._proved_ms[node.host] = max(before_ms, sent_at_ms)
+        previous_ms = self._proved_ms.get(node.host, 0.0)
+        self._proved_ms[node.host] = max(previous_ms, sent_at_ms)
         self.node.link_proved(node, sent_at_ms, self.now_ms)
 
     def leave(self) -> None:
-        """Begin a planned stop."""
+        """Begin a planned stop, unless one is under way."""
         if not self.node.lifecycle.leaving:
             self.left_at_ms = self.now_ms
             self.observe()
@@ -225,7 +225,7 @@
 
     @property
     def exchanges(self) -> int:
-        """Calls at the backend server."""
+        """Number of calls at the backend server."""
         return len(self._exchanges)
 
     def _run(self, action: Action, queue: deque[Action]) -> None:
@@ -235,17 +235,17 @@
             queue.append(action)
         else:
             action()
-            self._look()
+            self._check_document()
 
-    def _submit(self, submit, request: Request, asked: Asked, told) -> int:
+    def _submit(self, submit, request: Request, pending: Asked, on_outcome) -> int:
         handle = next(self._handles)
-        self._told[handle] = told
-        self.checks.asked((self.host, handle), asked)
+        self._on_outcome[handle] = on_outcome
+        self.checks.pending((self.host, handle), pending)
         numbered = replace(request, handle=handle)
-        self.post(lambda: self._hand_in(submit, numbered))
+        self.post(lambda: self._call_node(submit, numbered))
         return handle
 
-    def _hand_in(self, step, subject: Request | int) -> None:
+    def _call_node(self, step, subject: Request | int) -> None:
         self.observe()
         step(subject, self.now_ms)
 
@@ -262,18 +262,18 @@
         )
 
     def observe(self) -> None:
-        """Tell the node if this process was paused; called before anything else."""
+        """Report a pause of this process to the node, before any other input."""
         if self.wake_detector.observe(monotonic_ms=self.now_ms, wall_ms=self.now_ms):
             self.node.woke(self.now_ms)
 
-    def _look(self) -> None:
+    def _check_document(self) -> None:
         keeper = self.node.configuration.keeper
         self.checks.holds(self.node_id, keeper.stamp)
         if self.node.entry.classifier is not None:
             self.checks.serves(self.host, keeper.stamp)
 
-    def _repeat(self, period_ms: float, action: Action) -> None:
-        """Run an action each period; one that falls in a pause runs once, on waking."""
+    def _run_periodically(self, period_ms: float, action: Action) -> None:
+        """Run an action each period; if due in a pause, it runs once on resuming."""
 
         def again() -> None:
             action()
@@ -293,7 +293,7 @@
         if lifecycle.state is NodeState.STOPPED:
             self.around.stopped(self)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         self.links.beat()
         names = [record.name for record in self.membership.peers(self.now_ms)]
         self.links.want(name for name in names if self.around.dials(self.host, name))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
@@ -1,4 +1,4 @@
-"""How a process in memory reads the platform: now and then, where it reaches it."""
+"""Periodic reads of the platform by an in-memory process."""
 
 from typing import TYPE_CHECKING
 
@@ -7,17 +7,17 @@
 if TYPE_CHECKING:
     from sassafraswinch_standins.memory_process import MemoryProcess
 
-READ_EVERY_MS = (200.0, 1_200.0)
-"""Shortest and longest pause between two reads."""
+READ_INTERVAL_RANGE_MS = (200.0, 1_200.0)
+"""Minimum and maximum delay between two reads."""
 PLATFORM_ZONE = "platform"
-"""Where the platform is; cut together with zones that lose it."""
+"""Name of the platform's own zone in a network partition."""
 
 
 class PlatformReads:
-    """The reads of one process.
+    """Reads of the platform by one process.
 
     Attributes:
-        allowed: whether the process reaches the platform, as far as tests have a say.
+        allowed: whether reads are enabled; tests clear it to cut off the process.
     """
 
     def __init__(self, *, process: "MemoryProcess", platform: MemoryPlatform):
@@ -27,9 +27,9 @@
         self._document_version = 0
 
     def plan(self) -> None:
-        """Read after a random pause, and again after that."""
+        """Schedule the next read after a random delay; each read schedules another."""
         process = self._process
-        delay_ms = process.rng.uniform(*READ_EVERY_MS)
+        delay_ms = process.rng.uniform(*READ_INTERVAL_RANGE_MS)
         process.schedule.after(delay_ms, lambda: process.post(self._read))
 
     def _read(self) -> None:
@@ -39,9 +39,9 @@
         reachable = network.reachable(process.availability_zone, PLATFORM_ZONE)
         if reachable and self.allowed:
             process.observe()
-            self._take_in()
+            self._fetch()
 
-    def _take_in(self) -> None:
+    def _fetch(self) -> None:
         process = self._process
         try:
             hosts = self._platform.hosts(process.membership.list_version)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_schedule.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_schedule.py
@@ -1,4 +1,4 @@
-"""One simulated clock and the order of what happens on it."""
+"""Simulated clock and scheduler of an in-memory fleet."""
 
 import heapq
 import itertools
@@ -9,9 +9,9 @@
 
 
 class Schedule:
-    """Runs actions at their simulated times; a seed decides all that is random.
+    """Scheduler that runs actions at simulated times; all randomness is seeded.
 
-    Actions of one time run in the order in which they were planned.
+    Actions due at the same time run in the order in which they were scheduled.
     """
 
     def __init__(self, *, seed: int):
@@ -19,15 +19,15 @@
         self.now_ms = 0.0
         self.actions_run = 0
         self._sequence = itertools.count()
-        self._planned: list[tuple[float, int, Action]] = []
+        self._queue: list[tuple[float, int, Action]] = []
 
     def after(self, delay_ms: float, action: Action) -> None:
-        """Plan an action for ``delay_ms`` from now."""
+        """Schedule an action ``delay_ms`` from now."""
         at_ms = self.now_ms + max(0.0, delay_ms)
-        heapq.heappush(self._planned, (at_ms, next(self._sequence), action))
+        heapq.heappush(self._queue, (at_ms, next(self._sequence), action))
 
     def every(self, period_ms: float, action: Action, *, first_ms: float = 0.0) -> None:
-        """Plan an action for each ``period_ms``, until it raises ``StopIteration``."""
+        """Run an action each ``period_ms`` until it raises ``StopIteration``."""
 
         def again() -> None:
             try:
@@ -39,10 +39,10 @@
         self.after(first_ms, again)
 
     def run_for(self, duration_ms: float) -> None:
-        """Let time pass, and run all that falls in it."""
+        """Advance the clock by ``duration_ms`` and run all actions due by then."""
         until_ms = self.now_ms + duration_ms
-        while self._planned and self._planned[0][0] <= until_ms:
-            self.now_ms, _, action = heapq.heappop(self._planned)
+        while self._queue and self._queue[0][0] <= until_ms:
+            self.now_ms, _, action = heapq.heappop(self._queue)
             self.actions_run += 1
             action()
         self.now_ms = until_ms
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
@@ -1,6 +1,6 @@
-"""Long random runs of a fleet in memory, with all invariants checked.
+"""Soak test: long random runs of an in-memory fleet with all invariants checked.
 
-The same seed gives the same run, so a failure replays.
+The same seed gives the same run, so a failure can be reproduced.
 """
 
 import sys
@@ -15,16 +15,16 @@
 from sassafraswinch_standins.memory_fleet import Fleet
 
 STORIES_PER_FLEET = 8
-"""Stories after which a new fleet takes over, so that memory stays small."""
+"""Rounds after which a new fleet is started, to bound memory use."""
 
 
 def report(fleets: list[Fleet]) -> str:
-    """Return the figures of all fleets, one a line."""
+    """Return the totals over all fleets, one per line."""
     checks = [fleet.checks for fleet in fleets]
     faults = sum((fleet.faults for fleet in fleets), start=Counter())
     operations = sum((check.operations for check in checks), start=Counter())
     reasons = sum((check.reasons for check in checks), start=Counter())
-    unproved = [check.unproved() for check in checks]
+    undecided = [check.undecided() for check in checks]
     simulated_ms = sum(fleet.schedule.now_ms for fleet in fleets)
     lines = [
         f"simulated seconds: {simulated_ms / 1000:.0f}",
@@ -40,22 +40,22 @@
             for (verdict, reason), count in reasons.most_common()
             if verdict is Verdict.MAY_HAVE_RUN
         ),
-        f"requests whose last word was may-have-run: {sum(m for m, _ in unproved)}",
-        f"of these never ran: {sum(never for _, never in unproved)}",
+        f"requests last reported as may-have-run: {sum(m for m, _ in undecided)}",
+        f"of these never ran: {sum(never for _, never in undecided)}",
     ]
     return "\n".join(lines)
 
 
 def main(*, seed: int = 1, minutes: float = 1.0) -> None:
-    """Run random schedules until the time is over.
+    """Run random schedules until the time is up.
 
     Args:
-        seed: seed of the first fleet; each further one has the next.
-        minutes: wall time to run for.
+        seed: seed of the first fleet; each later fleet uses the next number.
+        minutes: wall-clock time to run for.
     """
-    ends_at_s = time.monotonic() + 60 * minutes
+    stop_at_s = time.monotonic() + 60 * minutes
     fleets: list[Fleet] = []
-    while time.monotonic() < ends_at_s:
+    while time.monotonic() < stop_at_s:
         number = seed + len(fleets)
         fleet = Fleet(seed=number, sparse=number % 2 == 1)
         fleets.append(fleet)
@@ -63,7 +63,7 @@
         try:
             fleet.run_for(4_000)
             for _ in range(STORIES_PER_FLEET):
-                if time.monotonic() < ends_at_s:
+                if time.monotonic() < stop_at_s:
                     chaos.story()
         except Exception:
             print(*fleet.events, sep="\n")
--- a/packages/sassafraswinch-standins/tests/test_memory_fleet.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_fleet.py
@@ -1,4 +1,4 @@
-"""Any order of calls, repeats and faults on a fleet of whole nodes."""
+"""Stateful property test: random calls, retries and faults on an in-memory fleet."""
 
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import (
@@ -12,8 +12,8 @@
 from sassafraswinch_standins.memory_fleet import CONVERGE_MS, HOSTS, ZONES, Fleet
 
 SETTLED_MS = 4_000
-LATE_MS = 12_000
-"""Time after the repair in which late frames would start late calls."""
+LATE_FRAMES_MS = 12_000
+"""Time after the repair within which delayed frames could still start calls."""
 
 HOST_NAMES = sorted(
     f"{service}-{zone[-1]}" for service, zones in HOSTS.items() for zone in zones
@@ -28,10 +28,10 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """The fleet itself raises as soon as an invariant doesn't hold.
+    """State machine over a fleet, which raises when an invariant is violated.
 
-    Each fault strikes ``lead_ms`` after some calls have begun, so that it finds them
-    on their way, queued or running; then some time passes.
+    Each fault is injected ``lead_ms`` after some calls have started, so that they are
+    in transit, queued or running; then the clock advances.
     """
 
     @initialize(
@@ -45,14 +45,14 @@
         for backend in self.fleet.backends.values():
             backend.faults.slow_factor = slow_factor
 
-    def begin(self, load, lead_ms):
+    def start_load(self, load, lead_ms):
         for operation, host, repeats in load:
             self.fleet.callers.call(operation, host=host, repeats=repeats)
         self.fleet.run_for(lead_ms)
 
     @rule(load=loads, pause_ms=pauses_ms)
     def call(self, load, pause_ms):
-        self.begin(load, pause_ms)
+        self.start_load(load, pause_ms)
 
     @rule(operation=operations, host=hosts, patience_ms=st.integers(1, 300))
     def call_and_hang_up(self, operation, host, patience_ms):
@@ -73,19 +73,19 @@
 
     @rule(load=loads, lead_ms=leads_ms, host=hosts, quiet=st.booleans())
     def kill(self, load, lead_ms, host, quiet):
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.kill(host, quiet=quiet)
 
     @rule(load=loads, lead_ms=leads_ms, host=hosts, pause_ms=pauses_ms)
     def restart(self, load, lead_ms, host, pause_ms):
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.kill(host)
         self.fleet.restart(host)
         self.fleet.run_for(pause_ms)
 
     @rule(load=loads, lead_ms=leads_ms, host=hosts, pause_ms=pauses_ms)
     def pause(self, load, lead_ms, host, pause_ms):
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.pause(host)
         self.fleet.run_for(pause_ms)
 
@@ -102,7 +102,7 @@
     )
     def lose_links(self, how, pair, load, lead_ms, pause_ms):
         getattr(self.fleet, how)(*pair)
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.run_for(pause_ms)
 
     @rule()
@@ -115,7 +115,7 @@
         zones=st.sets(st.sampled_from((*ZONES, "platform")), min_size=1, max_size=2),
     )
     def cut_zones(self, load, lead_ms, zones):
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.cut_zones(*sorted(zones))
 
     @rule()
@@ -138,7 +138,7 @@
 
     @rule(load=loads, lead_ms=leads_ms, host=hosts)
     def leave(self, load, lead_ms, host):
-        self.begin(load, lead_ms)
+        self.start_load(load, lead_ms)
         self.fleet.leave(host)
 
     @rule(
@@ -165,7 +165,7 @@
         self.fleet.repair(stale_ms=5_000)
         self.fleet.run_for(CONVERGE_MS)
         self.fleet.check_converged()
-        self.fleet.run_for(LATE_MS)
+        self.fleet.run_for(LATE_FRAMES_MS)
         self.fleet.check_quiet()
 
 
