--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
@@ -240,7 +240,7 @@
     def _submit(self, submit, request: Request, pending: Asked, on_outcome) -> int:
         handle = next(self._handles)
         self._on_outcome[handle] = on_outcome
-        self.checks.pending((self.host, handle), pending)
+        self.checks.asked((self.host, handle), pending)
         numbered = replace(request, handle=handle)
         self.post(lambda: self._call_node(submit, numbered))
         return handle
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
@@ -24,7 +24,7 @@
     faults = sum((fleet.faults for fleet in fleets), start=Counter())
     operations = sum((check.operations for check in checks), start=Counter())
     reasons = sum((check.reasons for check in checks), start=Counter())
-    undecided = [check.undecided() for check in checks]
+    undecided = [check.unproved() for check in checks]
     simulated_ms = sum(fleet.schedule.now_ms for fleet in fleets)
     lines = [
         f"simulated seconds: {simulated_ms / 1000:.0f}",
--- a/packages/sassafraswinch-standins/tests/test_memory_faults.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_faults.py
@@ -12,18 +12,18 @@
 
     Failure: the child call of the backend server got no outcome for ten minutes.
     """
-    desk = Desk()
-    ticket_outcomes = desk.ask(
+    client = Desk()
+    ticket_outcomes = client.ask(
         "schvaleni-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
-    desk.fleet.run_for(1)
-    desk.slow(10_000)
-    desk.fleet.backends["schvaleni-a"].faults.slow_factor = 1.0
+    client.fleet.run_for(1)
+    client.slow(10_000)
+    client.fleet.backends["schvaleni-a"].faults.slow_factor = 1.0
     for host in ("schvaleni-b", "schvaleni-c"):
-        desk.fleet.kill(host)
+        client.fleet.kill(host)
     for host in ("archiv-a", "archiv-b"):
-        desk.fleet.backends[host].faults.slow_factor = 1.0
-    outcomes = desk.ask(
+        client.fleet.backends[host].faults.slow_factor = 1.0
+    outcomes = client.ask(
         "schvaleni-a",
         "approval",
         "schvaleni",
@@ -32,12 +32,12 @@
         ticket_outcomes[0].ticket,
         2_000,
     )
-    desk.fleet.run_for(500)
+    client.fleet.run_for(500)
     for host in ("vydej-a", "vydej-c"):
-        desk.fleet.pause(host)
-    desk.fleet.run_for(3_000)
+        client.fleet.pause(host)
+    client.fleet.run_for(3_000)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.MAY_HAVE_RUN]
-    assert not desk.fleet.checks.open
+    assert not client.fleet.checks.open
 
 
 def test_restarted_node_takes_no_calls_before_it_serves_a_document():
@@ -47,16 +47,16 @@
     Failure: it started approvals and then refused their child calls because it had no
     document, so the order was not looked up and no goods were released.
     """
-    desk = Desk()
-    ticket_outcomes = desk.ask(
+    client = Desk()
+    ticket_outcomes = client.ask(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
-    desk.fleet.run_for(1)
+    client.fleet.run_for(1)
     for host in ("schvaleni-a", "schvaleni-b", "schvaleni-c"):
-        desk.fleet.kill(host)
-    desk.fleet.restart("schvaleni-a")
-    desk.fleet.run_for(1_500)
-    outcomes = desk.ask(
+        client.fleet.kill(host)
+    client.fleet.restart("schvaleni-a")
+    client.fleet.run_for(1_500)
+    outcomes = client.ask(
         "archiv-a",
         "approval",
         "schvaleni",
@@ -64,7 +64,7 @@
         "/orders/17/approval",
         ticket_outcomes[0].ticket,
     )
-    desk.fleet.run_for(2_000)
+    client.fleet.run_for(2_000)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.NOT_RUN]
     assert outcomes[0].reason is Reason.NO_DOCUMENT
 
@@ -76,8 +76,8 @@
     Failure: the other nodes waited for the end of that call and never sent the host
     work again.
     """
-    desk = Desk(seed=5)
-    fleet = desk.fleet
+    client = Desk(seed=5)
+    fleet = client.fleet
     fleet.kill("archiv-b")
     fleet.run_for(500)
     fleet.restart("archiv-b")
@@ -169,17 +169,17 @@
     Failure: on resuming, the node read the child call before the messages about those
     hosts and sent it to one that had stopped, so it ended as may-have-run.
     """
-    desk = Desk()
-    fleet = desk.fleet
+    client = Desk()
+    fleet = client.fleet
     for host in ("schvaleni-b", "schvaleni-c"):
         fleet.kill(host)
-    ticket_outcomes = desk.ask(
+    ticket_outcomes = client.ask(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     fleet.run_for(1)
     ticket = ticket_outcomes[0].ticket
     path = "/orders/17/approval"
-    desk.ask("archiv-a", "go", "schvaleni", "POST", path, ticket, 2_000)
+    client.ask("archiv-a", "go", "schvaleni", "POST", path, ticket, 2_000)
     while not fleet.checks.runs["go"]:
         fleet.run_for(1)
     fleet.pause("schvaleni-a")
--- a/packages/sassafraswinch-standins/tests/test_memory_tickets.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_tickets.py
@@ -11,11 +11,11 @@
     Failure: the caller waited 10 s, the timeout of a forward, for a request with a
     deadline of 2 s.
     """
-    desk = Desk()
-    ticket = desk.ticket("vydej-a")
-    desk.fleet.pause("vydej-a")
-    outcomes = desk.release("archiv-b", "goods", ticket)
-    desk.fleet.run_for(2_200)
+    client = Desk()
+    ticket = client.ticket("vydej-a")
+    client.fleet.pause("vydej-a")
+    outcomes = client.release("archiv-b", "goods", ticket)
+    client.fleet.run_for(2_200)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.MAY_HAVE_RUN]
 
 
@@ -26,17 +26,17 @@
     Failure: the retry joined a call whose deadline had passed and which was not
     checked again for ten minutes.
     """
-    desk = Desk()
-    ticket = desk.ticket("archiv-a")
-    desk.slow(10_000)
-    first = desk.release("archiv-a", "goods", ticket)
-    desk.fleet.run_for(1_000)
+    client = Desk()
+    ticket = client.ticket("archiv-a")
+    client.slow(10_000)
+    first = client.release("archiv-a", "goods", ticket)
+    client.fleet.run_for(1_000)
     for host in ("vydej-a", "vydej-c"):
-        desk.fleet.pause(host)
-    desk.fleet.run_for(1_200)
+        client.fleet.pause(host)
+    client.fleet.run_for(1_200)
     assert [outcome.verdict for outcome in first] == [Verdict.MAY_HAVE_RUN]
-    second = desk.release("archiv-a", "goods", ticket)
-    desk.fleet.run_for(2_200)
+    second = client.release("archiv-a", "goods", ticket)
+    client.fleet.run_for(2_200)
     assert [outcome.verdict for outcome in second] == [Verdict.MAY_HAVE_RUN]
 
 
@@ -47,16 +47,16 @@
     Failure: the node reported not-run, so the caller would use a new ticket and the
     supplier would ship twice.
     """
-    desk = Desk()
-    ticket = desk.ticket("archiv-a")
-    outcomes = desk.release("archiv-a", "goods", ticket)
-    desk.fleet.run_for(500)
+    client = Desk()
+    ticket = client.ticket("archiv-a")
+    outcomes = client.release("archiv-a", "goods", ticket)
+    client.fleet.run_for(500)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.ANSWERED]
-    desk.fleet.kill("archiv-b")
-    desk.fleet.platform_down()
-    desk.fleet.restart("archiv-b")
-    outcomes = desk.release("archiv-b", "goods", ticket)
-    desk.fleet.run_for(1)
+    client.fleet.kill("archiv-b")
+    client.fleet.platform_down()
+    client.fleet.restart("archiv-b")
+    outcomes = client.release("archiv-b", "goods", ticket)
+    client.fleet.run_for(1)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.MAY_HAVE_RUN]
 
 
@@ -68,15 +68,15 @@
     and answered not-run, so the backend server could request a ticket and release
     twice.
     """
-    desk = Desk()
-    fleet = desk.fleet
-    ticket_outcomes = desk.ask(
+    client = Desk()
+    fleet = client.fleet
+    ticket_outcomes = client.ask(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     fleet.run_for(1)
     for host in ("schvaleni-b", "schvaleni-c"):
         fleet.kill(host)
-    desk.ask(
+    client.ask(
         "archiv-a",
         "approval",
         "schvaleni",
@@ -91,7 +91,7 @@
     fleet.kill("schvaleni-a")
     fleet.restart("schvaleni-a")
     fleet.run_for(12_000)
-    assert fleet.checks.outcomes["approval/release.0"] is Verdict.MAY_HAVE_RUN
+    assert fleet.checks.told["approval/release.0"] is Verdict.MAY_HAVE_RUN
 
 
 def test_resumed_node_still_answers_its_tickets():
@@ -100,17 +100,17 @@
 
     Failure: the node reported may-have-run although it held the complete first answer.
     """
-    desk = Desk()
-    ticket, unused = desk.ticket("archiv-a"), desk.ticket("archiv-a")
-    desk.release("archiv-a", "goods", ticket)
-    desk.fleet.run_for(500)
-    desk.fleet.pause("archiv-a")
-    desk.fleet.run_for(5_000)
-    desk.fleet.cut_zones("brno-a")
-    desk.fleet.wake("archiv-a")
-    outcomes = desk.release("archiv-a", "goods", ticket)
-    first = desk.release("archiv-a", "other", unused)
-    desk.fleet.run_for(1)
+    client = Desk()
+    ticket, unused = client.ticket("archiv-a"), client.ticket("archiv-a")
+    client.release("archiv-a", "goods", ticket)
+    client.fleet.run_for(500)
+    client.fleet.pause("archiv-a")
+    client.fleet.run_for(5_000)
+    client.fleet.cut_zones("brno-a")
+    client.fleet.wake("archiv-a")
+    outcomes = client.release("archiv-a", "goods", ticket)
+    first = client.release("archiv-a", "other", unused)
+    client.fleet.run_for(1)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.ANSWERED]
     assert [outcome.reason for outcome in first] == [Reason.NO_DOCUMENT]
     assert [outcome.verdict for outcome in first] == [Verdict.NOT_RUN]
@@ -122,15 +122,15 @@
 
     The node can forward the ticket to its owner without classifying the request.
     """
-    desk = Desk()
-    ticket = desk.ticket("archiv-a")
-    desk.release("archiv-a", "goods", ticket)
-    desk.fleet.run_for(500)
-    desk.fleet.kill("archiv-b")
-    desk.fleet.restart("archiv-b")
-    desk.fleet.run_for(1_500)
-    outcomes = desk.release("archiv-b", "goods", ticket)
-    desk.fleet.run_for(100)
+    client = Desk()
+    ticket = client.ticket("archiv-a")
+    client.release("archiv-a", "goods", ticket)
+    client.fleet.run_for(500)
+    client.fleet.kill("archiv-b")
+    client.fleet.restart("archiv-b")
+    client.fleet.run_for(1_500)
+    outcomes = client.release("archiv-b", "goods", ticket)
+    client.fleet.run_for(100)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.ANSWERED]
 
 
@@ -141,20 +141,20 @@
     Failure: the operation is repeatable under the old document, so the node ran the
     same ticket once for each time it arrived.
     """
-    desk = Desk()
-    process = desk.fleet.processes["schvaleni-a"]
+    client = Desk()
+    process = client.fleet.processes["schvaleni-a"]
     operation = process.node.entry.classifier.operation(
         "schvaleni", "GET", "/orders/17/history"
     )
     ticket = process.node.entry.ledger.issue(
-        "acme", operation.name, desk.fleet.schedule.now_ms
+        "acme", operation.name, client.fleet.schedule.now_ms
     )
-    desk.fleet.checks.once.add("history")
+    client.fleet.checks.once.add("history")
     for _ in range(2):
-        outcomes = desk.ask(
+        outcomes = client.ask(
             "schvaleni-a", "history", "schvaleni", "GET", "/orders/17/history", ticket
         )
-        desk.fleet.run_for(500)
+        client.fleet.run_for(500)
         assert [outcome.verdict for outcome in outcomes] == [Verdict.ANSWERED]
 
 
@@ -165,12 +165,12 @@
     the second release that used it got may-have-run, as the ticket belonged to another
     request.
     """
-    desk = Desk()
-    ticket = desk.ticket("archiv-a")
-    outcomes = [desk.release("archiv-a", "goods", ticket) for _ in range(2)]
-    desk.fleet.run_for(500)
-    assert [outcomes[0].verdict for outcomes in outcomes] == [Verdict.ANSWERED] * 2
-    assert outcomes[0][0].ticket != outcomes[1][0].ticket
+    client = Desk()
+    ticket = client.ticket("archiv-a")
+    outcome_lists = [client.release("archiv-a", "goods", ticket) for _ in range(2)]
+    client.fleet.run_for(500)
+    assert [outcomes[0].verdict for outcomes in outcome_lists] == [Verdict.ANSWERED] * 2
+    assert outcome_lists[0][0].ticket != outcome_lists[1][0].ticket
 
 
 def test_frame_held_in_a_silent_link_starts_nothing_after_its_fence():
@@ -180,15 +180,15 @@
 
     Without the fence the release would run after it was reported as not run.
     """
-    desk = Desk()
-    fleet = desk.fleet
-    ticket = desk.ticket("archiv-a")
+    client = Desk()
+    fleet = client.fleet
+    ticket = client.ticket("archiv-a")
     fleet.kill("vydej-c")
     fleet.run_for(1_000)
     fleet.silence("archiv-a", "vydej-a")
-    desk.release("archiv-a", "goods", ticket)
+    client.release("archiv-a", "goods", ticket)
     fleet.run_for(5_500)
-    outcomes = desk.release("archiv-a", "goods", ticket)
+    outcomes = client.release("archiv-a", "goods", ticket)
     fleet.run_for(100)
     assert [outcome.verdict for outcome in outcomes] == [Verdict.NOT_RUN]
     fleet.release()
@@ -203,16 +203,16 @@
 
     Failure: the release would run twice, once for each ticket.
     """
-    desk = Desk()
-    fleet = desk.fleet
-    ticket = desk.ticket("archiv-a")
+    client = Desk()
+    fleet = client.fleet
+    ticket = client.ticket("archiv-a")
     fleet.kill("vydej-a")
     fleet.kill("vydej-c")
     fleet.run_for(100)
-    first = desk.release("archiv-a", "goods", ticket)
+    first = client.release("archiv-a", "goods", ticket)
     fleet.restart("vydej-a")
     fleet.run_for(SETTLED_MS)
-    late = desk.release("archiv-b", "goods", ticket)
+    late = client.release("archiv-b", "goods", ticket)
     fleet.run_for(500)
-    outcomes = [outcome.verdict for outcome in (*first, *late)]
-    assert outcomes == [Verdict.NOT_RUN] * 2
+    verdicts = [outcome.verdict for outcome in (*first, *late)]
+    assert verdicts == [Verdict.NOT_RUN] * 2
