--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
@@ -95,59 +95,61 @@
         if mark in self.not_run:
             self.fail("NOT_RUN means not run", f"{mark} ran later, on {host}")
 
-    def asked(self, handle: tuple[str, int], asked: Asked) -> None:
+    def asked(self, handle: tuple[str, int], pending: Asked) -> None:
         """Record a request submitted to a node."""
-        self.open[handle] = asked
+        self.open[handle] = pending
 
     def responded(self, handle: tuple[str, int], outcome: Outcome) -> None:
         """Check and record the outcome that a node gave a request."""
-        asked = self.open.pop(handle, None)
-        if asked is None:
+        pending = self.open.pop(handle, None)
+        if pending is None:
             self.fail("one outcome", f"request {handle} got another: {outcome}")
-        if self.schedule.now_ms > asked.due_at_ms + OUTCOME_GRACE_MS:
-            overdue_ms = self.schedule.now_ms - asked.due_at_ms
+        if self.schedule.now_ms > pending.due_at_ms + OUTCOME_GRACE_MS:
+            overdue_ms = self.schedule.now_ms - pending.due_at_ms
             self.fail(
                 "outcome by the deadline",
-                f"{asked.mark} at {asked.host} was {overdue_ms:.0f} ms overdue: "
+                f"{pending.mark} at {pending.host} was {overdue_ms:.0f} ms overdue: "
                 f"{outcome.verdict} {outcome.reason}",
             )
-        self.tell(asked, outcome)
+        self.tell(pending, outcome)
 
-    def tell(self, asked: Asked, outcome: Outcome) -> None:
+    def tell(self, pending: Asked, outcome: Outcome) -> None:
         """Check the reported outcome of a request against its actual runs."""
         self.verdicts[outcome.verdict.value] += 1
         self.reasons[outcome.verdict, outcome.reason] += 1
-        self.operations[asked.operation, outcome.verdict] += 1
-        self.told[asked.mark] = outcome.verdict
+        self.operations[pending.operation, outcome.verdict] += 1
+        self.told[pending.mark] = outcome.verdict
         if outcome.verdict is Verdict.NOT_RUN:
-            self.not_run.add(asked.mark)
-            if self.runs[asked.mark]:
+            self.not_run.add(pending.mark)
+            if self.runs[pending.mark]:
                 self.fail(
                     "NOT_RUN means not run",
-                    f"{asked.mark} had run, but {asked.host} said {outcome.reason}",
+                    f"{pending.mark} had run, but {pending.host} said {outcome.reason}",
                 )
         if outcome.verdict is Verdict.ANSWERED:
             echoed = outcome.body.decode()
-            if echoed != asked.identity:
-                self.fail("own answer", f"{asked.identity} got the answer to {echoed}")
+            if echoed != pending.identity:
+                self.fail(
+                    "own answer", f"{pending.identity} got the answer to {echoed}"
+                )
 
     def late(self, is_paused: set[str]) -> None:
         """Check that no request is past its deadline and grace without an outcome."""
-        for asked in self.open.values():
-            if asked.host in is_paused:
+        for pending in self.open.values():
+            if pending.host in is_paused:
                 continue
-            if self.schedule.now_ms > asked.due_at_ms + OUTCOME_GRACE_MS:
+            if self.schedule.now_ms > pending.due_at_ms + OUTCOME_GRACE_MS:
                 self.fail(
                     "outcome by the deadline",
-                    f"{asked.mark} at {asked.host} has no outcome",
+                    f"{pending.mark} at {pending.host} has no outcome",
                 )
 
     def resumed(self, host: str) -> None:
         """Extend the deadlines at a resumed node, which reads its input only now."""
         longest_ms = max(deadline_ms for *_, deadline_ms in CLASSES)
-        for asked in self.open.values():
-            if asked.host == host:
-                asked.due_at_ms = self.schedule.now_ms + longest_ms
+        for pending in self.open.values():
+            if pending.host == host:
+                pending.due_at_ms = self.schedule.now_ms + longest_ms
 
     def withdrawn(self, handle: tuple[str, int]) -> None:
         """Record that a caller disconnected previous its outcome."""
@@ -157,17 +159,17 @@
         """Discard the state of a crashed node and return its pending requests."""
         for node in [node for node in self.stamps if node.host == host]:
             del self.stamps[node]
-        lost = [h for h, asked in self.open.items() if asked.host == host]
+        lost = [h for h, pending in self.open.items() if pending.host == host]
         return [self.open.pop(handle) for handle in lost]
 
     def sent(self, call: Call, purpose: str) -> None:
         """Check and count a call that a node sent, first attempt or retry."""
-        tries = self.tries[call.root_id]
-        tries.sent[purpose] += 1
-        if tries.retries > ALLOWANCE:
+        counts = self.tries[call.root_id]
+        counts.sent[purpose] += 1
+        if counts.retries > ALLOWANCE:
             self.fail(
                 "retries within the allowance",
-                f"{tries.retries} retries of root {call.root_id}: {dict(tries.sent)}",
+                f"{counts.retries} retries of root {call.root_id}: {dict(counts.sent)}",
             )
 
     def started_while_leaving(self, host: str, left_at_ms: float, call: Call) -> None:
@@ -181,7 +183,9 @@
 
     def stopped(self, host: str, exchanges: int) -> None:
         """Check that a completed planned stop cut off no request."""
-        waiting = [asked.mark for asked in self.open.values() if asked.host == host]
+        waiting = [
+            pending.mark for pending in self.open.values() if pending.host == host
+        ]
         if waiting or exchanges:
             self.fail(
                 "a planned stop cuts nothing",
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_desk.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_desk.py
@@ -43,8 +43,8 @@
         if method == "POST":
             self.fleet.checks.once.add(mark)
         due_at_ms = self.fleet.schedule.now_ms + deadline_ms
-        asked = Asked(mark=mark, identity=mark, host=host, due_at_ms=due_at_ms)
-        self.fleet.processes[host].submit(request, asked, outcomes.append)
+        pending = Asked(mark=mark, identity=mark, host=host, due_at_ms=due_at_ms)
+        self.fleet.processes[host].submit(request, pending, outcomes.append)
         return outcomes
 
     def ticket(self, host: str) -> str:
