--- a/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
+++ b/packages/sassafraswinch-sidecar/tests/sidecar_standins/fleet.py
@@ -136,7 +136,7 @@
     def of(self, service: str) -> list[Node]:
         return [node for node in self.nodes if node.service == service]
 
-    async def call(self, node: Node, **options) -> "Got":
+    async def call(self, node: Node, **options) -> "CallerResponse":
         return await call(node.settings.address("outbound"), **options)
 
 
