--- a/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
+++ b/packages/sassafraswinch-sidecar/tests/test_crashing_requests.py
@@ -335,7 +335,7 @@
     """A request was held back for long enough. Its copies arrive at all hosts at once;
     one of them may run, and ends one server more.
     """
-    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 2_000.0)
+    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_DELAY_MS", 2_000.0)
     async with running_fleet(*["archiv"] * 3, "schvaleni", "vydej") as fleet:
         servers = CrashingServers(fleet, "archiv")
         await end_three_servers(fleet, servers)
@@ -354,7 +354,7 @@
     """The servers' fault is mended. The first trial shows it, and the request goes its
     usual way from then on, at every host.
     """
-    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_MS", 1_500.0)
+    monkeypatch.setattr(crash_suspects, "FIRST_TRIAL_DELAY_MS", 1_500.0)
     async with running_fleet("archiv", "archiv", "schvaleni") as fleet:
         servers = CrashingServers(fleet, "archiv")
         await end_three_servers(fleet, servers)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
@@ -6,7 +6,7 @@
 from sassafraswinch.admission import AdaptiveGate
 from sassafraswinch.execution import ExecutionLedger
 from sassafraswinch.gate import Gate, GateDecision
-from sassafraswinch.levels import EntryShedder
+from sassafraswinch.levels import IngressShedder
 from sassafraswinch.messages import Call, Message, Rank
 from sassafraswinch.node import Node
 from sassafraswinch.ports import LinkPort
@@ -67,7 +67,7 @@
         return decision
 
 
-class WatchedShedder(EntryShedder):
+class WatchedShedder(IngressShedder):
     """Ingress shedder that passes each decision to the checks."""
 
     def __init__(self, *, host: str, checks: Checks):
