--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from sassafraswinch.dispatch_end import SHED_HEADER, SHED_STATUS
+from sassafraswinch.dispatch_result import SHED_HEADER, SHED_STATUS
 from sassafraswinch.messages import Call
 from sassafraswinch.requests import BackendResult, CallKey, Outcome, Request
 from sassafraswinch.verdict import Reason, Verdict
--- a/packages/sassafraswinch/tests/utils/fake_server.py
+++ b/packages/sassafraswinch/tests/utils/fake_server.py
@@ -122,7 +122,7 @@
         self._calls: dict[int, FakeCall] = {}
         self._keys = itertools.count()
 
-    def run(self, duration_ms: float) -> "Trial":
+    def run(self, duration_ms: float) -> "GateSimulation":
         for stream in self.streams:
             self._later(0.0, self._arrive, stream)
         self._later(TICK_MS, self._tick)
