--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
@@ -13,7 +13,7 @@
 from sassafraswinch.retry import CallerRetryBudget
 from sassafraswinch.routing import Router
 from sassafraswinch.tickets import TicketLedger
-from sassafraswinch.versions import ConfigKeeper
+from sassafraswinch.versions import DocumentStore
 from sassafraswinch_standins.memory_checks import Checks
 from sassafraswinch_standins.memory_document import digest_of, read_document
 
@@ -132,7 +132,7 @@
         ledger=ExecutionLedger(max_answer_bytes=MAX_ANSWER_BYTES),
         shedder=WatchedShedder(host=process.host, checks=process.checks),
         budget=CallerRetryBudget(share_percent=10),
-        keeper=ConfigKeeper(parse=read_document, digest=digest_of, rng=rng),
+        document_store=DocumentStore(parse=read_document, digest=digest_of, rng=rng),
         service=process.record.service,
         rng=rng,
     )
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
@@ -58,7 +58,7 @@
         self._resumed_at_ms = 0.0
         self._proved_ms: dict[str, float] = {}
         self.membership = Membership(self_host=self.host)
-        self.membership.learn((record,), self.schedule.now_ms)
+        self.membership.add_hosts((record,), self.schedule.now_ms)
         self.wake_detector = WakeDetector(tick_ms=TICK_MS)
         self._mailbox: deque[Action] = deque()
         self._timers: deque[Action] = deque()
@@ -198,7 +198,7 @@
     ) -> None:
         """Pass a message to the node."""
         self.observe()
-        self.node.message(node, session, message, self.now_ms)
+        self.node.handle_message(node, session, message, self.now_ms)
 
     def link_lost(
         self, node: NodeId, session: int, *, dialled: bool, replaced: bool
@@ -264,7 +264,7 @@
     def observe(self) -> None:
         """Report a pause of this process to the node, before any other input."""
         if self.wake_detector.observe(monotonic_ms=self.now_ms, wall_ms=self.now_ms):
-            self.node.woke(self.now_ms)
+            self.node.resume_after_pause(self.now_ms)
 
     def _check_document(self) -> None:
         keeper = self.node.configuration.keeper
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
@@ -50,9 +50,9 @@
             return
         if hosts is not None:
             version, records = hosts
-            process.membership.replace(records, version, process.now_ms)
+            process.membership.apply_host_list(records, version, process.now_ms)
         if published is not None:
             self._document_version = published.version
             configuration = process.node.configuration
-            candidate = configuration.keeper.read(published.body)
+            candidate = configuration.keeper.parse_body(published.body)
             configuration.platform_read(candidate, process.now_ms)
