--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
@@ -249,7 +249,7 @@
     def check_converged(self) -> None:
         """Check that all nodes hold the same document, the newest visible to them."""
         stamps = {
-            host: process.node.configuration.keeper.stamp
+            host: process.node.document_exchange.keeper.stamp
             for host, process in self.processes.items()
         }
         published = self.platform.document(after=0)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
@@ -191,7 +191,7 @@
         """Pass a new link and the document version in its ``Hello`` to the node."""
         self.observe()
         self.node.link_up(hello.node, session, dialled=dialled, now_ms=self.now_ms)
-        self.node.configuration.greeted(hello, self.now_ms)
+        self.node.document_exchange.record_hello(hello, self.now_ms)
 
     def link_message(
         self, node: NodeId, session: int, message: Message, *, dialled: bool
@@ -250,7 +250,7 @@
         step(subject, self.now_ms)
 
     def _hello(self, session: int) -> Hello:
-        stamp = self.node.configuration.keeper.stamp
+        stamp = self.node.document_exchange.keeper.stamp
         return Hello(
             protocol_version=PROTOCOL_VERSION,
             node=self.node_id,
@@ -267,7 +267,7 @@
             self.node.resume_after_pause(self.now_ms)
 
     def _check_document(self) -> None:
-        keeper = self.node.configuration.keeper
+        keeper = self.node.document_exchange.keeper
         self.checks.holds(self.node_id, keeper.stamp)
         if self.node.entry.classifier is not None:
             self.checks.serves(self.host, keeper.stamp)
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
@@ -53,6 +53,6 @@
             process.membership.apply_host_list(records, version, process.now_ms)
         if published is not None:
             self._document_version = published.version
-            configuration = process.node.configuration
-            candidate = configuration.keeper.parse_body(published.body)
-            configuration.platform_read(candidate, process.now_ms)
+            document_exchange = process.node.document_exchange
+            candidate = document_exchange.keeper.parse_body(published.body)
+            document_exchange.apply_platform_document(candidate, process.now_ms)
--- a/packages/sassafraswinch-standins/tests/test_memory_tickets.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_tickets.py
@@ -143,7 +143,7 @@
     """
     client = Desk()
     process = client.fleet.processes["schvaleni-a"]
-    operation = process.node.entry.classifier.operation(
+    operation = process.node.entry.classifier.find_operation(
         "schvaleni", "GET", "/orders/17/history"
     )
     ticket = process.node.entry.ledger.issue(
