--- a/tests/fault_soak/fleet.py
+++ b/tests/fault_soak/fleet.py
@@ -63,7 +63,7 @@
         routes: proxied connections by what they lead to: link, store, server.
     """
 
-    def __init__(self, *, number: int, prefix: str, play: "Play"):
+    def __init__(self, *, number: int, prefix: str, play: "FaultSoakFleet"):
         self.name = f"host-{number}"
         self.ip = f"{prefix}.{number}"
         self.zone = f"zone-{number % 2}"
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -287,7 +287,7 @@
 
 async def test_silent_connections_are_not_used_again(standin, store, monkeypatch):
     """Guards against one lost answer after the other, each on an old connection."""
-    monkeypatch.setattr(store_module, "WATCH_ANSWER_S", 0.05)
+    monkeypatch.setattr(store_module, "WATCH_RESPONSE_TIMEOUT_S", 0.05)
     standin.answers["/v1/kv-key"] = lambda query: (404, {})
     standin.answers["/v1/kv-watch"] = lambda query: (200, {"events": [], "at_rev": 8})
     await asyncio.gather(store.lists("a"), store.lists("b"))
