--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_backend.py
@@ -9,7 +9,7 @@
 from sassafraswinch.messages import Call
 from sassafraswinch.requests import BackendResult, CallKey, Outcome, Request
 from sassafraswinch.verdict import Reason, Verdict
-from sassafraswinch_standins.memory_checks import Asked, Checks
+from sassafraswinch_standins.memory_checks import Checks, PendingRequest
 from sassafraswinch_standins.memory_schedule import Action, Schedule
 
 MARK_HEADER = "x-mark"
@@ -17,9 +17,9 @@
 PURPOSE_HEADER = "x-purpose"
 """Identifies the purpose of a call within its call tree; its retries share it."""
 
-LOOPBACK_MS = 0.1
+LOOPBACK_LATENCY_MS = 0.1
 SERVICE_MS = 12.0
-MAX_REPEATS = 2
+MAX_CHILD_RETRIES = 2
 """Retries of a failed child call by a backend server."""
 
 CHILDREN = {
@@ -47,7 +47,7 @@
     def submit_child(
         self,
         request: Request,
-        pending: Asked,
+        pending: PendingRequest,
         on_outcome: Callable[[Outcome | None], None],
     ) -> None:
         """Submit a child call of the backend server."""
@@ -85,7 +85,7 @@
     mark: str
     children: list[tuple[str, str, str]]
     failed: bool = False
-    repeats: int = 0
+    retries: int = 0
     generation: int = 0
     """Increases with each child call proved not run: its retry is a new request."""
     ended: bool = False
@@ -97,11 +97,11 @@
 
     slow_factor: float = 1.0
     shed_share: float = 0.0
-    die_share: float = 0.0
+    crash_share: float = 0.0
     unreachable: bool = False
-    impatient_share: float = 0.0
+    early_retry_share: float = 0.0
     """Share of child calls that are retried before their first outcome."""
-    deaf_share: float = 0.5
+    ignore_close_share: float = 0.5
     """Share of steps at which a run continues although its connection was closed."""
 
 
@@ -119,13 +119,13 @@
     running: set[Run] = field(default_factory=set)
     _numbers: itertools.count = field(default_factory=lambda: itertools.count(1))
 
-    def take(self, exchange: Exchange) -> None:
+    def accept(self, exchange: Exchange) -> None:
         """Accept a call, which arrives after the delay of the loopback interface."""
-        self.schedule.after(LOOPBACK_MS, lambda: self._begin(exchange))
+        self.schedule.after(LOOPBACK_LATENCY_MS, lambda: self._begin(exchange))
         left_ms = exchange.due_at_ms - self.schedule.now_ms
         self.schedule.after(left_ms, lambda: exchange.end(_broken()))
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Break off all runs, as a crash of the host does."""
         for run in tuple(self.running):
             self._end(run, _broken())
@@ -153,8 +153,8 @@
         )
         self.running.add(run)
         self.runs += 1
-        self.checks.ran(run.mark, exchange.identity, self.host)
-        if rng.random() < faults.die_share:
+        self.checks.record_run(run.mark, exchange.identity, self.host)
+        if rng.random() < faults.crash_share:
             self._after_service_time(lambda: self._end(run, _broken()))
         else:
             self._after_service_time(lambda: self._advance(run))
@@ -166,18 +166,18 @@
     def _advance(self, run: Run) -> None:
         if run.ended:
             return
-        ignores_close = self.schedule.rng.random() < self.faults.deaf_share
+        ignores_close = self.schedule.rng.random() < self.faults.ignore_close_share
         if not run.exchange.is_open and not ignores_close:
             self._end(run, _broken())
         elif run.children:
-            run.repeats = 0
+            run.retries = 0
             self._call_child(run)
         else:
             self._after_service_time(lambda: self._end(run, _answer(run)))
 
     def _call_child(self, run: Run) -> None:
         self._send_child(run, lambda outcome: self._child_done(run, outcome))
-        if self.schedule.rng.random() < self.faults.impatient_share:
+        if self.schedule.rng.random() < self.faults.early_retry_share:
             self._after_service_time(lambda: self._send_child_again(run))
 
     def _send_child_again(self, run: Run) -> None:
@@ -194,7 +194,7 @@
         attempt = next(self._numbers)
         mark = f"{run.mark}/{self.host}.{attempt}/{name}"
         if once:
-            self.checks.once.add(identity)
+            self.checks.at_most_once.add(identity)
             mark = f"{identity}.{run.generation}"
         purpose = f"{self.host}.{run.number}/{name}"
         request = Request(
@@ -206,7 +206,7 @@
             body=identity.encode(),
             traceparent=exchange.traceparent,
         )
-        pending = Asked(
+        pending = PendingRequest(
             mark=mark,
             identity=identity,
             host=self.host,
@@ -214,7 +214,7 @@
         )
         egress = self.egress()
         if egress is None:
-            self.schedule.after(LOOPBACK_MS, lambda: on_outcome(None))
+            self.schedule.after(LOOPBACK_LATENCY_MS, lambda: on_outcome(None))
         else:
             egress.submit_child(request, pending, on_outcome)
 
@@ -224,8 +224,8 @@
         answered = outcome is not None and outcome.verdict is Verdict.ANSWERED
         if outcome is not None and outcome.verdict is Verdict.NOT_RUN:
             run.generation += 1
-        if not answered and run.repeats < MAX_REPEATS:
-            run.repeats += 1
+        if not answered and run.retries < MAX_CHILD_RETRIES:
+            run.retries += 1
             self._after_service_time(lambda: self._retry_child(run))
             return
         run.failed |= not answered
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_callers.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_callers.py
@@ -8,7 +8,7 @@
 from sassafraswinch.requests import Outcome, Request
 from sassafraswinch.verdict import Reason, Verdict
 from sassafraswinch_standins.memory_backend import MARK_HEADER, PURPOSE_HEADER
-from sassafraswinch_standins.memory_checks import Asked, Checks
+from sassafraswinch_standins.memory_checks import Checks, PendingRequest
 from sassafraswinch_standins.memory_document import (
     CLASSES,
     OPERATIONS,
@@ -17,7 +17,7 @@
 from sassafraswinch_standins.memory_process import MemoryProcess
 from sassafraswinch_standins.memory_schedule import Schedule
 
-CLIENT_MS = 3.0
+CLIENT_LATENCY_MS = 3.0
 """One-way latency between a caller and a node."""
 
 
@@ -32,7 +32,7 @@
     organisation: str
 
     @property
-    def once(self) -> bool:
+    def needs_ticket(self) -> bool:
         """Whether it needs a ticket, as it may run at most once."""
         return self.method == "POST"
 
@@ -43,7 +43,7 @@
         return next(
             deadline_ms
             for _, organisations, operations, deadline_ms in CLASSES
-            if organisations in ("", tier) and (not operations or self.once)
+            if organisations in ("", tier) and (not operations or self.needs_ticket)
         )
 
 
@@ -53,7 +53,7 @@
 
     identity: str
     traffic: Traffic
-    repeats_left: int
+    retries_left: int
     generation: int = 0
     ticket: str | None = None
     attempts: int = 0
@@ -149,13 +149,13 @@
             organisation=organisation,
         )
         demand = Demand(
-            identity=f"{operation}-{number}", traffic=traffic, repeats_left=repeats
+            identity=f"{operation}-{number}", traffic=traffic, retries_left=repeats
         )
         self.demands.append(demand)
         self._attempt(demand, host, patience_ms)
         return demand
 
-    def repeat(self, demand: Demand) -> None:
+    def retry(self, demand: Demand) -> None:
         """Send a request again through a random node, even if it runs or has ended."""
         self._attempt(demand, None, None)
 
@@ -168,11 +168,11 @@
         node = self.schedule.rng.choice(nodes)
         traffic = demand.traffic
         tickets = self._tickets[traffic]
-        if traffic.once and demand.ticket is None and tickets:
+        if traffic.needs_ticket and demand.ticket is None and tickets:
             demand.ticket = tickets.pop()
         demand.attempts += 1
         demand.ticket_uses += demand.ticket is not None
-        has_ticket = traffic.once and demand.ticket is not None
+        has_ticket = traffic.needs_ticket and demand.ticket is not None
         mark = demand.mark if has_ticket else f"{demand.mark}.{demand.attempts}"
         request = Request(
             handle=0,
@@ -192,7 +192,7 @@
             node=node,
             patience_ms=patience_ms,
         )
-        self.schedule.after(CLIENT_MS, lambda: self._arrive(attempt))
+        self.schedule.after(CLIENT_LATENCY_MS, lambda: self._arrive(attempt))
 
     def _arrive(self, attempt: Attempt) -> None:
         node = attempt.node
@@ -200,9 +200,9 @@
             self._finish(attempt, None)
             return
         traffic = attempt.demand.traffic
-        if traffic.once:
-            self.checks.once.add(attempt.demand.identity)
-        pending = Asked(
+        if traffic.needs_ticket:
+            self.checks.at_most_once.add(attempt.demand.identity)
+        pending = PendingRequest(
             mark=attempt.mark,
             identity=attempt.demand.identity,
             host=node.host,
@@ -221,8 +221,8 @@
         if outcome is not None:
             demand.done |= is_current and outcome.verdict is Verdict.ANSWERED
             self._keep_ticket(attempt, outcome, is_current)
-        if is_current and not demand.done and demand.repeats_left:
-            demand.repeats_left -= 1
+        if is_current and not demand.done and demand.retries_left:
+            demand.retries_left -= 1
             pause_ms = self.schedule.rng.uniform(1, 200)
             self.schedule.after(pause_ms, lambda: self._retry(demand))
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_chaos.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_chaos.py
@@ -5,7 +5,7 @@
 
 STEP_RANGE_MS = (5.0, 400.0)
 """Minimum and maximum time between two actions."""
-STORY_ACTIONS = 60
+ACTIONS_PER_ROUND = 60
 """Actions before all faults of a round are repaired."""
 SETTLE_MS = 20_000.0
 """Simulated time after a repair in which delayed frames arrive and could start
@@ -34,9 +34,9 @@
             self._surge,
         )
 
-    def story(self) -> None:
+    def run_round(self) -> None:
         """Run one round of load and faults, then repair all and check the fleet."""
-        for _ in range(STORY_ACTIONS):
+        for _ in range(ACTIONS_PER_ROUND):
             self._load()
             if self.rng.random() < 0.5:
                 self.rng.choice(self._faults)()
@@ -63,7 +63,7 @@
         )
         if self.rng.random() < 0.3:
             later_ms = self.rng.choice((1, 50, 500, 2_000, 6_000, 15_000))
-            self.fleet.schedule.after(later_ms, lambda: callers.repeat(demand))
+            self.fleet.schedule.after(later_ms, lambda: callers.retry(demand))
 
     def _random_host(self) -> str:
         return self.rng.choice(sorted(self.fleet.records))
@@ -80,11 +80,11 @@
         host = self._random_host()
         self.fleet.pause(host)
         later_ms = self.rng.choice((300, 2_500, 8_000))
-        self.fleet.schedule.after(later_ms, lambda: self.fleet.wake(host))
+        self.fleet.schedule.after(later_ms, lambda: self.fleet.resume(host))
 
     def _wake(self) -> None:
         for host in self.fleet.records:
-            self.fleet.wake(host)
+            self.fleet.resume(host)
 
     def _silence(self) -> None:
         first, second = self.rng.sample(sorted(self.fleet.records), 2)
@@ -130,17 +130,17 @@
         host = self._random_host()
         faults = self.fleet.backends[host].faults
         kind = self.rng.choice(("slow", "shed", "die", "unreachable", "impatient"))
-        self.fleet.note_backend(kind, host)
+        self.fleet.record_backend_fault(kind, host)
         faults.slow_factor = 30.0 if kind == "slow" else 1.0
         faults.shed_share = 0.5 if kind == "shed" else 0.0
-        faults.die_share = 0.5 if kind == "die" else 0.0
+        faults.crash_share = 0.5 if kind == "die" else 0.0
         faults.unreachable = kind == "unreachable"
-        faults.impatient_share = 0.5 if kind == "impatient" else 0.0
+        faults.early_retry_share = 0.5 if kind == "impatient" else 0.0
 
     def _leave(self) -> None:
         self.fleet.leave(self._random_host())
 
     def _surge(self) -> None:
-        self.fleet.note_surge()
+        self.fleet.record_surge()
         for _ in range(SURGE_CALLS):
             self.call()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_checks.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Asked:
+class PendingRequest:
     """Request that waits for its outcome."""
 
     mark: str
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Tries:
+class CallCounts:
     """Number of calls that nodes sent for one call tree, by purpose."""
 
     sent: Counter = field(default_factory=Counter)
@@ -59,17 +59,17 @@
         self.schedule = schedule
         self.runs: Counter[str] = Counter()
         """Runs on all backend servers, by the mark to which one verdict applies."""
-        self.once: set[str] = set()
+        self.at_most_once: set[str] = set()
         """Identities of requests that may run at most once, whatever their outcomes."""
-        self.once_runs: Counter[str] = Counter()
-        self.told: dict[str, Verdict] = {}
+        self.at_most_once_runs: Counter[str] = Counter()
+        self.last_verdicts: dict[str, Verdict] = {}
         """Last reported verdict of each mark."""
         self.not_run: set[str] = set()
         self.verdicts: Counter[str] = Counter()
         self.operations: Counter[tuple[str, Verdict]] = Counter()
         self.reasons: Counter[tuple[Verdict, Reason | None]] = Counter()
-        self.open: dict[tuple[str, int], Asked] = {}
-        self.tries: defaultdict[str, Tries] = defaultdict(Tries)
+        self.open: dict[tuple[str, int], PendingRequest] = {}
+        self.call_counts: defaultdict[str, CallCounts] = defaultdict(CallCounts)
         self.stamps: dict[NodeId, Stamp] = {}
         self.served: dict[str, Stamp] = {}
         self.calm = False
@@ -85,21 +85,21 @@
         at = f"at {self.schedule.now_ms:.1f} ms: "
         raise InvariantError(invariant=invariant, facts=at + facts)
 
-    def ran(self, mark: str, identity: str, host: str) -> None:
+    def record_run(self, mark: str, identity: str, host: str) -> None:
         """Check and record that a backend server began to run a request."""
         self.runs[mark] += 1
-        if identity in self.once:
-            self.once_runs[identity] += 1
-            if self.once_runs[identity] > 1:
+        if identity in self.at_most_once:
+            self.at_most_once_runs[identity] += 1
+            if self.at_most_once_runs[identity] > 1:
                 self.fail("at most once", f"{identity} ran again, on {host}: {mark}")
         if mark in self.not_run:
             self.fail("NOT_RUN means not run", f"{mark} ran later, on {host}")
 
-    def asked(self, handle: tuple[str, int], pending: Asked) -> None:
+    def record_request(self, handle: tuple[str, int], pending: PendingRequest) -> None:
         """Record a request submitted to a node."""
         self.open[handle] = pending
 
-    def responded(self, handle: tuple[str, int], outcome: Outcome) -> None:
+    def record_outcome(self, handle: tuple[str, int], outcome: Outcome) -> None:
         """Check and record the outcome that a node gave a request."""
         pending = self.open.pop(handle, None)
         if pending is None:
@@ -111,14 +111,14 @@
                 f"{pending.mark} at {pending.host} was {overdue_ms:.0f} ms overdue: "
                 f"{outcome.verdict} {outcome.reason}",
             )
-        self.tell(pending, outcome)
+        self.check_verdict(pending, outcome)
 
-    def tell(self, pending: Asked, outcome: Outcome) -> None:
+    def check_verdict(self, pending: PendingRequest, outcome: Outcome) -> None:
         """Check the reported outcome of a request against its actual runs."""
         self.verdicts[outcome.verdict.value] += 1
         self.reasons[outcome.verdict, outcome.reason] += 1
         self.operations[pending.operation, outcome.verdict] += 1
-        self.told[pending.mark] = outcome.verdict
+        self.last_verdicts[pending.mark] = outcome.verdict
         if outcome.verdict is Verdict.NOT_RUN:
             self.not_run.add(pending.mark)
             if self.runs[pending.mark]:
@@ -133,7 +133,7 @@
                     "own answer", f"{pending.identity} got the answer to {echoed}"
                 )
 
-    def late(self, is_paused: set[str]) -> None:
+    def check_overdue(self, is_paused: set[str]) -> None:
         """Check that no request is past its deadline and grace without an outcome."""
         for pending in self.open.values():
             if pending.host in is_paused:
@@ -144,27 +144,27 @@
                     f"{pending.mark} at {pending.host} has no outcome",
                 )
 
-    def resumed(self, host: str) -> None:
+    def extend_deadlines(self, host: str) -> None:
         """Extend the deadlines at a resumed node, which reads its input only now."""
         longest_ms = max(deadline_ms for *_, deadline_ms in CLASSES)
         for pending in self.open.values():
             if pending.host == host:
                 pending.due_at_ms = self.schedule.now_ms + longest_ms
 
-    def withdrawn(self, handle: tuple[str, int]) -> None:
+    def record_withdrawal(self, handle: tuple[str, int]) -> None:
         """Record that a caller disconnected previous its outcome."""
         self.open.pop(handle, None)
 
-    def host_gone(self, host: str) -> list[Asked]:
+    def discard_host(self, host: str) -> list[PendingRequest]:
         """Discard the state of a crashed node and return its pending requests."""
         for node in [node for node in self.stamps if node.host == host]:
             del self.stamps[node]
         lost = [h for h, pending in self.open.items() if pending.host == host]
         return [self.open.pop(handle) for handle in lost]
 
-    def sent(self, call: Call, purpose: str) -> None:
+    def record_call(self, call: Call, purpose: str) -> None:
         """Check and count a call that a node sent, first attempt or retry."""
-        counts = self.tries[call.root_id]
+        counts = self.call_counts[call.root_id]
         counts.sent[purpose] += 1
         if counts.retries > ALLOWANCE:
             self.fail(
@@ -181,7 +181,7 @@
             "leave",
         )
 
-    def stopped(self, host: str, exchanges: int) -> None:
+    def check_stopped(self, host: str, exchanges: int) -> None:
         """Check that a completed planned stop cut off no request."""
         waiting = [
             pending.mark for pending in self.open.values() if pending.host == host
@@ -192,7 +192,7 @@
                 f"{host}: {waiting} wait, {exchanges} calls at its backend server",
             )
 
-    def converged(self, stamps: dict[str, Stamp], version: int) -> None:
+    def check_converged(self, stamps: dict[str, Stamp], version: int) -> None:
         """Check that all nodes hold the same document, at least the platform's.
 
         Args:
@@ -202,12 +202,12 @@
         if len(set(stamps.values())) > 1 or min(stamps.values()).version < version:
             self.fail("in force everywhere", f"platform has {version}, nodes {stamps}")
 
-    def quiet(self, left: dict[str, list]) -> None:
+    def check_nothing_in_flight(self, left: dict[str, list]) -> None:
         """Check that nothing is left in flight long after the last call."""
         if left:
             self.fail("nothing is left behind", str(left))
 
-    def holds(self, node: NodeId, stamp: Stamp) -> None:
+    def record_held_document(self, node: NodeId, stamp: Stamp) -> None:
         """Check and record which document a node holds."""
         previous = self.stamps.get(node)
         if (
@@ -218,7 +218,7 @@
             self.fail("version never falls", f"{node.host}: {previous}, then {stamp}")
         self.stamps[node] = stamp
 
-    def serves(self, host: str, stamp: Stamp) -> None:
+    def record_applied_document(self, host: str, stamp: Stamp) -> None:
         """Check and record which document a host applies, over all its processes.
 
         A newer document is lost if no running process holds it any more; going back
@@ -240,21 +240,21 @@
                 "leave",
             )
 
-    def sent_on_old_view(self, sender: str, host: str) -> None:
+    def sent_on_stale_view(self, sender: str, host: str) -> None:
         """Fail as a resumed node sent a call to a host that has not answered since."""
         self.fail("no call on an old view", f"{sender} sent {host} a call on resuming")
 
-    def decided(
+    def check_decision(
         self, host: str, orders: dict[object, int], decision: GateDecision
     ) -> None:
         """Check that no lower class started after a higher one was refused."""
         for refusal in decision.refused:
             if refusal.reason in LOAD_REASONS:
-                self.admitted(host, orders[refusal.key], False)
+                self.check_admission(host, orders[refusal.key], False)
         for key in decision.start:
-            self.admitted(host, orders[key], True)
+            self.check_admission(host, orders[key], True)
 
-    def admitted(self, place: str, class_order: int, admitted: bool) -> None:
+    def check_admission(self, place: str, class_order: int, admitted: bool) -> None:
         """Check that no call is admitted right after a more important one's refusal."""
         at_ms, refused = self.instants.get(place, (-1.0, LOWEST))
         if at_ms != self.schedule.now_ms:
@@ -268,11 +268,11 @@
             refused = min(refused, class_order)
         self.instants[place] = self.schedule.now_ms, refused
 
-    def unproved(self) -> tuple[int, int]:
+    def count_undecided(self) -> tuple[int, int]:
         """Return how many requests ended as MAY_HAVE_RUN, and how many never ran."""
         undecided = [
             mark
-            for mark, verdict in self.told.items()
+            for mark, verdict in self.last_verdicts.items()
             if verdict is Verdict.MAY_HAVE_RUN
         ]
         return len(undecided), sum(1 for mark in undecided if not self.runs[mark])
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_around.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_context.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Surroundings:
+class FleetContext:
     """Components that all processes of a fleet share."""
 
     schedule: Schedule
@@ -27,7 +27,7 @@
     platform: MemoryPlatform
     sparse: bool
     """Whether nodes keep links to some hosts only and dial the others on demand."""
-    stopped: Callable[["MemoryProcess"], None]
+    on_process_stopped: Callable[["MemoryProcess"], None]
     """Called with each process whose planned stop is complete."""
 
     def dials(self, host: str, other: str) -> bool:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_fleet.py
@@ -5,10 +5,10 @@
 from functools import partial
 
 from sassafraswinch.membership import HostRecord, HostState
-from sassafraswinch_standins.memory_around import Surroundings
 from sassafraswinch_standins.memory_backend import MemoryBackend
 from sassafraswinch_standins.memory_callers import MemoryCallers
 from sassafraswinch_standins.memory_checks import Checks
+from sassafraswinch_standins.memory_context import FleetContext
 from sassafraswinch_standins.memory_document import make_document
 from sassafraswinch_standins.memory_network import MemoryNetwork
 from sassafraswinch_standins.memory_node import left_behind
@@ -51,13 +51,13 @@
             schedule=self.schedule, records=tuple(self.records.values())
         )
         self.network = MemoryNetwork(schedule=self.schedule, running=self.running)
-        self.around = Surroundings(
+        self.context = FleetContext(
             schedule=self.schedule,
             checks=self.checks,
             network=self.network,
             platform=self.platform,
             sparse=sparse,
-            stopped=self._process_stopped,
+            on_process_stopped=self._process_stopped,
         )
         self.backends = {
             name: MemoryBackend(
@@ -93,7 +93,7 @@
         """Start a node process without any earlier state."""
         process = MemoryProcess(
             record=self.records[host],
-            around=self.around,
+            context=self.context,
             backend=self.backends[host],
         )
         self.processes[host] = process
@@ -106,10 +106,10 @@
             return
         self._record_fault("kill host" if quiet else "kill process", host)
         self.network.process_gone(process, quiet=quiet)
-        self.checks.host_gone(host)
+        self.checks.discard_host(host)
         process.end()
         if quiet:
-            self.backends[host].die()
+            self.backends[host].crash()
 
     def restart(self, host: str) -> None:
         """Start a process on a host if none runs there."""
@@ -124,12 +124,12 @@
             self._record_fault("pause", host)
             process.pause()
 
-    def wake(self, host: str) -> None:
+    def resume(self, host: str) -> None:
         """Resume a paused process."""
         process = self.processes.get(host)
         if process is not None and process.paused:
             self._record_fault("wake", host)
-            process.wake()
+            process.resume()
 
     def silence(self, first: str, second: str) -> None:
         """Stall the connections between two hosts until ``release``."""
@@ -167,7 +167,7 @@
         if process is None or process.paused or process.left_at_ms is not None:
             return
         self._record_fault("leave", host)
-        self.platform.host_is(host, HostState.LEAVING)
+        self.platform.set_host_state(host, HostState.LEAVING)
         process.leave()
 
     def publish(self, *, skip: int = 1) -> None:
@@ -205,11 +205,11 @@
         body = b'{"version": %d, "classes": []}' % version
         self.platform.publish(body, version, valid=False)
 
-    def note_backend(self, kind: str, host: str) -> None:
+    def record_backend_fault(self, kind: str, host: str) -> None:
         """Record a fault of a backend server."""
         self._record_fault(f"backend {kind}", host)
 
-    def note_surge(self) -> None:
+    def record_surge(self) -> None:
         """Record a burst of calls."""
         self._record_fault("surge", "")
 
@@ -229,7 +229,7 @@
             backend.faults = type(backend.faults)()
         for process in list(self.processes.values()):
             if process.paused:
-                process.wake()
+                process.resume()
         self._finish_stop_of_all()
         for host in self.records:
             self.restart(host)
@@ -254,7 +254,7 @@
         }
         published = self.platform.document(after=0)
         version = published.version if self.platform.shows(published) else 0
-        self.checks.converged(stamps, version)
+        self.checks.check_converged(stamps, version)
 
     def check_quiet(self) -> None:
         """Check that nothing is left in flight long after the last request."""
@@ -262,7 +262,9 @@
             host: left_behind(process.node, self.processes)
             for host, process in self.processes.items()
         }
-        self.checks.quiet({host: calls for host, calls in left.items() if calls})
+        self.checks.check_nothing_in_flight(
+            {host: calls for host, calls in left.items() if calls}
+        )
 
     def _publish(self, version: int, kind: str) -> None:
         variant = f"v{next(self._variants)}"
@@ -277,16 +279,16 @@
 
     def _check_overdue(self) -> None:
         paused = {host for host, p in self.processes.items() if p.paused}
-        self.checks.late(paused)
+        self.checks.check_overdue(paused)
 
     def _process_stopped(self, process: MemoryProcess) -> None:
         host = process.host
-        self.checks.stopped(host, process.exchanges)
+        self.checks.check_stopped(host, process.exchanges)
         del self.processes[host]
-        self.checks.host_gone(host)
+        self.checks.discard_host(host)
         self.network.process_gone(process, quiet=False)
         process.end()
-        self.platform.host_is(host, HostState.LIVE)
+        self.platform.set_host_state(host, HostState.LIVE)
 
 
 def _records() -> tuple[HostRecord, ...]:
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_node.py
@@ -24,7 +24,7 @@
 MAX_ANSWER_BYTES = 200_000
 
 
-class WatchedGate:
+class CheckedGate:
     """Gate wrapper that passes each decision to the checks."""
 
     def __init__(self, *, gate: Gate, host: str, checks: Checks):
@@ -63,11 +63,11 @@
         self._gate.set_slots(slots)
 
     def _check(self, decision: GateDecision) -> GateDecision:
-        self._checks.decided(self._host, self._orders, decision)
+        self._checks.check_decision(self._host, self._orders, decision)
         return decision
 
 
-class WatchedShedder(IngressShedder):
+class CheckedShedder(IngressShedder):
     """Ingress shedder that passes each decision to the checks."""
 
     def __init__(self, *, host: str, checks: Checks):
@@ -79,11 +79,11 @@
         """Decide whether to admit a request and check the decision."""
         admitted = super().admits(operation, rank, now_ms)
         place = f"entry of {self._host}, {operation}"
-        self._checks.admitted(place, rank.class_order, admitted)
+        self._checks.check_admission(place, rank.class_order, admitted)
         return admitted
 
 
-class WatchedLinks:
+class CheckedLinks:
     """Link wrapper of the owner that passes each call sent to the checks."""
 
     def __init__(self, *, links: LinkPort, process: "MemoryProcess"):
@@ -116,7 +116,7 @@
         links=process.links,
         backend=process,
         callers=process,
-        gate=WatchedGate(
+        gate=CheckedGate(
             gate=AdaptiveGate(slots=6, rng=rng),
             host=process.host,
             checks=process.checks,
@@ -130,7 +130,7 @@
             max_answer_bytes=MAX_ANSWER_BYTES,
         ),
         ledger=ExecutionLedger(max_answer_bytes=MAX_ANSWER_BYTES),
-        shedder=WatchedShedder(host=process.host, checks=process.checks),
+        shedder=CheckedShedder(host=process.host, checks=process.checks),
         budget=CallerRetryBudget(share_percent=10),
         document_store=DocumentStore(parse=read_document, digest=digest_of, rng=rng),
         service=process.record.service,
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_platform.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_platform.py
@@ -83,7 +83,7 @@
         records = () if self.list_is_empty else tuple(self._records.values())
         return self._list_version, records
 
-    def host_is(self, name: str, state: HostState) -> None:
+    def set_host_state(self, name: str, state: HostState) -> None:
         """Change the state of a host in the list after ``LIST_LAG_MS``."""
         self._schedule.after(LIST_LAG_MS, lambda: self._change_list(name, state))
 
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_reads.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_platform_reader.py
@@ -13,7 +13,7 @@
 """Name of the platform's own zone in a network partition."""
 
 
-class PlatformReads:
+class MemoryPlatformReader:
     """Reads of the platform by one process.
 
     Attributes:
@@ -26,16 +26,16 @@
         self._platform = platform
         self._document_version = 0
 
-    def plan(self) -> None:
+    def schedule_next(self) -> None:
         """Schedule the next read after a random delay; each read schedules another."""
         process = self._process
         delay_ms = process.rng.uniform(*READ_INTERVAL_RANGE_MS)
         process.schedule.after(delay_ms, lambda: process.post(self._read))
 
     def _read(self) -> None:
-        self.plan()
+        self.schedule_next()
         process = self._process
-        network = process.around.network
+        network = process.context.network
         reachable = network.reachable(process.availability_zone, PLATFORM_ZONE)
         if reachable and self.allowed:
             process.observe()
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/memory_process.py
@@ -18,16 +18,16 @@
 from sassafraswinch.requests import BackendResult, CallKey, Outcome, Request
 from sassafraswinch.verdict import Reason, Verdict
 from sassafraswinch.wake import WakeDetector
-from sassafraswinch_standins.memory_around import Surroundings
 from sassafraswinch_standins.memory_backend import (
     PURPOSE_HEADER,
     Exchange,
     MemoryBackend,
 )
-from sassafraswinch_standins.memory_checks import Asked
+from sassafraswinch_standins.memory_checks import PendingRequest
+from sassafraswinch_standins.memory_context import FleetContext
 from sassafraswinch_standins.memory_links import HEARTBEAT_MS, MemoryLinks
-from sassafraswinch_standins.memory_node import WatchedLinks, make_node
-from sassafraswinch_standins.memory_reads import PlatformReads
+from sassafraswinch_standins.memory_node import CheckedLinks, make_node
+from sassafraswinch_standins.memory_platform_reader import MemoryPlatformReader
 from sassafraswinch_standins.memory_schedule import Action
 
 TICK_MS = 25.0
@@ -39,21 +39,21 @@
     """Node process on a host, from its start to its end."""
 
     def __init__(
-        self, *, record: HostRecord, around: Surroundings, backend: MemoryBackend
+        self, *, record: HostRecord, context: FleetContext, backend: MemoryBackend
     ):
         self.host = record.name
         self.availability_zone = record.availability_zone
         self.record = record
-        self.around = around
-        self.schedule = around.schedule
-        self.checks = around.checks
+        self.context = context
+        self.schedule = context.schedule
+        self.checks = context.checks
         self.backend = backend
         self.rng = random.Random(self.schedule.rng.getrandbits(64))
         self.node_id = NodeId(self.host, self.rng.getrandbits(63))
         self.alive = True
         self.paused = False
         self.left_at_ms: float | None = None
-        self.reads = PlatformReads(process=self, platform=around.platform)
+        self.reads = MemoryPlatformReader(process=self, platform=context.platform)
         self._paused_at_ms = 0.0
         self._resumed_at_ms = 0.0
         self._proved_ms: dict[str, float] = {}
@@ -69,14 +69,14 @@
         self.links = MemoryLinks(
             node=self.node_id,
             schedule=self.schedule,
-            connect=lambda links, link: around.network.connect(self, link),
+            connect=lambda links, link: context.network.connect(self, link),
             post=self.post_timer,
             receiver=self,
             hello=self._hello,
             heartbeat=lambda sequence: self.node.heartbeat(sequence, self.now_ms),
         )
         self.node = make_node(self)
-        self.node.owner.links = WatchedLinks(links=self.node.links, process=self)
+        self.node.owner.links = CheckedLinks(links=self.node.links, process=self)
 
     @property
     def now_ms(self) -> float:
@@ -89,7 +89,7 @@
         self.node.start(self.now_ms)
         self._run_periodically(TICK_MS, self._tick)
         self._run_periodically(HEARTBEAT_MS, self._send_heartbeats)
-        self.reads.plan()
+        self.reads.schedule_next()
 
     def post(self, action: Action) -> None:
         """Run an action now, or on resuming; never if the process has ended."""
@@ -104,12 +104,12 @@
         self.paused = True
         self._paused_at_ms = self.now_ms
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume the process: first the queued socket reads, then the timers."""
         self.paused = False
         if self.now_ms - self._paused_at_ms > LONG_PAUSE_MS:
             self._resumed_at_ms = self.now_ms
-        self.checks.resumed(self.host)
+        self.checks.extend_deadlines(self.host)
         for queue in (self._mailbox, self._timers):
             while queue:
                 self.post(queue.popleft())
@@ -124,7 +124,10 @@
             exchange.is_open = False
 
     def submit(
-        self, request: Request, pending: Asked, on_outcome: Callable[[Outcome], None]
+        self,
+        request: Request,
+        pending: PendingRequest,
+        on_outcome: Callable[[Outcome], None],
     ) -> int:
         """Submit a request of a caller and return its handle."""
         return self._submit(self.node.submit, request, pending, on_outcome)
@@ -132,22 +135,25 @@
     def abandon(self, handle: int) -> None:
         """Report to the node that a caller has disconnected."""
         if self._on_outcome.pop(handle, None) is not None:
-            self.checks.withdrawn((self.host, handle))
+            self.checks.record_withdrawal((self.host, handle))
             self._abandoned.add(handle)
             self.post(lambda: self._call_node(self.node.abandon, handle))
 
     def submit_child(
-        self, request: Request, pending: Asked, on_outcome: Callable[[Outcome], None]
+        self,
+        request: Request,
+        pending: PendingRequest,
+        on_outcome: Callable[[Outcome], None],
     ) -> None:
         """Submit a child call of the local backend server."""
         self._submit(self.node.submit_child, request, pending, on_outcome)
 
     def sent(self, host: str, call: Call) -> None:
         """Pass a call that was written to the checks."""
-        self.checks.sent(call, dict(call.headers)[PURPOSE_HEADER])
-        network = self.around.network
+        self.checks.record_call(call, dict(call.headers)[PURPOSE_HEADER])
+        network = self.context.network
         if host != self.host and self._proved_ms.get(host, 0.0) < self._resumed_at_ms:
-            self.checks.sent_on_old_view(self.host, host)
+            self.checks.sent_on_stale_view(self.host, host)
         target = network.running(host)
         leaving = target is not None and target.left_at_ms is not None
         if leaving and network.undisturbed(self, host):
@@ -157,7 +163,7 @@
         """Deliver the outcome of a request (caller port)."""
         if handle in self._abandoned:
             return
-        self.checks.responded((self.host, handle), outcome)
+        self.checks.record_outcome((self.host, handle), outcome)
         on_outcome = self._on_outcome.pop(handle, None)
         if on_outcome is not None:
             self.schedule.after(0.1, lambda: on_outcome(outcome))
@@ -173,7 +179,7 @@
             front=self,
             due_at_ms=self.now_ms + call.remaining_ms,
         )
-        self.backend.take(exchange)
+        self.backend.accept(exchange)
 
     def cancel(self, key: CallKey) -> None:
         """Close the connection of a call (backend port)."""
@@ -237,10 +243,12 @@
             action()
             self._check_document()
 
-    def _submit(self, submit, request: Request, pending: Asked, on_outcome) -> int:
+    def _submit(
+        self, submit, request: Request, pending: PendingRequest, on_outcome
+    ) -> int:
         handle = next(self._handles)
         self._on_outcome[handle] = on_outcome
-        self.checks.asked((self.host, handle), pending)
+        self.checks.record_request((self.host, handle), pending)
         numbered = replace(request, handle=handle)
         self.post(lambda: self._call_node(submit, numbered))
         return handle
@@ -268,9 +276,9 @@
 
     def _check_document(self) -> None:
         keeper = self.node.document_exchange.keeper
-        self.checks.holds(self.node_id, keeper.stamp)
+        self.checks.record_held_document(self.node_id, keeper.stamp)
         if self.node.entry.classifier is not None:
-            self.checks.serves(self.host, keeper.stamp)
+            self.checks.record_applied_document(self.host, keeper.stamp)
 
     def _run_periodically(self, period_ms: float, action: Action) -> None:
         """Run an action each period; if due in a pause, it runs once on resuming."""
@@ -291,9 +299,9 @@
         if lifecycle.state is NodeState.LEAVING:
             lifecycle.tick(self.now_ms, in_flight=self.node.in_flight)
         if lifecycle.state is NodeState.STOPPED:
-            self.around.stopped(self)
+            self.context.on_process_stopped(self)
 
     def _send_heartbeats(self) -> None:
         self.links.beat()
         names = [record.name for record in self.membership.peers(self.now_ms)]
-        self.links.want(name for name in names if self.around.dials(self.host, name))
+        self.links.want(name for name in names if self.context.dials(self.host, name))
--- a/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/soak.py
@@ -14,7 +14,7 @@
 from sassafraswinch_standins.memory_chaos import Chaos
 from sassafraswinch_standins.memory_fleet import Fleet
 
-STORIES_PER_FLEET = 8
+ROUNDS_PER_FLEET = 8
 """Rounds after which a new fleet is started, to bound memory use."""
 
 
@@ -24,7 +24,7 @@
     faults = sum((fleet.faults for fleet in fleets), start=Counter())
     operations = sum((check.operations for check in checks), start=Counter())
     reasons = sum((check.reasons for check in checks), start=Counter())
-    undecided = [check.unproved() for check in checks]
+    undecided = [check.count_undecided() for check in checks]
     simulated_ms = sum(fleet.schedule.now_ms for fleet in fleets)
     lines = [
         f"simulated seconds: {simulated_ms / 1000:.0f}",
@@ -62,9 +62,9 @@
         chaos = Chaos(fleet=fleet)
         try:
             fleet.run_for(4_000)
-            for _ in range(STORIES_PER_FLEET):
+            for _ in range(ROUNDS_PER_FLEET):
                 if time.monotonic() < stop_at_s:
-                    chaos.story()
+                    chaos.run_round()
         except Exception:
             print(*fleet.events, sep="\n")
             traceback.print_exc(file=sys.stdout)
--- a/packages/sassafraswinch-standins/tests/test_memory_faults.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_faults.py
@@ -2,7 +2,7 @@
 
 from sassafraswinch.membership import HostState
 from sassafraswinch.verdict import Reason, Verdict
-from sassafraswinch_standins.memory_desk import SETTLED_MS, Desk
+from sassafraswinch_standins.memory_client import SETTLED_MS, DirectClient
 from sassafraswinch_standins.memory_fleet import CONVERGE_MS, Fleet
 
 
@@ -12,18 +12,18 @@
 
     Failure: the child call of the backend server got no outcome for ten minutes.
     """
-    client = Desk()
-    ticket_outcomes = client.ask(
+    client = DirectClient()
+    ticket_outcomes = client.send(
         "schvaleni-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     client.fleet.run_for(1)
-    client.slow(10_000)
+    client.slow_down(10_000)
     client.fleet.backends["schvaleni-a"].faults.slow_factor = 1.0
     for host in ("schvaleni-b", "schvaleni-c"):
         client.fleet.kill(host)
     for host in ("archiv-a", "archiv-b"):
         client.fleet.backends[host].faults.slow_factor = 1.0
-    outcomes = client.ask(
+    outcomes = client.send(
         "schvaleni-a",
         "approval",
         "schvaleni",
@@ -47,8 +47,8 @@
     Failure: it started approvals and then refused their child calls because it had no
     document, so the order was not looked up and no goods were released.
     """
-    client = Desk()
-    ticket_outcomes = client.ask(
+    client = DirectClient()
+    ticket_outcomes = client.send(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     client.fleet.run_for(1)
@@ -56,7 +56,7 @@
         client.fleet.kill(host)
     client.fleet.restart("schvaleni-a")
     client.fleet.run_for(1_500)
-    outcomes = client.ask(
+    outcomes = client.send(
         "archiv-a",
         "approval",
         "schvaleni",
@@ -76,7 +76,7 @@
     Failure: the other nodes waited for the end of that call and never sent the host
     work again.
     """
-    client = Desk(seed=5)
+    client = DirectClient(seed=5)
     fleet = client.fleet
     fleet.kill("archiv-b")
     fleet.run_for(500)
@@ -85,7 +85,7 @@
     fleet.pause("archiv-b")
     look_up_orders(fleet, 50)
     fleet.run_for(1_000)
-    fleet.wake("archiv-b")
+    fleet.resume("archiv-b")
     fleet.run_for(10_000)
     before = fleet.backends["archiv-b"].runs
     look_up_orders(fleet, 100)
@@ -106,7 +106,7 @@
     Requests that were in flight there, or are sent there because of the old list, are
     answered or proved not run. Only tickets issued there earlier may find no owner.
     """
-    fleet = Desk().fleet
+    fleet = DirectClient().fleet
     for host in fleet.records:
         for step in range(200):
             for operation in ("approve-order", "order-history", "lookup-order"):
@@ -134,7 +134,7 @@
     The change must reach the other zones through peers within nine seconds, and no
     node may go back to an older document.
     """
-    fleet = Desk().fleet
+    fleet = DirectClient().fleet
     fleet.silence("archiv-a", "schvaleni-b")
     fleet.silence("schvaleni-a", "schvaleni-c")
     for process in fleet.processes.values():
@@ -151,7 +151,7 @@
     Its peers hold the newer one, so the node must not apply the older one, not even
     until it receives the newer version from them.
     """
-    fleet = Desk().fleet
+    fleet = DirectClient().fleet
     for _ in range(3):
         fleet.publish()
         fleet.run_for(3_000)
@@ -169,17 +169,17 @@
     Failure: on resuming, the node read the child call before the messages about those
     hosts and sent it to one that had stopped, so it ended as may-have-run.
     """
-    client = Desk()
+    client = DirectClient()
     fleet = client.fleet
     for host in ("schvaleni-b", "schvaleni-c"):
         fleet.kill(host)
-    ticket_outcomes = client.ask(
+    ticket_outcomes = client.send(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     fleet.run_for(1)
     ticket = ticket_outcomes[0].ticket
     path = "/orders/17/approval"
-    client.ask("archiv-a", "go", "schvaleni", "POST", path, ticket, 2_000)
+    client.send("archiv-a", "go", "schvaleni", "POST", path, ticket, 2_000)
     while not fleet.checks.runs["go"]:
         fleet.run_for(1)
     fleet.pause("schvaleni-a")
@@ -187,7 +187,7 @@
     for host in ("archiv-a", "archiv-b", "vydej-a", "vydej-c"):
         fleet.leave(host)
     fleet.run_for(8_000)
-    fleet.wake("schvaleni-a")
+    fleet.resume("schvaleni-a")
     fleet.run_for(100)
     assert not fleet.checks.runs["go/release.0"]
 
@@ -199,7 +199,7 @@
     Failure: the new process read that its host was leaving, refused all work and
     stopped as well.
     """
-    fleet = Desk().fleet
+    fleet = DirectClient().fleet
     fleet.leave("vydej-a")
     fleet.run_for(5_000)
     assert "vydej-a" not in fleet.processes
@@ -214,9 +214,9 @@
     The node receives no signal: it must stop because of the list alone, without
     cutting off a request.
     """
-    fleet = Desk().fleet
+    fleet = DirectClient().fleet
     fleet.run_for(60_000)
-    fleet.platform.host_is("vydej-a", HostState.LEAVING)
+    fleet.platform.set_host_state("vydej-a", HostState.LEAVING)
     fleet.run_for(40_000)
     assert "vydej-a" not in fleet.processes
 
--- a/packages/sassafraswinch-standins/tests/test_memory_fleet.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_fleet.py
@@ -62,12 +62,12 @@
     @rule(back=st.integers(1, 12), lead_ms=leads_ms)
     def repeat_through_another_node(self, back, lead_ms):
         demands = self.fleet.callers.demands
-        self.fleet.callers.repeat(demands[-min(back, len(demands))])
+        self.fleet.callers.retry(demands[-min(back, len(demands))])
         self.fleet.run_for(lead_ms)
 
     @rule(operation=operations, organisation=organisations)
     def surge(self, operation, organisation):
-        self.fleet.note_surge()
+        self.fleet.record_surge()
         for _ in range(30):
             self.fleet.callers.call(operation, organisation=organisation, repeats=2)
 
@@ -91,7 +91,7 @@
 
     @rule(host=hosts)
     def wake(self, host):
-        self.fleet.wake(host)
+        self.fleet.resume(host)
 
     @rule(
         how=st.sampled_from(("silence", "silence_outward", "swallow")),
@@ -152,7 +152,7 @@
         faults = self.fleet.backends[host].faults
         faults.slow_factor = slow_factor
         faults.shed_share = shed_share
-        faults.die_share = die_share
+        faults.crash_share = die_share
         faults.unreachable = unreachable
 
     @rule(duration_ms=st.sampled_from((5, 50, 400, 1_500, 5_000)))
--- a/packages/sassafraswinch-standins/tests/test_memory_tickets.py
+++ b/packages/sassafraswinch-standins/tests/test_memory_tickets.py
@@ -1,7 +1,7 @@
 """Single faults that affect tickets and verdicts, on an in-memory fleet."""
 
 from sassafraswinch.verdict import Reason, Verdict
-from sassafraswinch_standins.memory_desk import SETTLED_MS, Desk
+from sassafraswinch_standins.memory_client import SETTLED_MS, DirectClient
 
 
 def test_forwarded_request_ends_by_its_deadline():
@@ -11,7 +11,7 @@
     Failure: the caller waited 10 s, the timeout of a forward, for a request with a
     deadline of 2 s.
     """
-    client = Desk()
+    client = DirectClient()
     ticket = client.ticket("vydej-a")
     client.fleet.pause("vydej-a")
     outcomes = client.release("archiv-b", "goods", ticket)
@@ -26,9 +26,9 @@
     Failure: the retry joined a call whose deadline had passed and which was not
     checked again for ten minutes.
     """
-    client = Desk()
+    client = DirectClient()
     ticket = client.ticket("archiv-a")
-    client.slow(10_000)
+    client.slow_down(10_000)
     first = client.release("archiv-a", "goods", ticket)
     client.fleet.run_for(1_000)
     for host in ("vydej-a", "vydej-c"):
@@ -47,7 +47,7 @@
     Failure: the node reported not-run, so the caller would use a new ticket and the
     supplier would ship twice.
     """
-    client = Desk()
+    client = DirectClient()
     ticket = client.ticket("archiv-a")
     outcomes = client.release("archiv-a", "goods", ticket)
     client.fleet.run_for(500)
@@ -68,15 +68,15 @@
     and answered not-run, so the backend server could request a ticket and release
     twice.
     """
-    client = Desk()
+    client = DirectClient()
     fleet = client.fleet
-    ticket_outcomes = client.ask(
+    ticket_outcomes = client.send(
         "archiv-a", "none", "schvaleni", "POST", "/orders/17/approval"
     )
     fleet.run_for(1)
     for host in ("schvaleni-b", "schvaleni-c"):
         fleet.kill(host)
-    client.ask(
+    client.send(
         "archiv-a",
         "approval",
         "schvaleni",
@@ -85,13 +85,13 @@
         ticket_outcomes[0].ticket,
         2_000,
     )
-    while not fleet.checks.once_runs["approval/release"]:
+    while not fleet.checks.at_most_once_runs["approval/release"]:
         fleet.run_for(1)
     fleet.backends["schvaleni-a"].faults.slow_factor = 400.0
     fleet.kill("schvaleni-a")
     fleet.restart("schvaleni-a")
     fleet.run_for(12_000)
-    assert fleet.checks.told["approval/release.0"] is Verdict.MAY_HAVE_RUN
+    assert fleet.checks.last_verdicts["approval/release.0"] is Verdict.MAY_HAVE_RUN
 
 
 def test_resumed_node_still_answers_its_tickets():
@@ -100,14 +100,14 @@
 
     Failure: the node reported may-have-run although it held the complete first answer.
     """
-    client = Desk()
+    client = DirectClient()
     ticket, unused = client.ticket("archiv-a"), client.ticket("archiv-a")
     client.release("archiv-a", "goods", ticket)
     client.fleet.run_for(500)
     client.fleet.pause("archiv-a")
     client.fleet.run_for(5_000)
     client.fleet.cut_zones("brno-a")
-    client.fleet.wake("archiv-a")
+    client.fleet.resume("archiv-a")
     outcomes = client.release("archiv-a", "goods", ticket)
     first = client.release("archiv-a", "other", unused)
     client.fleet.run_for(1)
@@ -122,7 +122,7 @@
 
     The node can forward the ticket to its owner without classifying the request.
     """
-    client = Desk()
+    client = DirectClient()
     ticket = client.ticket("archiv-a")
     client.release("archiv-a", "goods", ticket)
     client.fleet.run_for(500)
@@ -141,7 +141,7 @@
     Failure: the operation is repeatable under the old document, so the node ran the
     same ticket once for each time it arrived.
     """
-    client = Desk()
+    client = DirectClient()
     process = client.fleet.processes["schvaleni-a"]
     operation = process.node.entry.classifier.find_operation(
         "schvaleni", "GET", "/orders/17/history"
@@ -149,9 +149,9 @@
     ticket = process.node.entry.ledger.issue(
         "acme", operation.name, client.fleet.schedule.now_ms
     )
-    client.fleet.checks.once.add("history")
+    client.fleet.checks.at_most_once.add("history")
     for _ in range(2):
-        outcomes = client.ask(
+        outcomes = client.send(
             "schvaleni-a", "history", "schvaleni", "GET", "/orders/17/history", ticket
         )
         client.fleet.run_for(500)
@@ -165,7 +165,7 @@
     the second release that used it got may-have-run, as the ticket belonged to another
     request.
     """
-    client = Desk()
+    client = DirectClient()
     ticket = client.ticket("archiv-a")
     outcome_lists = [client.release("archiv-a", "goods", ticket) for _ in range(2)]
     client.fleet.run_for(500)
@@ -180,7 +180,7 @@
 
     Without the fence the release would run after it was reported as not run.
     """
-    client = Desk()
+    client = DirectClient()
     fleet = client.fleet
     ticket = client.ticket("archiv-a")
     fleet.kill("vydej-c")
@@ -203,7 +203,7 @@
 
     Failure: the release would run twice, once for each ticket.
     """
-    client = Desk()
+    client = DirectClient()
     fleet = client.fleet
     ticket = client.ticket("archiv-a")
     fleet.kill("vydej-a")
