--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_role.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/zone_role.py
@@ -1,4 +1,4 @@
-"""Election of the sidecars of an availability zone that act for the others."""
+"""Choice of the sidecars of an availability zone that act for the others."""
 
 from collections.abc import Mapping
 
