--- a/tests/fault_soak/play.py
+++ b/tests/fault_soak/play.py
@@ -65,21 +65,21 @@
         try:
             await fleet.wait_until_all_served()
         except TimeoutError:
-            result.connection_error.append(
+            result.broken.append(
                 "a host did not serve every kind of request again"
             )
         for task in callers:
             task.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
         await asyncio.sleep(SETTLE_S)
-        result.connection_error += [
+        result.broken += [
             f"{host.name} exited unexpectedly"
             for host in fleet.hosts
             if not host.alive and not host.stopped
         ]
     finally:
         fleet.close()
-    result.connection_error += fleet.record.find_invariant_violations()
+    result.broken += fleet.record.find_invariant_violations()
     result.faults = chaos.counts
     if chaos.unclean_stops:
         result.faults["stops beyond the grace period"] = chaos.unclean_stops
@@ -125,9 +125,9 @@
         statuses = {str(key): n for key, n in result.statuses.most_common()}
         print(f"seed {seed}: {elapsed_s:.0f} s, {result.runs} runs, {statuses}")
         print(f"  {dict(result.faults)}", flush=True)
-        for line in result.connection_error[:10]:
+        for line in result.broken[:10]:
             print(f"  BROKEN {line}; logs in {directory}", flush=True)
-        if result.connection_error:
+        if result.broken:
             failed.append(seed)
     print(f"{seeds - len(failed)} seeds without violations, failed: {failed}")
     sys.exit(1 if failed else 0)
