--- a/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
+++ b/packages/sassafraswinch-node/sassafraswinch_node/http_calls.py
@@ -119,13 +119,13 @@
         self.submit(request)
         if future.done():
             return future.result()
-        wait_disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
+        disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                (future, wait_disconnected), return_when=asyncio.FIRST_COMPLETED
+                (future, disconnected), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            wait_disconnected.cancel()
+            disconnected.cancel()
             if not future.done():
                 self.waiting.pop(request.handle, None)
                 self.abandon(request.handle)
--- a/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
+++ b/packages/sassafraswinch-sidecar/sassafraswinch_sidecar/sidecar.py
@@ -163,12 +163,12 @@
         self._counts = RelayCounters()
         window_ms = settings.repeat_window_s * 1000
         self._known_hosts: set[str] = set()
-        self._most_sidecars = RecentMaximum(window_ms=2 * window_ms)
+        self._max_sidecars = RecentMaximum(window_ms=2 * window_ms)
         self._budget = RetryBudget(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
             window_ms=window_ms,
-            max_sidecars=lambda: self._most_sidecars.value(self._now_ms()),
+            max_sidecars=lambda: self._max_sidecars.value(self._now_ms()),
             sidecars=lambda: len(self._known_hosts),
             totals=self._view.totals,
         )
@@ -178,7 +178,7 @@
         self._rates = OrganisationRates(
             rule=self._rate_rule,
             now_ms=self._now_ms(),
-            max_hosts=lambda: self._most_sidecars.value(self._now_ms()),
+            max_hosts=lambda: self._max_sidecars.value(self._now_ms()),
             fleet_usage=self._view.usage,
             random=rng.random,
         )
@@ -204,7 +204,7 @@
             is_near_limit=self._is_near_limit,
             now_ms=self._now_ms,
         )
-        self._duty = ZoneRole(
+        self._zone_role = ZoneRole(
             own_ip=settings.ip,
             active_sidecars=WATCHERS_PER_ZONE,
             step_ms=WATCHER_TAKEOVER_STEP_MS,
@@ -272,9 +272,9 @@
             held=self._held,
         )
         self._reader = PlatformReader(
-            store=store, listener=self._data, role=self._duty, rng=rng
+            store=store, listener=self._data, role=self._zone_role, rng=rng
         )
-        self._standstill = PauseDetector()
+        self._pause_detector = PauseDetector()
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
 
@@ -395,7 +395,7 @@
 
     def _update_zone_role(self, now_ms: float) -> None:
         """Decide whether this sidecar is one that watches the platform for the zone."""
-        self._duty.update_role(self._zone_peers.following_by_peer(), now_ms)
+        self._zone_role.update_role(self._zone_peers.following_by_peer(), now_ms)
 
     def _apply_fleet_change(self) -> None:
         """Apply changed platform data: known hosts, slots and the zone role."""
@@ -403,7 +403,7 @@
         listed = itertools.chain.from_iterable(self._fleet.zones().values())
         is_first_update = not self._known_hosts
         self._known_hosts = {*listed, self._settings.ip}
-        self._most_sidecars.record_value(len(self._known_hosts), now_ms)
+        self._max_sidecars.record_value(len(self._known_hosts), now_ms)
         for instance in self._fleet.instances_at(self._settings.ip):
             if not instance.leaving:
                 self._executor.set_slots(instance.slots)
@@ -427,7 +427,7 @@
             self._suspect_exchange.discard_expired()
 
     def _check_process_pause(self) -> None:
-        paused_ms = self._standstill.check_pause()
+        paused_ms = self._pause_detector.check_pause()
         if not paused_ms:
             return
         log_event("stood_still", level="warning", stood_ms=paused_ms)
--- a/tests/fault_soak/play.py
+++ b/tests/fault_soak/play.py
@@ -65,9 +65,7 @@
         try:
             await fleet.wait_until_all_served()
         except TimeoutError:
-            result.broken.append(
-                "a host did not serve every kind of request again"
-            )
+            result.broken.append("a host did not serve every kind of request again")
         for task in callers:
             task.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
