--- a/packages/sassafraswinch-standins/sassafraswinch_standins/layout.py
+++ b/packages/sassafraswinch-standins/sassafraswinch_standins/layout.py
@@ -1,4 +1,4 @@
-"""Hosts of a fleet, their addresses, and how each availability zone sees them."""
+"""Layout of a fleet: hosts, their addresses, and relay routes between zones."""
 
 import random
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Host:
-    """A backend server host: its node and its backend server."""
+    """A host: one backend server and its node, with the addresses they listen on."""
 
     name: str
     plan: ServicePlan
@@ -28,15 +28,15 @@
 
 
 class Layout:
-    """All hosts, and the relay routes between availability zones.
+    """Hosts of a fleet, and the relay routes between availability zones.
 
     Args:
-        graph: gives the services and their servers.
-        relay_links: whether links between availability zones go through a relay.
+        graph: services of the fleet, with the number of servers of each.
+        relay_links: whether links between availability zones pass through a relay.
     """
 
     def __init__(self, *, graph: Graph, relay_links: bool):
-        self._ports = random.Random()
+        self._port_random = random.Random()
         hosts = [
             self._make_host(plan, number)
             for plan in graph.services
@@ -44,11 +44,11 @@
         ]
         self.hosts = {host.name: host for host in hosts}
         self.routes = self._make_routes() if relay_links else {}
-        """Addresses of the relay by ``zone>host``."""
+        """Relay addresses by route, ``zone>host``."""
 
     def free_address(self) -> str:
-        """Return ``ip:port`` of a port that is free now."""
-        return free_address(self._ports)
+        """Return ``ip:port`` of a port that is currently free."""
+        return free_address(self._port_random)
 
     def inside(self, availability_zone: str) -> list[Host]:
         """Return the hosts of an availability zone."""
@@ -59,7 +59,7 @@
         ]
 
     def across(self, availability_zone: str) -> list[str]:
-        """Return the routes that lead into or out of an availability zone."""
+        """Return the relay routes into and out of an availability zone."""
         inside = {host.name for host in self.inside(availability_zone)}
         return [
             route
@@ -71,11 +71,11 @@
     def host_list(
         self, seen_from: str, *, states: Mapping[str, str]
     ) -> list[dict[str, str]]:
-        """Return the host list as an availability zone reads it.
+        """Return the host list that the platform gives to an availability zone.
 
         Args:
-            seen_from: the availability zone.
-            states: states of hosts that aren't ``live``.
+            seen_from: availability zone of the reader.
+            states: states by host name; other hosts are ``live``.
         """
         return [
             {
@@ -91,12 +91,12 @@
         ]
 
     def _make_host(self, plan: ServicePlan, number: int) -> Host:
-        listeners = ("entry", "egress", "operators", "link", "backend")
+        listener_fields = ("entry", "egress", "operators", "link", "backend")
         return Host(
             name=f"{plan.name}-{number + 1}",
             plan=plan,
             availability_zone=AVAILABILITY_ZONES[number % len(AVAILABILITY_ZONES)],
-            **{listener: self.free_address() for listener in listeners},
+            **{listener: self.free_address() for listener in listener_fields},
         )
 
     def _make_routes(self) -> dict[str, str]:
